--- a/core/routing/admit.go
+++ b/core/routing/admit.go
@@ -7,28 +7,28 @@
 )
 
 // speedWeight is the weight of a new measurement in the running average.
-const speedWeight = 0.1
+const serviceTimeWeight = 0.1
 
-// Speed is the running average of the total time of a group's finished requests. The
-// zero value knows nothing.
+// ServiceTime is the running average of the total time of a group's finished requests.
+// The zero value has no measurement yet.
 type Speed struct {
-	total time.Duration
+	mean  time.Duration
 	known bool
 }
 
-// Measured takes the total time of a finished request.
+// Observe adds the total time of a finished request to the average.
 func (s *Speed) Measured(total time.Duration) {
 	if !s.known {
-		*s = Speed{total: total, known: true}
+		*s = Speed{mean: total, known: true}
 		return
 	}
-	change := speedWeight * float64(total-s.total)
-	s.total += time.Duration(change)
+	change := serviceTimeWeight * float64(total-s.mean)
+	s.mean += time.Duration(change)
 }
 
-// Queue estimates how long one more request would queue at a target that runs slots
-// requests at once and has so many: with all slots taken, one gets free every
-// total/slots.
+// Wait estimates how long one more request would queue at a target that runs slots
+// requests at once and has load requests already: with all slots taken, one becomes free
+// every total/slots.
 func (s Speed) Queue(load float64, slots int) time.Duration {
 	if slots <= 0 {
 		return 0
@@ -37,23 +37,23 @@
 	if ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead / float64(slots) * float64(s.total))
+	return time.Duration(ahead / float64(slots) * float64(s.mean))
 }
 
-// Measured takes the total time of a finished request.
-func (t *Table) Measured(total time.Duration) { t.speed.Measured(total) }
+// ObserveServiceTime adds the total time of a finished request to the group's average.
+func (t *Table) Measured(total time.Duration) { t.serviceTime.Measured(total) }
 
-// Wait estimates how long a request would queue in front of the least loaded
-// target: with load at or above its slots, one leaves every total/slots. It is
-// 0 while any target has a free slot or nothing is known, so a wrong average
-// can never lock the group out: requests end, slots get free.
+// Wait estimates how long a request would queue at the target with the shortest queue:
+// with load at or above its slots, one request finishes every total/slots. It is 0 while
+// any target has a free slot or nothing has been measured. A wrong average can therefore
+// never block the group for good: requests end and free their slots.
 func (t *Table) Wait(now time.Time) time.Duration {
-	if !t.speed.known {
+	if !t.serviceTime.known {
 		return 0
 	}
 	shortest, found := time.Duration(0), false
-	for _, e := range t.tier(now, Request{}, false) {
-		w := t.speed.Queue(e.load(now), t.slotsOf(now, e))
+	for _, e := range t.usableTargets(now, Request{}, false) {
+		w := t.serviceTime.Queue(e.load(now), t.slotsOf(now, e))
 		if !found || w < shortest {
 			shortest, found = w, true
 		}
@@ -61,9 +61,9 @@
 	return shortest
 }
 
-// Admit refuses a request that could not start before its deadline: a truthful
-// early no is worth more to the caller than a late one, and keeps the queue at
-// the engines short for those that can still make it.
+// Admit refuses a request that could not start before its deadline. An early refusal
+// serves the caller better than a late one, and keeps the queues at the engines short for
+// requests that can still meet their deadline.
 func (t *Table) Admit(now, deadline time.Time) *outcome.Refusal {
 	wait := t.Wait(now)
 	left := deadline.Sub(now)
@@ -73,23 +73,24 @@
 	return TooBusy(t.group, wait, left)
 }
 
-// longestQueue bounds the expected wait in front of a target with which a request is
-// still taken: callers leave a stream that is silent for 2 s.
-const longestQueue = time.Second
+// waitLimit bounds the expected queueing time with which a request is still accepted:
+// callers abandon a stream that sends nothing for 2 s.
+const waitLimit = time.Second
 
-// QueuePatience is how long a request may be expected to queue: left is the time until
-// its deadline, rank its priority, 0 first. A caller that would leave before its first
-// event, or be answered after its deadline, is better told at once, while another attempt
-// can still succeed.
+// MaxWait returns how long a request may be expected to queue. left is the time until its
+// deadline, rank its priority, 0 being the most urgent. A caller that would give up
+// before its first event, or be answered after its deadline, is refused at once, while
+// another attempt can still succeed.
 //
-// Load pattern answered: fewer slots than requests for seconds. Targets know no
-// priorities, so the less urgent a request is, the shorter the queue in front of it may
-// be, and the rest of the queue is left to the urgent ones.
+// Load pattern: fewer slots than requests for several seconds. Targets have no
+// priorities, so the less urgent a request is, the shorter the queue that it may join;
+// the rest of the queue is reserved for urgent requests.
 func QueuePatience(left time.Duration, rank int) time.Duration {
-	return min(left/2, longestQueue) / time.Duration(1+max(0, rank))
+	return min(left/2, waitLimit) / time.Duration(1+max(0, rank))
 }
 
-// TooBusy refuses a request that would queue for wait and has only left.
+// TooBusy returns the refusal for a request that would queue for wait but has only left
+// until its deadline.
 func TooBusy(group string, wait, left time.Duration) *outcome.Refusal {
 	refusal := outcome.Refuse(outcome.Overloaded,
 		"the targets of %s are busy for about %s, the request can wait for %s",
--- a/core/routing/doubt.go
+++ b/core/routing/doubt.go
@@ -2,100 +2,102 @@
 
 import "time"
 
-// A target in doubt has failed a request a moment ago and answered none since,
-// here or at another daemon of the own zone. It is not out: it counts as one that
-// is full, so that requests go to others while these have places.
+// A degraded target has recently failed a request and has not answered one since, here or
+// at another daemon of the local zone. It is not ejected: it counts as a full target, so
+// requests go to other targets while those have free slots.
 //
-// Failure guarded against: a target that takes connections and fails each
-// request at once always looks like the emptiest one, so it draws the requests
-// of every daemon until each of them has seen it fail often enough by itself. A
-// fleet loses daemons x SoftFailures requests at every such target, and those
-// that must not run twice are lost for good. With doubt told within the zone one
-// failure turns the whole zone away, and the zone as a whole waits longer after
-// each that follows. Doubt stays within its zone, since a target may fail the
-// callers of one zone and serve the others.
+// Failure guarded against: a target that accepts connections and fails every request at
+// once always looks like the emptiest one, so it attracts the requests of every daemon
+// until each of them has seen enough failures of its own. A fleet loses daemons x
+// SoftFailureThreshold requests at every such target, and those that must not run twice
+// are lost for good. Because daemons report degraded targets to the others of their zone,
+// a single failure diverts the whole zone, and the zone waits longer after each further
+// failure. The state is not shared between zones, since a target may fail the callers of
+// one zone and serve the others.
 
 const (
-	// trialTime is how long others are still told of a doubt after it has ended
-	// here, so that one daemon tries the target and not all of them at once.
-	trialTime = 250 * time.Millisecond
-	// maxDoubtShare is the largest part of a group that a daemon may have in doubt
-	// and still tell others of it. One that fails at more has most likely lost its
-	// own way to them, and its word would drive its whole zone to other zones.
-	maxDoubtShare = 0.25
+	// reportGrace is how long a target is still reported to the other daemons after its
+	// degradation has ended here, so that one daemon tries the target first and not all
+	// of them at once.
+	reportGrace = 250 * time.Millisecond
+	// maxDegradedShare is the largest share of a group that a daemon may have degraded
+	// and still report to others. A daemon that fails at more targets has most likely
+	// lost its own connection to them, and its reports would drive its whole zone to
+	// other zones.
+	maxDegradedShare = 0.25
 )
 
-// Doubt is what failures without a success since say of a target. It lasts as long
-// as a removal after as many failures holds a target. The zero value is no doubt; a
-// success brings it back.
+// Degradation is the state of a target after failures with no success since. It lasts as
+// long as an ejection after the same number of failures. The zero value is a target that
+// is not degraded; a success resets to it.
 type Doubt struct {
-	// failures in a row, those that the zone told of included.
+	// failures counts consecutive failures, including those that the zone reported.
 	failures int
 	until    time.Time
 }
 
-// Failed takes a failure. heard is how many failures others have told of.
-// Failures of requests that were sent before the doubt arrive in a bunch; they
-// count as one.
-func (d *Doubt) Failed(now time.Time, heard int) {
+// RecordFailure records a failure. peerFailures is how many consecutive failures other
+// daemons have reported. Failures of requests that were sent before the degradation began
+// arrive together; they count as one.
+func (d *Doubt) Failed(now time.Time, peerFailures int) {
 	if now.Before(d.until) {
 		return
 	}
-	d.failures = max(d.failures, heard) + 1
-	d.until = now.Add(holdAfter(d.failures - 1))
+	d.failures = max(d.failures, peerFailures) + 1
+	d.until = now.Add(ejectionTime(d.failures - 1))
 }
 
-// Failures counts the failures in a row.
+// Failures returns the number of consecutive failures.
 func (d *Doubt) Failures() int { return d.failures }
 
-// Lasts tells whether the target is still held back.
+// Active reports whether requests still avoid the target.
 func (d *Doubt) Lasts(now time.Time) bool { return now.Before(d.until) }
 
-// heardDoubt returns how many failures in a row the zone's others tell of.
-func (e *entry) heardDoubt(now time.Time) int {
-	if !e.heard.fresh(now) {
+// peerFailures returns how many consecutive failures the zone's other daemons report.
+func (e *entry) peerFailures(now time.Time) int {
+	if !e.received.fresh(now) {
 		return 0
 	}
-	return e.heard.word.Doubt
+	return e.received.report.Doubt
 }
 
-// doubtful tells whether the target is in doubt for a request. Others' word counts
-// if they tell of more failures than are known here: a daemon whose own doubt has
-// ended tries the target although the others go on doubting. That is for requests
-// that may be repeated; for others the doubt lasts until the target answers.
-func (e *entry) doubtful(now time.Time, r Request) bool {
-	d := e.health.doubt
-	if e.heardDoubt(now) > d.failures || d.Lasts(now) {
+// degraded reports whether the target is degraded for a request. Peers' reports count if
+// they name more failures than are known here: a daemon whose own degradation has ended
+// tries the target although its peers still report it. This applies to requests that may
+// be repeated; for others the degradation lasts until the target answers a request.
+func (e *entry) degraded(now time.Time, r Request) bool {
+	d := e.health.degradation
+	if e.peerFailures(now) > d.failures || d.Lasts(now) {
 		return true
 	}
-	return r.LastChance && (d.failures > 0 || e.heardDoubt(now) > 0 || e.health.state(now) == HalfOpen)
+	return r.LastChance && (d.failures > 0 || e.peerFailures(now) > 0 || e.health.state(now) == HalfOpen)
 }
 
-// Doubtful tells whether the target is in doubt for work that may be repeated.
+// Degraded reports whether the target is degraded for requests that may be repeated.
 func (t *Table) Doubtful(now time.Time, address string) bool {
 	e := t.entries[address]
-	return e != nil && e.doubtful(now, Request{})
+	return e != nil && e.degraded(now, Request{})
 }
 
-// Suspect has the target doubted although no request there has ended.
+// MarkDegraded records a failure of the target although no request has ended there.
 func (t *Table) Suspect(now time.Time, address string) {
 	if e := t.entries[address]; e != nil {
-		e.health.doubt.Failed(now, e.heardDoubt(now))
+		e.health.degradation.Failed(now, e.peerFailures(now))
 	}
 }
 
-// Doubts gives the failures in a row of the targets that the own requests put in
-// doubt, for the other daemons of the zone; none if they are too many to be the
-// targets' own fault.
+// DegradedTargets returns the number of consecutive failures of each target that this
+// daemon's own requests degraded, to be reported to the other daemons of the zone. It
+// returns nil if there are too many of them to be the targets' own fault.
 func (t *Table) Doubts(now time.Time) map[string]int {
-	doubts := map[string]int{}
+	degraded := map[string]int{}
 	for _, address := range t.order {
-		if d := t.entries[address].health.doubt; now.Before(d.until.Add(trialTime)) {
-			doubts[address] = d.failures
+		if d := t.entries[address].health.degradation; now.Before(d.until.Add(reportGrace)) {
+			degraded[address] = d.failures
 		}
 	}
-	if len(doubts) > max(1, int(maxDoubtShare*float64(len(t.order)))) {
+	if len(degraded) > max(1, int(maxDegradedShare*float64(len(t.order)))) {
 		return nil
 	}
-	return doubts
+	return degraded
 }
--- a/core/routing/doubt_test.go
+++ b/core/routing/doubt_test.go
@@ -8,15 +8,15 @@
 	"tarragonhollow.example/tarragonhollow/core/splitmix"
 )
 
-// zoneFleet is a zone's daemons and targets: words travel for wordDelay, and some
-// targets fail every request at once, with good health answers.
+// zoneFleet is the daemons and targets of one zone. Load reports take reportDelay to
+// arrive, and some targets fail every request at once while their health checks pass.
 type zoneFleet struct {
 	tables  []*Table
 	targets int
-	liars   int
-	// tells is whether daemons tell each other what they doubt.
-	tells bool
-	// answers holds the ends of good answers that are still under way.
+	faulty  int
+	// shared is whether daemons report their degraded targets to each other.
+	shared bool
+	// answers holds the ends of successful requests that are still running.
 	answers []answer
 }
 
@@ -27,13 +27,13 @@
 }
 
 const (
-	wordDelay  = 50 * time.Millisecond
-	answerTime = 100 * time.Millisecond
-	fleetSlots = 7
+	reportDelay = 50 * time.Millisecond
+	answerTime  = 100 * time.Millisecond
+	fleetSlots  = 7
 )
 
-func newZoneFleet(daemons, targets, liars int, tells bool) *zoneFleet {
-	f := &zoneFleet{targets: targets, liars: liars, tells: tells}
+func newZoneFleet(daemons, targets, faulty int, shared bool) *zoneFleet {
+	f := &zoneFleet{targets: targets, faulty: faulty, shared: shared}
 	var list []Target
 	for i := range targets {
 		list = append(list, Target{Address: fmt.Sprint("t", i), Zone: "z"})
@@ -44,46 +44,46 @@
 	return f
 }
 
-// play sends one request a gap, each to one daemon in turn. One of four is an
-// order that must not run twice; a question that fails gets a second attempt. It
+// run sends one request per gap, each to the next daemon in turn. One in four is an
+// order, which must not run twice; a question that fails gets a second attempt. It
 // returns how many orders and how many questions were lost.
-func (f *zoneFleet) play(requests int, gap time.Duration) (orders, questions int) {
+func (f *zoneFleet) run(requests int, gap time.Duration) (orders, questions int) {
 	now := time.Unix(1000, 0)
 	spreadAt := now
 	for i := range requests {
 		now = now.Add(gap)
 		f.finish(now)
-		if now.Sub(spreadAt) >= wordDelay {
+		if now.Sub(spreadAt) >= reportDelay {
 			f.spread(now)
 			spreadAt = now
 		}
 		order := i%4 == 0
-		ask := Request{Zone: "z", LastChance: order, Exclude: map[string]bool{}, SeedValue: splitmix.Mix(uint64(i))}
-		if f.attempt(now, i%len(f.tables), &ask) {
+		request := Request{Zone: "z", LastChance: order, Exclude: map[string]bool{}, SeedValue: splitmix.Mix(uint64(i))}
+		if f.attempt(now, i%len(f.tables), &request) {
 			continue
 		}
 		if order {
 			orders++
 			continue
 		}
-		ask.LastChance = true
-		if !f.attempt(now, i%len(f.tables), &ask) {
+		request.LastChance = true
+		if !f.attempt(now, i%len(f.tables), &request) {
 			questions++
 		}
 	}
 	return orders, questions
 }
 
-// attempt sends a request to the target that the daemon chooses, and tells
-// whether it will be answered.
-func (f *zoneFleet) attempt(now time.Time, daemon int, ask *Request) bool {
+// attempt sends a request to the target that the daemon chooses and reports whether it
+// will be answered.
+func (f *zoneFleet) attempt(now time.Time, daemon int, request *Request) bool {
 	table := f.tables[daemon]
-	choice, _ := table.PickLeast(now, *ask)
-	ask.Exclude[choice.Address] = true
+	choice, _ := table.PickLeast(now, *request)
+	request.Exclude[choice.Address] = true
 	table.Start(now, choice.Address, false)
 	var number int
-	_, _ = fmt.Sscanf(choice.Address, "t%d", &number) // the addresses are made above
-	if number < f.liars {
+	_, _ = fmt.Sscanf(choice.Address, "t%d", &number) // newZoneFleet builds the addresses
+	if number < f.faulty {
 		table.End(now, choice.Address, false, SoftFailed)
 		return false
 	}
@@ -99,7 +99,7 @@
 	}
 }
 
-// spread tells every daemon the fleet's counts and, if it is so set, doubts.
+// spread sends every daemon the fleet's counts and, if shared is set, degraded targets.
 func (f *zoneFleet) spread(now time.Time) {
 	most := map[string]int{}
 	for _, table := range f.tables {
@@ -107,7 +107,7 @@
 			most[address] = max(most[address], failures)
 		}
 	}
-	if !f.tells {
+	if !f.shared {
 		clear(most)
 	}
 	for i := range f.targets {
@@ -122,59 +122,59 @@
 	}
 }
 
-// Guests' orders are refused by targets whose health answers are good: they take
-// the connection and reset it. Empty as they are, they look like the best choice
-// to each of the zone's daemons, until each has lost several orders there.
+// Orders are refused by targets whose health checks pass: they accept the connection and
+// reset it. Being empty, they look like the best choice to each of the zone's daemons,
+// until each daemon has lost several orders there.
 func TestDoubtSparesOrdersFromTargetsThatFailAtOnce(t *testing.T) {
-	const daemons, targets, liars, requests = 15, 22, 3, 3000
+	const daemons, targets, faulty, requests = 15, 22, 3, 3000
 	gap := 4 * time.Millisecond
-	ordersAlone, questionsAlone := newZoneFleet(daemons, targets, liars, false).play(requests, gap)
-	ordersTold, questionsTold := newZoneFleet(daemons, targets, liars, true).play(requests, gap)
-	t.Logf("of %d requests, lost when each daemon finds out alone: %d orders, %d questions; when doubt is told: %d, %d",
-		requests, ordersAlone, questionsAlone, ordersTold, questionsTold)
-	if ordersTold*2 > ordersAlone || questionsTold*2 > questionsAlone {
-		t.Fatal("doubt that is told must spare half of the losses at least")
+	ordersAlone, questionsAlone := newZoneFleet(daemons, targets, faulty, false).run(requests, gap)
+	ordersShared, questionsShared := newZoneFleet(daemons, targets, faulty, true).run(requests, gap)
+	t.Logf("of %d requests, lost without shared reports: %d orders, %d questions; with them: %d, %d",
+		requests, ordersAlone, questionsAlone, ordersShared, questionsShared)
+	if ordersShared*2 > ordersAlone || questionsShared*2 > questionsAlone {
+		t.Fatal("reporting degraded targets must avoid at least half of the losses")
 	}
 }
 
-// One daemon has lost its way to the targets of its zone. If the others believed
-// its doubts, the zone's work would move to other zones.
-func TestADaemonThatFailsAtManyTargetsTellsNothing(t *testing.T) {
+// One daemon has lost its connection to the targets of its zone. If the others believed
+// its reports, the zone's requests would move to other zones.
+func TestDaemonFailingAtManyTargetsReportsNoneDegraded(t *testing.T) {
 	table, _ := zones(4)
 	now := time.Unix(1000, 0)
 	for _, address := range []string{"a0", "a1"} {
 		table.End(now, address, false, SoftFailed)
 	}
 	if got := table.Doubts(now); len(got) != 2 {
-		t.Fatalf("doubts %v, want two of eight", got)
+		t.Fatalf("degraded %v, want two of eight", got)
 	}
 	table.End(now, "a2", false, SoftFailed)
 	if got := table.Doubts(now); len(got) != 0 {
-		t.Fatalf("doubts %v, want none told at three of eight", got)
+		t.Fatalf("degraded %v, want none reported at three of eight", got)
 	}
 }
 
-func TestDoubtEndsWithASuccessOrWithTime(t *testing.T) {
+func TestDegradationEndsWithASuccessOrWithTime(t *testing.T) {
 	table, _ := zones(1)
 	now := time.Unix(1000, 0)
 	table.End(now, "a0", false, SoftFailed)
 	if got := pick(t, table, Request{Zone: "a"}); got != "b0" {
-		t.Fatalf("%s, where a0 has just failed", got)
+		t.Fatalf("picked %s although a0 has just failed", got)
 	}
 	table.End(now, "a0", false, Succeeded)
 	if got := pick(t, table, Request{Zone: "a"}); got != "a0" {
-		t.Fatalf("%s, where a0 has answered since", got)
+		t.Fatalf("picked %s although a0 has answered since", got)
 	}
 	table.End(now, "a0", false, SoftFailed)
 	choice, _ := table.PickLeast(now.Add(FirstHold), Request{Zone: "a"})
 	if choice.Address != "a0" {
-		t.Fatalf("%s, where the failure is long ago", choice.Address)
+		t.Fatalf("picked %s although the degradation of a0 has ended", choice.Address)
 	}
 }
 
-// A target comes back after a removal and may be ill still. An order that it
-// loses can't be sent again; a question can.
-func TestWhatMayNotRunTwiceDoesNotTryAReturningTarget(t *testing.T) {
+// A target returns after an ejection and may still be faulty. An order that it loses
+// can't be sent again; a question can.
+func TestNonRepeatableRequestAvoidsReturningTarget(t *testing.T) {
 	table, _ := zones(1)
 	now := time.Unix(1000, 0)
 	table.End(now, "a0", false, HardFailed)
@@ -186,13 +186,13 @@
 	}
 }
 
-// With every other target full, one in doubt is still better than a queue.
-func TestDoubtRefusesNoPlace(t *testing.T) {
-	table, hear := zones(1)
-	hear("a0", 0, 0)
-	hear("b0", 6, 0)
+// With every other target full, a degraded target is still better than a queue.
+func TestDegradedTargetIsPreferredToAQueue(t *testing.T) {
+	table, report := zones(1)
+	report("a0", 0, 0)
+	report("b0", 6, 0)
 	table.End(time.Unix(1000, 0), "a0", false, SoftFailed)
 	if got := pick(t, table, Request{Zone: "a"}); got != "a0" {
-		t.Fatalf("%s, where b0 has a queue", got)
+		t.Fatalf("picked %s although b0 has a queue", got)
 	}
 }
--- a/core/routing/fill.go
+++ b/core/routing/fill.go
@@ -6,43 +6,43 @@
 	"time"
 )
 
-// leastUnheard stands for no unheard requests at all: the least loaded target is
-// then chosen, by chance among equal ones.
-const leastUnheard = 0.01
+// minUnreported stands in for no unreported requests at all: the least loaded target is
+// then chosen, at random among equally loaded ones.
+const minUnreported = 0.01
 
-// unheard estimates how many requests other daemons have started since their last
-// words, at the targets whose load they tell of: what runs there divided by a
-// request's time is the rate at which requests start.
-func (t *Table) unheard(now time.Time, r Request) float64 {
-	if !t.speed.known || t.speed.total <= 0 {
+// unreported estimates how many requests other daemons have started since their last load
+// reports, at the targets that these reports cover. The number of requests that run there
+// divided by a request's service time is the rate at which requests start.
+func (t *Table) unreported(now time.Time, r Request) float64 {
+	if !t.serviceTime.known || t.serviceTime.mean <= 0 {
 		return 0
 	}
-	others := 0
+	peers := 0
 	for _, e := range t.entries {
 		if r.FarIsStale && e.Zone != r.Zone {
 			continue
 		}
-		others += t.online(now, e) - e.own
+		peers += t.online(now, e) - e.localRequests
 	}
-	return float64(others) * r.WordAge.Seconds() / t.speed.total.Seconds()
+	return float64(peers) * r.WordAge.Seconds() / t.serviceTime.mean.Seconds()
 }
 
-// fill chooses a target by chance so that all daemons together fill the targets
-// evenly: it shares the requests that are about to start unheard out over the
-// least loaded targets, as water fills uneven ground, and takes each target with
-// its part.
+// waterFill chooses a target at random such that all daemons together fill the targets
+// evenly (water-filling): it distributes the unreported requests over the least loaded
+// targets, as water fills uneven ground, and chooses each target with a probability equal
+// to its share.
 //
-// Load pattern answered: nearly every place is taken and a few come free. Each
-// daemon that goes by the least load it has heard of sends its next request to the
-// same ones, until words come round: at 61 daemons single targets had 16 requests
-// for 7 places while one in twenty places was free.
-func fill(from []*entry, loads []float64, unheard, random float64) *entry {
+// Load pattern: nearly all slots are taken and a few become free. Daemons that all choose
+// the least reported load send their next requests to the same targets until new reports
+// arrive: with 61 daemons, single targets had 16 requests for 7 slots while one in twenty
+// slots was free.
+func waterFill(from []*entry, loads []float64, unreported, random float64) *entry {
 	order := make([]int, len(from))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(loads[a], loads[b]) })
-	amount := max(unheard, leastUnheard)
+	amount := max(unreported, minUnreported)
 	level := waterLevel(order, loads, amount)
 	left := random * amount
 	for _, i := range order {
@@ -54,8 +54,8 @@
 	return from[order[0]]
 }
 
-// waterLevel returns the load that the lowest targets reach when amount is shared
-// out over them.
+// waterLevel returns the load that the least loaded targets reach when amount is
+// distributed over them.
 func waterLevel(order []int, loads []float64, amount float64) float64 {
 	sum := 0.0
 	for n, i := range order {
--- a/core/routing/fill_test.go
+++ b/core/routing/fill_test.go
@@ -8,11 +8,11 @@
 	"tarragonhollow.example/tarragonhollow/core/splitmix"
 )
 
-// crowd plays a zone whose places are nearly all taken: requests come at the rate
-// that keeps share of the places taken, and each takes serviceTime. It returns how
-// many of the requests met a full target although another had a place, and the
-// most that a target had.
-func crowd(share float64, age time.Duration) (misplaced, most int) {
+// simulate runs a zone whose slots are nearly all taken: requests arrive at the rate that
+// keeps the given share of the slots taken, and each takes serviceTime. It returns how
+// many requests met a full target although another had a free slot, and the highest
+// number of requests at one target.
+func simulate(share float64, age time.Duration) (misplaced, most int) {
 	const daemons, targets, requests = 15, 22, 6000
 	serviceTime := 700 * time.Millisecond
 	f := newZoneFleet(daemons, targets, 0, false)
@@ -31,7 +31,7 @@
 			f.tables[f.answers[0].daemon].End(now, f.answers[0].address, false, Succeeded)
 			f.answers = f.answers[1:]
 		}
-		if now.Sub(spreadAt) >= wordDelay {
+		if now.Sub(spreadAt) >= reportDelay {
 			f.spread(now)
 			spreadAt = now
 		}
@@ -48,34 +48,34 @@
 	return misplaced, most
 }
 
-// At a step of load nearly every place is taken. Guests wait behind others at one
-// engine while the next one has a place, since all daemons hurry to the engine
-// that was the emptiest in the last words.
-func TestFillSpreadsWhatStartsBetweenTwoWords(t *testing.T) {
+// At a step of load nearly every slot is taken. Requests wait behind others at one engine
+// while the next one has a free slot, because all daemons choose the engine that was the
+// emptiest in the last reports.
+func TestWaterFillSpreadsRequestsStartedBetweenReports(t *testing.T) {
 	for _, share := range []float64{0.8, 0.9, 0.95} {
-		naive, naiveMost := crowd(share, 0)
-		got, most := crowd(share, wordDelay)
-		t.Logf("%.0f%% of the places taken: of 6000 requests %d meet a full target beside a free one by the least word, %d with fill; the most at one target %d, %d",
+		naive, naiveMost := simulate(share, 0)
+		got, most := simulate(share, reportDelay)
+		t.Logf("%.0f%% of the slots taken: of 6000 requests %d meet a full target beside a free one by the least reported load, %d with water-filling; the most at one target %d, %d",
 			100*share, naive, got, naiveMost, most)
 		if float64(got) > 0.6*float64(naive) {
-			t.Errorf("%d requests misplaced, %d by the least word", got, naive)
+			t.Errorf("%d requests misplaced, %d by the least reported load", got, naive)
 		}
 	}
 }
 
-func TestFillSharesByHowFarBelowTheLevelTargetsAre(t *testing.T) {
+func TestWaterFillSharesByDistanceBelowLevel(t *testing.T) {
 	from := []*entry{{Target: Target{Address: "a"}}, {Target: Target{Address: "b"}}, {Target: Target{Address: "c"}}}
 	loads := []float64{0, 2, 9}
-	// Four more reach the level 3: three of them at a, one at b.
+	// Four more reach level 3: three of them at a, one at b.
 	got := map[string]float64{}
 	const draws = 1000
 	for i := range draws {
-		got[fill(from, loads, 4, float64(i)/draws).Address]++
+		got[waterFill(from, loads, 4, float64(i)/draws).Address]++
 	}
 	if math.Abs(got["a"]/draws-0.75) > 0.01 || math.Abs(got["b"]/draws-0.25) > 0.01 || got["c"] != 0 {
 		t.Fatalf("shares %v", got)
 	}
-	if e := fill(from, loads, 0, 0.999); e.Address != "a" {
-		t.Fatalf("%s, where nothing is unheard", e.Address)
+	if e := waterFill(from, loads, 0, 0.999); e.Address != "a" {
+		t.Fatalf("picked %s although nothing is unreported", e.Address)
 	}
 }
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// SoftFailures is how many failures in a row take a target out when each of
+	// SoftFailureThreshold is how many consecutive failures eject a target when each of
 	// them alone could have been the request's fault (a timeout, a 5xx answer).
 	SoftFailures = 3
-	// FirstHold is how long a target stays out after its first removal.
+	// BaseEjectionTime is how long a target's first ejection lasts.
 	FirstHold = 500 * time.Millisecond
-	// MaxHold bounds the doubling of the hold.
+	// MaxEjectionTime bounds the doubling of the ejection time.
 	MaxHold = 15 * time.Second
-	// fullRamp is the allowance at which a returning target counts as healthy.
-	fullRamp = 16
+	// healthyAllowance is the allowance at which a returning target counts as healthy.
+	healthyAllowance = 16
 )
 
-// State is a target's condition.
+// State is the health state of a target.
 type State int
 
 const (
-	// Healthy targets take any load.
+	// Healthy targets get requests without a limit.
 	Healthy State = iota
-	// HalfOpen targets return slowly: the allowance doubles per success.
+	// HalfOpen targets return gradually: the allowance doubles with each success.
 	HalfOpen
-	// Removed targets get nothing while another is left.
+	// Ejected targets get no requests while another target is available.
 	Removed
 )
 
@@ -31,35 +31,36 @@
 	return [...]string{"healthy", "half_open", "removed"}[s]
 }
 
-// Outcome is how a request at a target ended, as far as it tells of the target.
+// Outcome is how a request at a target ended, as far as it concerns the target's health.
 type Outcome int
 
 const (
-	// Succeeded: the whole answer came, or the target refused the content.
+	// Succeeded: the complete response arrived, or the target rejected the request's
+	// content.
 	Succeeded Outcome = iota
-	// Neutral says nothing of the target: the caller cancelled, or the target
+	// Neutral says nothing about the target's health: the caller cancelled, or the target
 	// was only busy.
 	Neutral
-	// SoftFailed could be the request's fault: a timeout or a 5xx answer.
+	// SoftFailed may be the request's fault: a timeout or a 5xx answer.
 	SoftFailed
-	// HardFailed is the target's own: connection refused or broken.
+	// HardFailed is the target's fault: the connection was refused or broken.
 	HardFailed
 )
 
-// health is a circuit breaker with exponential hold and a slow return.
+// health is a circuit breaker with exponential ejection times and a gradual return.
 type health struct {
-	failures int
-	removals int
-	until    time.Time
-	// allowance bounds the own requests in flight while half-open; 0 is healthy.
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
+	// allowance bounds this daemon's requests in flight while half-open; 0 means healthy.
 	allowance int
-	// doubt is milder than a removal and comes with the first failure.
-	doubt Doubt
+	// degradation is milder than an ejection and begins with the first failure.
+	degradation Doubt
 }
 
 func (h *health) state(now time.Time) State {
 	switch {
-	case now.Before(h.until):
+	case now.Before(h.ejectedUntil):
 		return Removed
 	case h.allowance > 0:
 		return HalfOpen
@@ -68,8 +69,8 @@
 	}
 }
 
-// note takes one outcome and tells whether the state changed.
-func (h *health) note(now time.Time, o Outcome) bool {
+// record applies an outcome and reports whether the state changed.
+func (h *health) record(now time.Time, o Outcome) bool {
 	switch o {
 	case Succeeded:
 		return h.succeeded(now)
@@ -78,9 +79,9 @@
 		if h.failures < SoftFailures && h.allowance == 0 {
 			return false
 		}
-		return h.remove(now)
+		return h.eject(now)
 	case HardFailed:
-		return h.remove(now)
+		return h.eject(now)
 	default:
 		return false
 	}
@@ -88,80 +89,81 @@
 
 func (h *health) succeeded(now time.Time) bool {
 	h.failures = 0
-	h.doubt = Doubt{}
-	if h.allowance == 0 || now.Before(h.until) {
+	h.degradation = Doubt{}
+	if h.allowance == 0 || now.Before(h.ejectedUntil) {
 		return false
 	}
 	h.allowance *= 2
-	if h.allowance < fullRamp {
+	if h.allowance < healthyAllowance {
 		return false
 	}
-	h.allowance, h.removals = 0, 0
+	h.allowance, h.ejections = 0, 0
 	return true
 }
 
-// remove takes the target out. Failures of requests that were sent before the
-// removal arrive in a bunch when a target dies; they do not lengthen the hold.
-func (h *health) remove(now time.Time) bool {
-	if now.Before(h.until) {
+// eject starts an ejection. When a target dies, failures of requests that were sent
+// before the ejection arrive together; they do not lengthen it.
+func (h *health) eject(now time.Time) bool {
+	if now.Before(h.ejectedUntil) {
 		return false
 	}
-	h.until = now.Add(holdAfter(h.removals))
-	h.removals++
+	h.ejectedUntil = now.Add(ejectionTime(h.ejections))
+	h.ejections++
 	h.failures = 0
 	h.allowance = 1
 	return true
 }
 
-// holdAfter is how long a target is held after it was held so many times in a row:
-// FirstHold, doubling up to MaxHold.
-func holdAfter(times int) time.Duration {
-	const beyondMax = 5 // FirstHold doubled so often is more than MaxHold
-	if times >= beyondMax {
+// ejectionTime returns how long a target is ejected after previous consecutive ejections:
+// BaseEjectionTime, doubling up to MaxEjectionTime.
+func ejectionTime(previous int) time.Duration {
+	const beyondMax = 5 // BaseEjectionTime doubled five times exceeds MaxEjectionTime
+	if previous >= beyondMax {
 		return MaxHold
 	}
-	return min(MaxHold, FirstHold<<times)
+	return min(MaxHold, FirstHold<<previous)
 }
 
-// End takes the end of a request that Start counted. It returns the target's
-// state and whether this end changed it.
+// End records the end of a request that Start counted. It returns the target's state and
+// whether this end changed it.
 func (t *Table) End(now time.Time, address string, alone bool, o Outcome) (State, bool) {
 	e := t.entries[address]
 	if e == nil {
 		return Healthy, false
 	}
-	e.own = max(0, e.own-1)
+	e.localRequests = max(0, e.localRequests-1)
 	if alone {
 		e.reserved = max(0, e.reserved-1)
 	}
 	e.ended.add(now)
-	changed := e.note(now, o)
+	changed := e.recordOutcome(now, o)
 	return e.health.state(now), changed
 }
 
-// note takes an outcome of the own work and tells whether the state changed.
-func (e *entry) note(now time.Time, o Outcome) bool {
+// recordOutcome applies the outcome of one of this daemon's requests and reports whether
+// the state changed.
+func (e *entry) recordOutcome(now time.Time, o Outcome) bool {
 	if o == SoftFailed || o == HardFailed {
-		e.health.doubt.Failed(now, e.heardDoubt(now))
+		e.health.degradation.Failed(now, e.peerFailures(now))
 	}
-	return e.health.note(now, o)
+	return e.health.record(now, o)
 }
 
-// Hold returns until when the target stays out.
+// EjectedUntil returns the end of the target's ejection.
 func (t *Table) Hold(address string) time.Time {
 	if e := t.entries[address]; e != nil {
-		return e.health.until
+		return e.health.ejectedUntil
 	}
 	return time.Time{}
 }
 
-// Probes returns the removed targets, which are worth a health probe: a real
-// request is a poor probe, above all one that may not be repeated.
+// Probes returns the ejected targets that are due for a health probe. A real request
+// makes a poor probe, above all one that may not be repeated.
 func (t *Table) Probes(now time.Time) []string {
 	var due []string
 	for _, address := range t.order {
 		e := t.entries[address]
-		ends := e.health.until.Sub(now)
+		ends := e.health.ejectedUntil.Sub(now)
 		if e.health.allowance > 0 && !e.leaving && ends <= FirstHold {
 			due = append(due, address)
 		}
@@ -169,14 +171,14 @@
 	return due
 }
 
-// Probed takes a probe's result: a failed one renews the hold of a target that
-// has not come back yet.
+// RecordProbe records a probe's result: a failed probe extends the ejection of a target
+// that has not returned yet.
 func (t *Table) Probed(now time.Time, address string, ok bool) {
 	e := t.entries[address]
 	if e == nil || ok || e.health.allowance == 0 {
 		return
 	}
-	if e.health.until.Sub(now) < FirstHold {
-		e.health.until = now.Add(FirstHold)
+	if e.health.ejectedUntil.Sub(now) < FirstHold {
+		e.health.ejectedUntil = now.Add(FirstHold)
 	}
 }
--- a/core/routing/least_test.go
+++ b/core/routing/least_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// zones returns a table of n targets in each of the zones a and b, 4 slots each,
-// and a function that tells their loads.
+// zones returns a table of n targets in each of the zones a and b, 4 slots each, and a
+// function that reports their loads to it.
 func zones(n int) (*Table, func(address string, online, batch int)) {
 	var targets []Target
 	for i := range n {
@@ -28,52 +28,52 @@
 	return choice.Address
 }
 
-func TestPickLeastTakesFreePlacesBeforeBatchGivesWay(t *testing.T) {
-	table, hear := zones(2)
-	hear("a0", 0, 4)
-	hear("a1", 2, 0)
-	hear("b0", 0, 0)
-	hear("b1", 0, 0)
+func TestPickLeastLoadedPrefersFreeSlotsToPreemption(t *testing.T) {
+	table, report := zones(2)
+	report("a0", 0, 4)
+	report("a1", 2, 0)
+	report("b0", 0, 0)
+	report("b1", 0, 0)
 	for seed := range uint64(20) {
 		if got := pick(t, table, Request{Zone: "a", SeedValue: seed}); got[0] != 'b' {
-			t.Fatalf("seed %d: %s, where b's targets are empty", seed, got)
+			t.Fatalf("seed %d: picked %s although b's targets are empty", seed, got)
 		}
 	}
-	hear("b0", 4, 0)
-	hear("b1", 4, 0)
-	hear("a1", 4, 0)
+	report("b0", 4, 0)
+	report("b1", 4, 0)
+	report("a1", 4, 0)
 	if got := pick(t, table, Request{Zone: "a"}); got != "a0" {
-		t.Fatalf("%s, where batch at a0 can give way", got)
+		t.Fatalf("picked %s although batch at a0 can be preempted", got)
 	}
 }
 
-// A burst fills zone a, where most callers are. Its daemons hear of zone b with
-// delay. Going by the least old word they would all meet at one target.
-func TestPickLeastWithStaleFarLoadsSpreadsOverWhatHadRoom(t *testing.T) {
-	table, hear := zones(3)
-	ask := Request{Zone: "a", FarIsStale: true}
-	hear("a0", 1, 3)
+// A burst fills zone a, where most callers are. Its daemons receive zone b's loads late.
+// If they chose the lowest load in the outdated reports, they would all choose one target.
+func TestPickLeastLoadedWithStaleRemoteLoadsSpreadsOverFreeTargets(t *testing.T) {
+	table, report := zones(3)
+	request := Request{Zone: "a", FarIsStale: true}
+	report("a0", 1, 3)
 	for _, full := range []string{"a1", "a2"} {
-		hear(full, 4, 0)
+		report(full, 4, 0)
 	}
-	hear("b0", 0, 0)
-	hear("b1", 1, 0)
-	hear("b2", 3, 0)
-	if got := pick(t, table, ask); got != "a0" {
-		t.Fatalf("%s, where the own zone has a place that batch gives back", got)
+	report("b0", 0, 0)
+	report("b1", 1, 0)
+	report("b2", 3, 0)
+	if got := pick(t, table, request); got != "a0" {
+		t.Fatalf("picked %s although the local zone has a slot that batch can be preempted from", got)
 	}
-	hear("a0", 4, 0)
+	report("a0", 4, 0)
 	seen := map[string]bool{}
 	for seed := range uint64(50) {
-		ask.SeedValue = seed
-		seen[pick(t, table, ask)] = true
+		request.SeedValue = seed
+		seen[pick(t, table, request)] = true
 	}
 	if !seen["b0"] || !seen["b1"] || len(seen) != 2 {
-		t.Fatalf("went to %v, b0 and b1 had room", seen)
+		t.Fatalf("picked %v, want b0 and b1, which had free slots", seen)
 	}
-	hear("b0", 4, 0)
-	hear("b1", 4, 0)
-	if got := pick(t, table, ask); got == "b2" {
-		t.Fatal("went to a far target whose last place may be gone")
+	report("b0", 4, 0)
+	report("b1", 4, 0)
+	if got := pick(t, table, request); got == "b2" {
+		t.Fatal("picked a remote target whose last slot may be taken")
 	}
 }
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -6,57 +6,56 @@
 )
 
 const (
-	// WordLife is how long a steward's word counts. Words come back with every
-	// signal, so an older one means that the steward is gone or that nothing of
-	// ours has run there; then only the own load is known.
+	// LoadReportTTL is how long a dispatcher's load report is valid. Reports come back
+	// with every signal, so an older one means that the dispatcher is gone or that
+	// nothing of this daemon has run there; then only the local load is known.
 	WordLife = 2 * time.Second
-	// ReportLife is how long an engine's own report counts.
+	// EngineReportTTL is how long an engine's own report is valid.
 	ReportLife = 3 * time.Second
-	// BatchLoad is what one batch item counts against one online request: it
-	// slows the engine, but its steward cancels it when online load rises.
+	// BatchLoad is the load of one batch item, in online requests: it slows the engine,
+	// but its dispatcher cancels it when online load rises.
 	BatchLoad = 0.25
-	// historySize bounds the remembered starts and ends of one target. It
-	// covers ReportLife at some 300 requests a second and target.
+	// historySize bounds the remembered starts and ends of one target. It covers
+	// EngineReportTTL at about 300 requests per second and target.
 	historySize = 1024
 )
 
-// load estimates how many requests run at the target now. Two estimates are
-// taken and the higher one counts, because each can miss load but neither
-// invents much:
-//   - the steward's count of the other entry hosts' requests plus the own ones;
-//   - the engine's report corrected for its lag by the own starts and ends
-//     since the moment at which it was true.
+// load estimates how many requests run at the target now. It returns the higher of two
+// estimates, because each can miss load but neither overstates it by much:
+//   - the dispatcher's count of the other entry hosts' requests plus the local ones;
+//   - the engine's report, corrected for its lag by the local starts and ends since the
+//     time that it describes.
 func (e *entry) load(now time.Time) float64 {
-	if !e.heard.fresh(now) {
-		return float64(e.own)
+	if !e.received.fresh(now) {
+		return float64(e.localRequests)
 	}
-	w := e.heard.word
-	others := max(0, w.OnlineTotal-e.heard.own)
-	batch := BatchLoad * float64(w.BatchRunning)
-	told := float64(others+e.own) + batch
-	return max(told, e.reported(now)+batch)
+	report := e.received.report
+	peers := max(0, report.OnlineTotal-e.received.localRequests)
+	batch := BatchLoad * float64(report.BatchRunning)
+	counted := float64(peers+e.localRequests) + batch
+	return max(counted, e.reported(now)+batch)
 }
 
-// reported is the lag-corrected online load by the engine's own report.
+// reported returns the online load by the engine's own report, corrected for its lag.
 func (e *entry) reported(now time.Time) float64 {
-	w := e.heard.word
-	if w.ReportAge < 0 {
+	report := e.received.report
+	if report.ReportAge < 0 {
 		return 0
 	}
-	at := e.heard.at.Add(-w.ReportAge)
-	if now.Sub(at) > ReportLife {
+	reportedAt := e.received.receivedAt.Add(-report.ReportAge)
+	if now.Sub(reportedAt) > ReportLife {
 		return 0
 	}
-	online := max(0, w.Reported-w.BatchRunning)
-	corrected := online + e.started.since(at) - e.ended.since(at)
-	return float64(max(corrected, e.own))
+	online := max(0, report.Reported-report.BatchRunning)
+	corrected := online + e.started.since(reportedAt) - e.ended.since(reportedAt)
+	return float64(max(corrected, e.localRequests))
 }
 
-func (h heard) fresh(now time.Time) bool {
-	return h.valid && now.Sub(h.at) <= WordLife
+func (h receivedReport) fresh(now time.Time) bool {
+	return h.valid && now.Sub(h.receivedAt) <= WordLife
 }
 
-// history remembers the latest moments of an event, oldest first.
+// history holds the most recent times of an event, oldest first.
 type history struct {
 	at []time.Time
 }
@@ -75,7 +74,7 @@
 	h.at = append(h.at, now)
 }
 
-// since counts the moments after t.
+// since returns how many of the times are after t.
 func (h *history) since(t time.Time) int {
 	first := sort.Search(len(h.at), func(i int) bool { return h.at[i].After(t) })
 	return len(h.at) - first
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -7,63 +7,63 @@
 )
 
 const (
-	// AffinityCandidates is how many targets, in rendezvous order, a prompt's
-	// prefix is kept to while their load allows.
+	// AffinityCandidates is the number of targets, in rendezvous order, to which the
+	// requests of one prompt prefix go while the load permits.
 	AffinityCandidates = 3
-	// LoadFactor and LoadSlack bound the load that affinity may build up:
-	// LoadFactor x mean + LoadSlack.
+	// LoadFactor and LoadSlack bound the load that affinity may cause: LoadFactor x mean
+	// + LoadSlack.
 	LoadFactor = 1.25
-	// LoadSlack is in requests; see LoadFactor.
+	// LoadSlack is a number of requests; see LoadFactor.
 	LoadSlack = 1.0
-	// ZoneMargin is by how many requests a target in another zone must be
-	// better before it is taken: crossing a zone costs about 3 ms both ways,
-	// less than one more request in an engine's batch.
+	// ZoneMargin is by how many requests a target in another zone must be less loaded to
+	// be preferred: crossing a zone costs about 3 ms for the round trip, less than one
+	// more request in an engine's batch.
 	ZoneMargin = 1.0
-	// HintShare is the share of the prompt that a cached prefix must cover
-	// before a cache event counts: every target soon holds a system prompt that
-	// all callers share, and following it would only upset the balance.
+	// HintShare is the minimum share of the prompt that a cached prefix must cover for a
+	// cache event to count. Every target soon holds a system prompt that all callers
+	// share, and following it would only unbalance the load.
 	HintShare = 0.5
 	// choices is how many random targets are compared.
 	choices = 2
 )
 
-// Request is what the choice depends on.
+// Request describes the request for which a target is chosen.
 type Request struct {
-	// Affinity names what should stay together, such as the opening of a
-	// conversation; empty for none.
+	// Affinity identifies requests that should go to the same target, such as by the
+	// beginning of a conversation; empty for none.
 	Affinity string
-	// Prefixes are the hashes of the prompt's prefixes by cache block, shortest
-	// first; empty for services.
+	// Prefixes are the hashes of the prompt's prefixes by cache block, shortest first;
+	// empty for services.
 	Prefixes []string
 	// Zone is the entry host's availability zone.
 	Zone string
-	// WordAge is how old what PickLeast has heard of the loads may be.
+	// LoadReportAge is the maximum age of the load reports that PickLeastLoaded uses.
 	WordAge time.Duration
-	// FarIsStale tells PickLeast that the loads of other zones are heard late, or not at
-	// all.
+	// RemoteStale tells PickLeastLoaded that the loads of other zones arrive late or not
+	// at all.
 	FarIsStale bool
-	// Exclude holds the targets already tried; they are used again only when
-	// no other is left.
+	// Exclude holds the targets already tried; they are used again only when no other
+	// target is left.
 	Exclude map[string]bool
-	// LastChance tells that nothing may follow a failure: the request must not run
-	// twice, or its attempts are used up.
+	// LastChance marks a request that gets no further attempt after a failure: it must
+	// not run twice, or its attempts are used up.
 	LastChance bool
-	// Alone asks for a target where as little else as possible runs, for a
-	// suspect; OnlyAlone for one where nothing does.
+	// Alone requests a target with as little other work as possible, for a suspect;
+	// OnlyAlone requires one with no other work.
 	Alone, OnlyAlone bool
-	// SeedValue makes the random choices repeatable.
+	// SeedValue makes the random choices reproducible.
 	SeedValue uint64
 }
 
-// Reason tells why a target was chosen, for logs and metrics.
+// Reason is why a target was chosen, for logs and metrics.
 type Reason string
 
 const (
-	// ByHint: a cache event says that the target holds the prefix.
+	// ByHint: a cache event showed that the target holds the prefix.
 	ByHint Reason = "hint"
-	// ByPrefix: the prefix's rendezvous order.
+	// ByPrefix: by the prefix's rendezvous order.
 	ByPrefix Reason = "prefix"
-	// ByLoad: the better of two random targets.
+	// ByLoad: the less loaded of two random targets.
 	ByLoad Reason = "load"
 	// ByIsolation: a suspect runs where nothing else does.
 	ByIsolation Reason = "isolation"
@@ -77,10 +77,9 @@
 	Reason  Reason
 }
 
-// Pick chooses a target. It returns false only when the group has no target
-// that is not leaving.
+// Pick chooses a target. It returns false only if every target of the group is leaving.
 func (t *Table) Pick(now time.Time, r Request) (Choice, bool) {
-	usable := t.tier(now, r, true)
+	usable := t.usableTargets(now, r, true)
 	if len(usable) == 0 {
 		return t.lastResort(now, r)
 	}
@@ -95,24 +94,24 @@
 	return Choice{byLoad(now, usable, r).Address, ByLoad}, true
 }
 
-// Ready tells whether starting the request now is better than waiting a little:
-// not while every target that stays is out, and not, for a request that must
-// run alone, while something runs on every target that it has not tried: a
-// second crash of the same one would prove nothing.
+// Ready reports whether the request should start now rather than wait a little. It
+// returns false while every target that is not leaving is ejected. For a request that
+// must run alone, it also returns false while every target that the request has not tried
+// runs something: a second crash of the same target would prove nothing.
 func (t *Table) Ready(now time.Time, r Request) bool {
-	usable := t.tier(now, r, r.OnlyAlone)
+	usable := t.usableTargets(now, r, r.OnlyAlone)
 	if !r.OnlyAlone {
-		return len(usable) > 0 || !t.anyStays()
+		return len(usable) > 0 || !t.anyNotLeaving()
 	}
 	for _, e := range usable {
 		if e.reserved == 0 && t.Concurrent(now, e.Address) == 0 {
 			return true
 		}
 	}
-	return !t.anyStays()
+	return !t.anyNotLeaving()
 }
 
-func (t *Table) anyStays() bool {
+func (t *Table) anyNotLeaving() bool {
 	for _, e := range t.entries {
 		if !e.leaving {
 			return true
@@ -121,13 +120,13 @@
 	return false
 }
 
-// tier lists the targets that may take the request: not leaving, not out, with
-// room on the ramp and, if untried is set, not tried yet.
-func (t *Table) tier(now time.Time, r Request, untried bool) []*entry {
+// usableTargets returns the targets that may take the request: not leaving, not ejected,
+// below their allowance if half-open, and, if untried is set, not tried yet.
+func (t *Table) usableTargets(now time.Time, r Request, untried bool) []*entry {
 	var usable []*entry
 	for _, address := range t.order {
 		e := t.entries[address]
-		if e.leaving || untried && r.Exclude[address] || !e.open(now) {
+		if e.leaving || untried && r.Exclude[address] || !e.available(now) {
 			continue
 		}
 		usable = append(usable, e)
@@ -135,23 +134,23 @@
 	return usable
 }
 
-// open tells whether the breaker lets one more request through.
-func (e *entry) open(now time.Time) bool {
+// available reports whether the circuit breaker permits one more request.
+func (e *entry) available(now time.Time) bool {
 	switch e.health.state(now) {
 	case Healthy:
 		return true
 	case HalfOpen:
-		return e.own < e.health.allowance
+		return e.localRequests < e.health.allowance
 	default:
 		return false
 	}
 }
 
-// lastResort prefers a healthy target that was tried before to one that is
-// out, and among those out the one that comes back first. Trying is better
-// than refusing: the breaker may be wrong, and the retry budget bounds the cost.
+// lastResort prefers a healthy target that was tried before to an ejected one, and among
+// ejected targets the one that returns first. Trying is better than refusing: the circuit
+// breaker may be wrong, and the retry budget bounds the cost.
 func (t *Table) lastResort(now time.Time, r Request) (Choice, bool) {
-	if tried := t.tier(now, r, false); len(tried) > 0 {
+	if tried := t.usableTargets(now, r, false); len(tried) > 0 {
 		return Choice{byLoad(now, tried, r).Address, ByLastResort}, true
 	}
 	var best *entry
@@ -170,20 +169,20 @@
 	return Choice{best.Address, ByLastResort}, true
 }
 
-// worse tells whether b should replace a among targets that are out.
+// worse reports whether b should be preferred to a, both being ejected.
 func worse(a, b *entry, r Request) bool {
 	triedA, triedB := r.Exclude[a.Address], r.Exclude[b.Address]
 	if triedA != triedB {
 		return triedA
 	}
-	return b.health.until.Before(a.health.until)
+	return b.health.ejectedUntil.Before(a.health.ejectedUntil)
 }
 
-// emptiest returns the target for a suspect: the one with the fewest other
-// suspects, then with the least of everything. Suspects of one crash that met
-// again on the next target would stay indistinguishable. Entry hosts decide at
-// the same moment without each other's word, so equal targets are taken in a
-// random order: by the list's order all hosts would take the same one.
+// emptiest returns the target for a suspect: the one with the fewest other suspects, then
+// with the fewest requests. Suspects of one crash that met again on the next target would
+// remain indistinguishable. Entry hosts decide at the same time without knowing of each
+// other's choice, so ties are broken at random: in list order all hosts would choose the
+// same target.
 func (t *Table) emptiest(now time.Time, usable []*entry, seed uint64) *entry {
 	first := int(seed % uint64(len(usable)))
 	best := usable[first]
@@ -202,8 +201,8 @@
 	return best
 }
 
-// unreserved drops the targets on which a suspect runs alone, while others are
-// left: an innocent request there would share the next crash.
+// unreserved drops the targets on which a suspect runs alone, unless there are no others:
+// another request there would be lost in the suspect's next crash.
 func unreserved(usable []*entry) []*entry {
 	free := make([]*entry, 0, len(usable))
 	for _, e := range usable {
@@ -217,8 +216,8 @@
 	return free
 }
 
-// loadLimit is the bound up to which affinity may load a target, with this
-// request counted in.
+// loadLimit returns the load up to which affinity may load a target, including this
+// request.
 func loadLimit(now time.Time, usable []*entry) float64 {
 	total := 1.0
 	for _, e := range usable {
@@ -227,8 +226,8 @@
 	return LoadFactor*total/float64(len(usable)) + LoadSlack
 }
 
-// byAffinity takes the first target in the prefix's order whose load stays in
-// the bound: first those that cache events name, then by rendezvous.
+// byAffinity chooses the first target in the prefix's order whose load stays within
+// limit: first the targets named by cache events, then those in rendezvous order.
 func byAffinity(now time.Time, usable []*entry, r Request, limit float64) (Choice, bool) {
 	if e := hinted(now, usable, r.Prefixes, limit); e != nil {
 		return Choice{e.Address, ByHint}, true
@@ -244,8 +243,8 @@
 	return Choice{}, false
 }
 
-// hinted returns the target, within the bound, that is known to hold the longest
-// prefix of at least HintShare of the prompt; of several the least loaded one.
+// hinted returns the target within limit that is known to hold the longest prefix of at
+// least HintShare of the prompt, and among equals the least loaded one.
 func hinted(now time.Time, usable []*entry, prefixes []string, limit float64) *entry {
 	shortest := int(HintShare * float64(len(prefixes)))
 	keys := make([]uint64, 0, len(prefixes)-shortest)
@@ -253,44 +252,44 @@
 		keys = append(keys, hashString(prefix))
 	}
 	var best *entry
-	longest, lightest := 0, 0.0
+	longest, lowest := 0, 0.0
 	for _, e := range usable {
 		held := e.prefixes.longest(keys)
 		if held == 0 || held < longest {
 			continue
 		}
 		load := e.load(now)
-		if load+1 > limit || held == longest && load >= lightest {
+		if load+1 > limit || held == longest && load >= lowest {
 			continue
 		}
-		best, longest, lightest = e, held, load
+		best, longest, lowest = e, held, load
 	}
 	return best
 }
 
-// byLoad is the choice of two, made in the own zone and over all zones; the
-// own zone's winner is kept unless it is worse by more than ZoneMargin.
+// byLoad picks the less loaded of two random targets in the local zone and again in all
+// zones. The local zone's target wins unless its load is higher by more than ZoneMargin.
 func byLoad(now time.Time, usable []*entry, r Request) *entry {
 	random := splitmix.Generator(r.SeedValue)
-	anywhere := lighter(now, usable, &random)
-	var near []*entry
+	anywhere := lessLoaded(now, usable, &random)
+	var localZone []*entry
 	for _, e := range usable {
 		if e.Zone == r.Zone {
-			near = append(near, e)
+			localZone = append(localZone, e)
 		}
 	}
-	if len(near) == 0 {
+	if len(localZone) == 0 {
 		return anywhere
 	}
-	own := lighter(now, near, &random)
-	if own.load(now) > anywhere.load(now)+ZoneMargin {
+	local := lessLoaded(now, localZone, &random)
+	if local.load(now) > anywhere.load(now)+ZoneMargin {
 		return anywhere
 	}
-	return own
+	return local
 }
 
-// lighter compares two different random targets.
-func lighter(now time.Time, from []*entry, random *splitmix.Generator) *entry {
+// lessLoaded picks two different targets at random and returns the less loaded one.
+func lessLoaded(now time.Time, from []*entry, random *splitmix.Generator) *entry {
 	first := random.Below(len(from))
 	if len(from) < choices {
 		return from[first]
@@ -303,7 +302,7 @@
 	return a
 }
 
-// rendezvous returns the n targets with the highest weights for the key.
+// rendezvous returns the n targets with the highest rendezvous weights for the key.
 func rendezvous(from []*entry, key uint64, n int) []*entry {
 	var best []*entry
 	var weights []uint64
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -31,10 +31,10 @@
 	return NewTable("g", targets, 8)
 }
 
-// A caller must never be sent to a target that leaves, and not to one that was
-// tried already, that is out or that is on its slow return while another is
-// left. The naive model keeps its own word of each target's condition.
-func TestPickKeepsAwayFromUnusableTargets(t *testing.T) {
+// A caller must never be sent to a target that is leaving. It must not be sent to one
+// that was tried already, is ejected or is half-open while a better one is left. The
+// reference model tracks each target's state independently.
+func TestPickAvoidsUnusableTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "targets")
 		table := tableOf(n)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Whatever prompts come, affinity must not build a queue at one target: the
-// naive model is the true load of a fleet in which all requests are ours.
+// Whatever prompts arrive, affinity must not build a queue at one target. The reference
+// model is the true load of a fleet in which this daemon starts all requests.
 func TestAffinityKeepsToTheLoadBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 10).Draw(t, "targets")
@@ -119,8 +119,8 @@
 	})
 }
 
-// Against the naive model that always takes the least loaded target with
-// perfect knowledge, the choice of two may be worse by a few requests only.
+// Compared with a reference model that always chooses the least loaded target with
+// perfect knowledge, the choice of two may be worse by only a few requests.
 func TestChoiceOfTwoStaysNearLeastLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const targets, requests = 10, 400
@@ -138,8 +138,8 @@
 	})
 }
 
-// A load report is old when it comes. Ours since then must be added, or all
-// entry hosts run to the target that looked empty a moment ago.
+// A load report is old when it arrives. This daemon's requests since then must be added,
+// or all entry hosts choose the target that looked empty a moment ago.
 func TestLoadCorrectsTheReportsLag(t *testing.T) {
 	table := tableOf(2)
 	a := address(0)
@@ -152,12 +152,12 @@
 		t.Fatalf("load %v: want 4 reported online, 1 started and 1 ended since, and a batch item", got)
 	}
 	if got := table.entries[a].load(now.Add(WordLife + time.Millisecond)); got != 1 {
-		t.Fatalf("load %v by an old word: want the own request alone", got)
+		t.Fatalf("load %v by an expired report: want the local request alone", got)
 	}
 }
 
-// A conversation's next turn should find the target that cached the earlier
-// ones, unless that is overloaded; a short common prefix decides nothing.
+// A conversation's next turn should go to the target that cached the earlier ones, unless
+// it is overloaded; a short common prefix must not decide.
 func TestHintFindsTheCachedPrompt(t *testing.T) {
 	table := tableOf(4)
 	prompt := []string{"p1", "p2", "p3", "p4"}
@@ -180,11 +180,12 @@
 	table.Hint(address(2), "p3", false)
 	table.Hint(address(2), "p2", false)
 	if choice, _ := table.Pick(epoch, r); choice.Reason == ByHint {
-		t.Fatalf("picked %+v by a prefix that all hold", choice)
+		t.Fatalf("picked %+v by a prefix that all targets hold", choice)
 	}
 }
 
-// A dead target comes back slowly: a trial first, then twice as many.
+// A target that failed returns gradually: one trial request first, then twice as many
+// each time.
 func TestReturnRampsUp(t *testing.T) {
 	table := tableOf(1)
 	a := address(0)
@@ -196,13 +197,13 @@
 	e := table.entries[a]
 	for _, allowance := range []int{1, 2, 4, 8} {
 		for range allowance {
-			if !e.open(now) {
-				t.Fatalf("closed below the allowance of %d", allowance)
+			if !e.available(now) {
+				t.Fatalf("not available below the allowance of %d", allowance)
 			}
 			table.Start(now, a, false)
 		}
-		if e.open(now) {
-			t.Fatalf("open above the allowance of %d", allowance)
+		if e.available(now) {
+			t.Fatalf("available above the allowance of %d", allowance)
 		}
 		for i := range allowance {
 			o := Neutral
@@ -213,19 +214,19 @@
 		}
 	}
 	if e.health.state(now) != Healthy {
-		t.Fatalf("state %v after the ramp", e.health.state(now))
+		t.Fatalf("state %v after the gradual return", e.health.state(now))
 	}
 }
 
-// A request that ran on two crashed targets must not take others' answers along
-// a third time: it waits for an empty target that it has not tried. Any other
-// request waits only while all targets are out.
+// A request that ran on two crashed targets must not take other requests down a third
+// time: it waits for an empty target that it has not tried. Any other request waits only
+// while all targets are ejected.
 func TestReadyWaitsForAnEmptyTarget(t *testing.T) {
 	table := tableOf(2)
 	table.Start(epoch, address(0), false)
 	quarantined := Request{OnlyAlone: true, Exclude: map[string]bool{address(1): true}}
 	if table.Ready(epoch, quarantined) || !table.Ready(epoch, Request{}) {
-		t.Fatal("ready beside another request, or at a target that was tried")
+		t.Fatal("ready while another request runs, or for a target that was tried")
 	}
 	table.End(epoch, address(0), false, Succeeded)
 	if choice, _ := table.Pick(epoch, quarantined); !table.Ready(epoch, quarantined) || choice.Address != address(0) {
@@ -236,12 +237,12 @@
 		table.End(epoch, address(i), false, HardFailed)
 	}
 	if table.Ready(epoch, Request{}) {
-		t.Fatal("ready while all targets are out")
+		t.Fatal("ready while all targets are ejected")
 	}
 }
 
-// A request whose deadline lies before the end of the queue is refused with a
-// time to come back; while any slot is free nobody is refused.
+// A request whose deadline is earlier than the end of the queue is refused with a retry
+// time; while any slot is free no request is refused.
 func TestAdmitRefusesByTheQueue(t *testing.T) {
 	table := tableOf(1)
 	table.Measured(4 * time.Second)
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -1,8 +1,9 @@
-// Package routing decides which target of a group runs an online request. It
-// is pure: the time, the load reports and the randomness come in as arguments.
+// Package routing decides which target of a group runs an online request. It has no
+// clock, I/O or random source of its own: the time, the load reports and the random seeds
+// are arguments.
 //
-// A Table is one daemon's view of one target group. It is not safe for
-// concurrent use; the daemon guards it.
+// A Table is one daemon's view of one target group. It is not safe for concurrent use;
+// the daemon must lock it.
 package routing
 
 import (
@@ -18,66 +19,66 @@
 	Zone string
 }
 
-// Word is what the target's steward last said about it.
+// LoadReport is the last load report of the target's batch dispatcher.
 type Word struct {
-	// OnlineTotal counts the online requests of all entry hosts there.
+	// OnlineTotal counts the online requests of all entry hosts at the target.
 	OnlineTotal int
-	// BatchRunning counts the batch items there.
+	// BatchRunning counts the batch items at the target.
 	BatchRunning int
-	// Reported counts the requests, running and waiting, in the engine's own
-	// report; it includes batch.
+	// Reported counts the requests, running and waiting, in the engine's own report,
+	// batch included.
 	Reported int
-	// ReportAge is how old the report was when the word was given; negative
-	// when there is no report.
+	// ReportAge is how old the engine's report was when the load report was made;
+	// negative if there is none.
 	ReportAge time.Duration
 	// Slots is the engine's batch size limit, 0 when unknown.
 	Slots int
-	// Doubt is the highest number of failures in a row for which another daemon
-	// of the own zone has it in doubt, 0 for none.
+	// PeerFailures is the highest number of consecutive failures for which another daemon
+	// of the local zone has the target degraded, 0 for none.
 	Doubt int
 }
 
 // Table is one daemon's view of one target group.
 type Table struct {
-	group   string
-	slots   int
-	order   []string
-	entries map[string]*entry
-	speed   Speed
+	group       string
+	slots       int
+	order       []string
+	entries     map[string]*entry
+	serviceTime Speed
 }
 
-// entry is what is known of one target.
+// entry is the state of one target.
 type entry struct {
 	Target
-	hash     uint64
-	leaving  bool
-	own      int
-	reserved int
-	started  history
-	ended    history
-	heard    heard
-	health   health
-	prefixes prefixSet
+	hash          uint64
+	leaving       bool
+	localRequests int
+	reserved      int
+	started       history
+	ended         history
+	received      receivedReport
+	health        health
+	prefixes      prefixSet
 }
 
-// heard is the steward's last word and the own load at that moment.
-type heard struct {
-	word  Word
-	at    time.Time
-	own   int
-	valid bool
+// receivedReport is the dispatcher's last load report and the local load when it arrived.
+type receivedReport struct {
+	report        Word
+	receivedAt    time.Time
+	localRequests int
+	valid         bool
 }
 
-// NewTable returns a table of the group's targets. slots is how many requests
-// a target runs at once, 0 when unknown.
+// NewTable returns a table of the group's targets. slots is how many requests a target
+// runs at once, 0 if unknown.
 func NewTable(group string, targets []Target, slots int) *Table {
 	t := &Table{group: group, entries: map[string]*entry{}}
 	t.SetTargets(targets, slots)
 	return t
 }
 
-// SetTargets replaces the group's members. What is known of the targets that
-// stay is kept; own requests that still run at a removed one end without effect.
+// SetTargets replaces the group's members. The state of targets that remain is kept; the
+// ends of local requests that still run at a removed target are ignored.
 func (t *Table) SetTargets(targets []Target, slots int) {
 	t.slots = slots
 	kept := make(map[string]*entry, len(targets))
@@ -100,56 +101,56 @@
 // Len returns the number of targets in the group.
 func (t *Table) Len() int { return len(t.order) }
 
-// SetLeaving notes whether the host list says that the target leaves. A
-// leaving target is never picked, not even as the last one left.
+// SetLeaving sets whether the target is leaving according to the host list. A leaving
+// target is never picked, even if no other is left.
 func (t *Table) SetLeaving(address string, leaving bool) {
 	if e := t.entries[address]; e != nil {
 		e.leaving = leaving
 	}
 }
 
-// Hear takes the steward's word about a target.
-func (t *Table) Hear(now time.Time, address string, w Word) {
+// ApplyReport records a load report of the target's batch dispatcher.
+func (t *Table) Hear(now time.Time, address string, report Word) {
 	if e := t.entries[address]; e != nil {
-		e.heard = heard{word: w, at: now, own: e.own, valid: true}
+		e.received = receivedReport{report: report, receivedAt: now, localRequests: e.localRequests, valid: true}
 	}
 }
 
-// Hint takes a cache event: late and with gaps, so it only orders candidates
-// and never rules one out.
+// Hint records a cache event. Events arrive late and some are lost, so they only order
+// candidates and never exclude one.
 func (t *Table) Hint(address, prefix string, stored bool) {
 	if e := t.entries[address]; e != nil {
-		e.prefixes.note(prefix, stored)
+		e.prefixes.update(prefix, stored)
 	}
 }
 
-// Start counts a request that is about to be sent to the target. alone
-// reserves the target for it.
+// Start counts a request that is about to be sent to the target. alone reserves the
+// target for it.
 func (t *Table) Start(now time.Time, address string, alone bool) {
 	e := t.entries[address]
 	if e == nil {
 		return
 	}
-	e.own++
+	e.localRequests++
 	if alone {
 		e.reserved++
 	}
 	e.started.add(now)
 }
 
-// Load is one target's figures for status pages and metrics.
+// Load is the load and state of one target, for status pages and metrics.
 type Load struct {
 	Address string
 	Zone    string
-	// Own counts this daemon's requests there.
+	// LocalRequests counts this daemon's requests at the target.
 	Own int
-	// Estimate is the corrected load.
+	// Estimate is the estimated load, corrected for the lag of reports.
 	Estimate float64
 	// State is "healthy", "half_open", "removed" or "leaving".
 	State string
 }
 
-// Loads returns the figures of all targets, sorted by address.
+// Loads returns the loads of all targets, sorted by address.
 func (t *Table) Loads(now time.Time) []Load {
 	loads := make([]Load, 0, len(t.order))
 	for _, address := range t.order {
@@ -159,30 +160,30 @@
 			state = "leaving"
 		}
 		loads = append(loads, Load{
-			Address: address, Zone: e.Zone, Own: e.own, Estimate: e.load(now), State: state,
+			Address: address, Zone: e.Zone, Own: e.localRequests, Estimate: e.load(now), State: state,
 		})
 	}
 	return loads
 }
 
-// Own returns how many of this daemon's requests run at the target.
+// LocalRequests returns how many of this daemon's requests run at the target.
 func (t *Table) Own(address string) int {
 	if e := t.entries[address]; e != nil {
-		return e.own
+		return e.localRequests
 	}
 	return 0
 }
 
-// Concurrent estimates how many requests, batch included, run at the target
-// fleet-wide. It is at least the own count.
+// Concurrent estimates how many requests, batch included, run at the target fleet-wide.
+// The result is never below the local count.
 func (t *Table) Concurrent(now time.Time, address string) int {
 	e := t.entries[address]
 	if e == nil {
 		return 1
 	}
-	total := e.own
-	if e.heard.fresh(now) {
-		total = max(total, e.heard.word.OnlineTotal+e.heard.word.BatchRunning)
+	total := e.localRequests
+	if e.received.fresh(now) {
+		total = max(total, e.received.report.OnlineTotal+e.received.report.BatchRunning)
 	}
 	return total
 }
