--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -19,7 +19,7 @@
 
 var now = time.Unix(1000, 0)
 
-// fleet returns the boards of daemons that have heard all of each other.
+// fleet returns the load tables of daemons that have received all reports of each other.
 func fleet(counts []board.Count) []*board.Board {
 	boards := make([]*board.Board, len(counts))
 	for i, c := range counts {
@@ -36,35 +36,35 @@
 	return boards
 }
 
-var _ = Describe("The board", func() {
-	It("adds up the own counts and the others' fresh words", func() {
+var _ = Describe("The load table", func() {
+	It("adds up the local counts and the peers' valid reports", func() {
 		boards := fleet([]board.Count{{Online: 1, Batch: 2}, {Online: 3}, {Batch: 4}})
 		Expect(boards[0].Total(now, "t")).To(Equal(board.Count{Online: 4, Batch: 6}))
 		later := now.Add(board.WordLife + 1)
 		Expect(boards[0].Total(later, "t")).To(Equal(board.Count{Online: 1, Batch: 2}))
 	})
 
-	It("lets no late word replace a newer one, and takes a restarted daemon's", func() {
+	It("does not replace a newer report by a late one, and accepts a restarted daemon's", func() {
 		b := board.New("self", "z")
-		word := func(number uint64, online int) board.Word {
+		report := func(number uint64, online int) board.Word {
 			return board.Word{From: "x", Number: number, Counts: map[string]board.Count{"t": {Online: online}}}
 		}
-		b.Hear(now, word(5, 5))
-		b.Hear(now, word(4, 4))
+		b.Hear(now, report(5, 5))
+		b.Hear(now, report(4, 4))
 		Expect(b.Total(now, "t").Online).To(Equal(5))
 		later := now.Add(board.WordLife + 1)
-		b.Hear(later, word(1, 1))
+		b.Hear(later, report(1, 1))
 		Expect(b.Total(later, "t").Online).To(Equal(1))
 	})
 
-	It("forgets a daemon that says it runs nothing", func() {
+	It("removes a daemon that reports that it runs nothing", func() {
 		b := board.New("self", "z")
 		b.Hear(now, board.Word{From: "x", Number: 1, Counts: map[string]board.Count{"t": {Online: 1}}})
 		b.Hear(now, board.Word{From: "x", Number: 2})
 		Expect(b.Total(now, "t")).To(BeZero())
 	})
 
-	It("tells which items others still run, as long as they say so", func() {
+	It("returns the items that peers still run, as long as they report them", func() {
 		b := board.New("self", "z")
 		b.Hear(now, board.Word{From: "x", Number: 1, Held: []uint64{7}})
 		Expect(b.HeldElsewhere(now)).To(HaveKey(uint64(7)))
@@ -73,12 +73,12 @@
 		Expect(b.HeldElsewhere(now)).To(BeEmpty())
 	})
 
-	// The sums change with each word. One that is taken back wrongly leaves load
-	// that nobody has, and a target that looks full for good.
-	It("sums as the words stand, whatever order they come in", func() {
+	// The sums change with each report. One that is subtracted wrongly leaves load that
+	// no daemon has, and a target that looks full forever.
+	It("sums the valid reports, whatever order they arrive in", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			b := board.New("self", "z")
-			at, words, heardAt := now, map[string]board.Word{}, map[string]time.Time{}
+			at, reports, receivedAt := now, map[string]board.Word{}, map[string]time.Time{}
 			for range rapid.IntRange(1, 40).Draw(t, "steps") {
 				at = at.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 				w := board.Word{
@@ -89,45 +89,45 @@
 					})).Draw(t, "counts"),
 					Doubts: rapid.MapOf(rapid.SampledFrom([]string{"a", "b"}), rapid.IntRange(1, 5)).Draw(t, "doubts"),
 				}
-				for from, when := range heardAt {
+				for from, when := range receivedAt {
 					if at.Sub(when) > board.WordLife {
-						delete(words, from)
-						delete(heardAt, from)
+						delete(reports, from)
+						delete(receivedAt, from)
 					}
 				}
 				b.Hear(at, w)
-				if last, known := words[w.From]; known && w.Number < last.Number {
+				if last, known := reports[w.From]; known && w.Number < last.Number {
 					continue
 				}
-				words[w.From], heardAt[w.From] = w, at
+				reports[w.From], receivedAt[w.From] = w, at
 				if w.Empty() {
-					delete(words, w.From)
+					delete(reports, w.From)
 				}
 				for _, target := range []string{"a", "b"} {
 					var sum board.Count
-					doubt := 0
-					for _, word := range words {
-						sum.Online += word.Counts[target].Online
-						sum.Batch += word.Counts[target].Batch
-						if word.Zone == "z" {
-							doubt = max(doubt, word.Doubts[target])
+					failures := 0
+					for _, report := range reports {
+						sum.Online += report.Counts[target].Online
+						sum.Batch += report.Counts[target].Batch
+						if report.Zone == "z" {
+							failures = max(failures, report.Doubts[target])
 						}
 					}
 					if got := b.Others(at, target); got != sum {
 						t.Fatalf("%v at %s, want %v", got, target, sum)
 					}
-					if got := b.Doubts(at)[target]; got != doubt {
-						t.Fatalf("doubt %d at %s, want %d", got, target, doubt)
+					if got := b.Doubts(at)[target]; got != failures {
+						t.Fatalf("%d failures at %s, want %d", got, target, failures)
 					}
 				}
 			}
 		})
 	})
 
-	// Online requests fill a target beside batch. If every daemon stopped its own
-	// items, a burst of one request would end them all; if none felt concerned,
-	// guests would queue behind batch.
-	It("stops together exactly the excess, for any fleet that knows of each other", func() {
+	// Online requests fill a target that also runs batch. If every daemon stopped its own
+	// items, a burst of one request would end them all; if no daemon did, online requests
+	// would queue behind batch.
+	It("preempts exactly the excess in total, for any fleet whose daemons know of each other", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 8).Draw(t, "daemons")
 			counts := make([]board.Count, n)
@@ -140,11 +140,11 @@
 			slots := rapid.IntRange(1, 16).Draw(t, "slots")
 			sum := 0
 			for i, b := range fleet(counts) {
-				mine := b.Yield(now, "t", slots)
-				if mine > counts[i].Batch {
-					t.Fatalf("daemon %d stops %d of %d", i, mine, counts[i].Batch)
+				local := b.Yield(now, "t", slots)
+				if local > counts[i].Batch {
+					t.Fatalf("daemon %d stops %d of %d", i, local, counts[i].Batch)
 				}
-				sum += mine
+				sum += local
 			}
 			if want := max(0, min(online+batch-slots, batch)); sum != want {
 				t.Fatalf("%d stop, %d must", sum, want)
@@ -152,9 +152,9 @@
 		})
 	})
 
-	// The leader of a zone tells what all its daemons run. Counted twice, the own work
-	// would keep a daemon away from the targets that it uses.
-	It("takes its own work out of what is told of all", func() {
+	// The leader of a zone reports what all its daemons run. Counted twice, the local
+	// work would keep a daemon away from the targets that it uses.
+	It("subtracts the local work from a report of all daemons", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			b := board.New("self", "z")
 			all := map[string]board.Count{}
@@ -170,7 +170,7 @@
 					t.Fatalf("%v at %s, want %v", got, target, want)
 				}
 			}
-			// What has begun since the word is not in it.
+			// Work that began since the report is not in it.
 			b.Add("a", 1, 0)
 			if got := b.Less(all)["a"].Online; got != max(0, all["a"].Online-b.Counts()["a"].Online) {
 				t.Fatalf("%d others at a", got)
--- a/core/board/fuzz_test.go
+++ b/core/board/fuzz_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// FuzzWord gives whatever bytes to the decoder of words between daemons, and what
-// comes of them to the board. Nothing may panic, and a word must leave nothing behind
-// once it has expired.
+// FuzzWord passes arbitrary bytes to the decoder of load reports, and decoded reports to
+// the load table. Nothing may panic, and a report must leave nothing behind once it has
+// expired.
 func FuzzWord(f *testing.F) {
 	for _, w := range []Word{
 		{From: "a", Number: 1, Zone: "z", Counts: map[string]Count{"t": {Online: 3, Batch: 1}}, Doubts: map[string]int{"t": 2}, Held: []uint64{7}},
--- a/core/board/yield.go
+++ b/core/board/yield.go
@@ -8,18 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Yield returns how many of the own batch items at the target have to give way so that
-// online and batch work together fit its slots, where daemons hear each other's words.
-// They decide alone and at the same moment: each takes its turn in an order that all of
-// them know, so that together they stop the excess and hardly more.
+// PreemptCount returns how many local batch items at the target must be preempted so that
+// online and batch work together fit its slots. It is for daemons that receive each
+// other's load reports. They decide independently and at the same time: each takes its
+// turn in an order that all of them know, so that together they stop the excess and
+// hardly more.
 func (b *Board) Yield(now time.Time, target string, slots int) int {
 	total := b.Total(now, target)
 	excess := min(total.Online+total.Batch-slots, total.Batch)
-	mine := b.own[target].Batch
-	if excess <= 0 || mine == 0 {
+	local := b.local[target].Batch
+	if excess <= 0 || local == 0 {
 		return 0
 	}
-	return b.share(target, excess)
+	return b.localShare(target, excess)
 }
 
 // holder is a daemon with batch items at a target.
@@ -29,32 +30,33 @@
 	batch int
 }
 
-// share deals the excess out one by one in turns and counts the own part.
-func (b *Board) share(target string, excess int) int {
-	mine := 0
+// localShare assigns the excess items to the daemons in turns, one at a time, and returns
+// how many are local.
+func (b *Board) localShare(target string, excess int) int {
+	local := 0
 	all := b.holders(target)
-	for dealt := true; dealt && excess > 0; {
-		dealt = false
+	for assigned := true; assigned && excess > 0; {
+		assigned = false
 		for i := range all {
 			if excess == 0 || all[i].batch == 0 {
 				continue
 			}
 			all[i].batch--
 			excess--
-			dealt = true
+			assigned = true
 			if all[i].name == b.self {
-				mine++
+				local++
 			}
 		}
 	}
-	return mine
+	return local
 }
 
-// holders lists the daemons with batch items at the target, in their order.
+// holders returns the daemons with batch items at the target, sorted by rank.
 func (b *Board) holders(target string) []holder {
-	all := []holder{{b.self, rank(target, b.self), b.own[target].Batch}}
-	for name, h := range b.others {
-		if n := h.word.Counts[target].Batch; n > 0 {
+	all := []holder{{b.self, rank(target, b.self), b.local[target].Batch}}
+	for name, h := range b.peers {
+		if n := h.report.Counts[target].Batch; n > 0 {
 			all = append(all, holder{name, rank(target, name), n})
 		}
 	}
@@ -64,7 +66,7 @@
 	return all
 }
 
-// rank orders daemons for a target alike at all of them and differently for each
+// rank orders the daemons for a target: equally at all daemons, and differently for each
 // target.
 func rank(target, name string) uint64 {
 	return xxhash.Sum64String(name + "\x00" + target)
