--- a/core/slots/grant.go
+++ b/core/slots/grant.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// spareFar is how many free slots another zone must have had to be sent a
-	// request: the last one may have been taken since it was heard of.
-	spareFar = 2
-	// firstLook is how many targets of a large group are looked at first.
-	firstLook = 64
-	// RoomLife is how long another zone's word of its free slots counts; its leader
-	// tells them several times in that time.
+	// remoteMinFree is how many free slots another zone must have reported before a
+	// request is sent there: the last one may have been taken since the report.
+	remoteMinFree = 2
+	// sampleSize is how many targets of a large group are examined first.
+	sampleSize = 64
+	// FreeSlotsTTL is how long another zone's report of its free slots is valid; its
+	// leader sends several in that time.
 	RoomLife = 400 * time.Millisecond
 )
 
-// Ask asks for a slot.
+// SlotRequest is a request for a slot.
 type Ask struct {
 	ID    ID
 	Group string
-	// Batch asks for a batch item: it gets only what online work leaves, less
-	// Headroom slots of each target.
+	// Batch marks a request for a batch item: it gets only slots that online work leaves
+	// free, less Headroom slots of each target.
 	Batch    bool
 	Headroom int
-	// Exclude holds the starts of targets that are of no use to the asker: tried
-	// already, or out for it.
+	// Exclude lists the starts of targets that the caller can't use: already tried, or
+	// ejected by it.
 	Exclude []string
-	// LastChance tells that nothing may follow a failed attempt.
+	// LastChance marks a request that gets no further attempt after a failure.
 	LastChance bool
-	// Patience is how long the request may queue in front of a target.
+	// Patience is the maximum time for which the request may queue at a target.
 	Patience time.Duration
-	// Visiting tells that the asker's own zone is full: it gets a free slot or none.
+	// Visiting is set if the caller's own zone is full: the request gets a free slot or
+	// none.
 	Visiting bool
-	// Stay asks for a slot of this zone whatever room others have.
+	// Stay requires a slot of this zone, even if other zones have free ones.
 	Stay bool
 }
 
-// Verdict is the answer to an Ask.
+// Verdict is the result of a SlotRequest.
 type Verdict int
 
 const (
-	// None: the zone has nothing for it.
+	// None: the zone has no slot for the request.
 	None Verdict = iota
 	// Granted: the lease has begun.
 	Granted
-	// Elsewhere: another zone has room.
+	// Elsewhere: another zone has free slots.
 	Elsewhere
-	// Overloaded: it would queue for longer than it may.
+	// Overloaded: the request would queue for longer than its Patience.
 	Overloaded
 )
 
@@ -58,121 +59,122 @@
 	return [...]string{"none", "granted", "elsewhere", "overloaded"}[v]
 }
 
-// Grant is what an Ask got.
+// Grant is the answer to a SlotRequest.
 type Grant struct {
 	Verdict Verdict
-	// Target is the start of the target that was chosen, At the whole of it, and Running
-	// what ran there.
+	// Target is the start of the chosen target, At its full description, and Running the
+	// number of requests that ran there.
 	Target  string
 	At      Target
 	Running int
-	// Zone is the zone to ask, Leader its leader's peer address.
+	// Zone is the zone to request a slot from, Leader the peer address of its leader.
 	Zone, Leader string
-	// Wait is how long it would queue.
+	// Wait is how long the request would queue.
 	Wait time.Duration
-	// Yield lists batch leases that must give way.
+	// Yield lists the batch leases that must be preempted.
 	Yield []ID
 }
 
-// Grant gives a slot out. seed makes the choice among equal targets repeatable.
+// Grant assigns a slot. seed makes the choice among equal targets reproducible.
 //
-// Load pattern answered: steps of load under which nine tenths of the slots are
-// taken. A free slot anywhere in the zone is found; then one that batch gives back,
-// then another zone's, since bytes between zones are dear; then a short queue; and
-// what would queue for longer than it may is refused at once.
+// Load pattern: steps of load under which nine tenths of the slots are taken. Grant
+// prefers a free slot anywhere in the zone; then a slot from which batch is preempted;
+// then another zone, because traffic between zones is expensive; then a short queue. A
+// request that would queue for longer than its Patience is refused at once.
 //
-// In a large group a few targets are looked at first, so that a grant costs the same
-// however many there are while most have free slots.
-func (l *Ledger) Grant(now time.Time, a Ask, seed uint64) Grant {
-	g := l.groups[a.Group]
+// In a large group only some targets are examined first, so that the cost of a grant does
+// not depend on the group's size while most targets have free slots.
+func (l *Ledger) Grant(now time.Time, r Ask, seed uint64) Grant {
+	g := l.groups[r.Group]
 	if g == nil || len(g.targets) == 0 {
-		return l.elsewhere(now, a)
+		return l.otherZone(now, r)
 	}
-	if len(g.targets) > firstLook {
-		trusted, _ := l.candidates(now, g, a, seed, firstLook)
-		if c, ok := first(trusted, func(c candidate) bool { return c.empty(a) }); ok {
-			return l.lease(now, a, c)
+	if len(g.targets) > sampleSize {
+		healthy, _ := l.candidates(now, g, r, seed, sampleSize)
+		if c, ok := firstMatch(healthy, func(c candidate) bool { return c.empty(r) }); ok {
+			return l.grantLease(now, r, c)
 		}
 	}
-	trusted, doubted := l.candidates(now, g, a, seed, len(g.targets))
-	if a.Batch {
-		return l.grantBatch(now, a, trusted)
+	healthy, degraded := l.candidates(now, g, r, seed, len(g.targets))
+	if r.Batch {
+		return l.grantBatch(now, r, healthy)
 	}
-	if c, ok := first(trusted, func(c candidate) bool { return c.taken < c.Slots }); ok {
-		return l.lease(now, a, c)
+	if c, ok := firstMatch(healthy, func(c candidate) bool { return c.taken < c.Slots }); ok {
+		return l.grantLease(now, r, c)
 	}
-	if a.Visiting {
+	if r.Visiting {
 		return Grant{Verdict: None}
 	}
-	if c, ok := first(trusted, func(c candidate) bool { return c.online < c.Slots }); ok {
-		return l.lease(now, a, c)
+	if c, ok := firstMatch(healthy, func(c candidate) bool { return c.online < c.Slots }); ok {
+		return l.grantLease(now, r, c)
 	}
-	if grant := l.elsewhere(now, a); grant.Verdict == Elsewhere {
+	if grant := l.otherZone(now, r); grant.Verdict == Elsewhere {
 		return grant
 	}
-	return l.queue(now, a, g, append(trusted, doubted...))
+	return l.queue(now, r, g, append(healthy, degraded...))
 }
 
-// grantBatch gives a batch item the emptiest target that leaves the headroom free. A slot
-// that another item was told to leave is taken until that one has left it.
-func (l *Ledger) grantBatch(now time.Time, a Ask, from []candidate) Grant {
-	if c, ok := first(from, func(c candidate) bool { return c.online+c.usage.batch+a.Headroom < c.Slots }); ok {
-		return l.lease(now, a, c)
+// grantBatch grants a batch item the emptiest target that leaves the headroom free. A
+// slot whose item is being preempted counts as taken until that item has ended.
+func (l *Ledger) grantBatch(now time.Time, r Ask, from []candidate) Grant {
+	if c, ok := firstMatch(from, func(c candidate) bool { return c.online+c.usage.batch+r.Headroom < c.Slots }); ok {
+		return l.grantLease(now, r, c)
 	}
-	return l.elsewhere(now, a)
+	return l.otherZone(now, r)
 }
 
-// queue gives a request a place in the shortest queue, if it is short enough.
-func (l *Ledger) queue(now time.Time, a Ask, g *group, from []candidate) Grant {
+// queue grants the target with the shortest queue if that is short enough.
+func (l *Ledger) queue(now time.Time, r Ask, g *group, from []candidate) Grant {
 	if len(from) == 0 {
 		return Grant{Verdict: None}
 	}
 	best := from[0]
-	wait := g.speed.Queue(float64(best.online), best.Slots)
-	if wait > a.Patience {
+	wait := g.serviceTime.Queue(float64(best.online), best.Slots)
+	if wait > r.Patience {
 		return Grant{Verdict: Overloaded, Wait: wait}
 	}
-	return l.lease(now, a, best)
+	return l.grantLease(now, r, best)
 }
 
 // candidate is a target that may be chosen.
 type candidate struct {
 	Target
 	usage *usage
-	// online counts the online requests there, taken those and the batch items that
-	// were not told to give way.
+	// online counts the online requests there; taken counts those and the batch items
+	// that are not being preempted.
 	online, taken int
 }
 
-// empty tells whether nothing runs at the target, so that none is better for the asker.
-func (c candidate) empty(a Ask) bool {
-	return c.taken == 0 && c.usage.batch == 0 && (c.Slots > a.Headroom || !a.Batch)
+// empty reports whether nothing runs at the target, so that no other is better for r.
+func (c candidate) empty(r Ask) bool {
+	return c.taken == 0 && c.usage.batch == 0 && (c.Slots > r.Headroom || !r.Batch)
 }
 
-// candidates looks at so many targets from a place in the list that the seed gives. It
-// lists those that the asker can use, the least taken first and equal ones in the order
-// of the seed: those that are trusted, and those in doubt. Targets that it can't use
-// come last among these, for want of a better one.
-func (l *Ledger) candidates(now time.Time, g *group, a Ask, seed uint64, look int) (trusted, doubted []candidate) {
+// candidates examines sample targets, beginning at a position in the list that seed
+// determines. It returns those that the caller can use, the least taken first and equal
+// ones in the order given by seed: the healthy ones, and the degraded ones. Targets that
+// the caller excluded come last among the degraded ones, for use if there is no better
+// one.
+func (l *Ledger) candidates(now time.Time, g *group, r Ask, seed uint64, sample int) (healthy, degraded []candidate) {
 	var excluded []candidate
 	n := len(g.targets)
-	for i := range look {
+	for i := range sample {
 		t := g.targets[(int(seed%uint64(n))+i)%n]
-		u := l.of(t.Start)
-		c := candidate{Target: t, usage: u, online: u.online, taken: u.online + u.standing(now)}
+		u := l.usageOf(t.Start)
+		c := candidate{Target: t, usage: u, online: u.online, taken: u.online + u.notPreempted(now)}
 		switch {
-		case slices.Contains(a.Exclude, t.Start):
+		case slices.Contains(r.Exclude, t.Start):
 			excluded = append(excluded, c)
-		case u.doubtful(now, a.LastChance):
-			doubted = append(doubted, c)
+		case u.degraded(now, r.LastChance):
+			degraded = append(degraded, c)
 		default:
-			trusted = append(trusted, c)
+			healthy = append(healthy, c)
 		}
 	}
-	byTaken(trusted)
-	byTaken(doubted)
+	byTaken(healthy)
+	byTaken(degraded)
 	byTaken(excluded)
-	return trusted, append(doubted, excluded...)
+	return healthy, append(degraded, excluded...)
 }
 
 func byTaken(list []candidate) {
@@ -181,32 +183,32 @@
 	})
 }
 
-// doubtful tells whether the target is held back. One whose time is over gets one
-// request at a time until it answers one: it may take connections and fail every
-// request, and would look like the emptiest.
-func (u *usage) doubtful(now time.Time, lastChance bool) bool {
+// degraded reports whether requests avoid the target. A target whose degradation time has
+// passed gets one request at a time until it answers one: it may accept connections and
+// fail every request, and would look like the emptiest target.
+func (u *usage) degraded(now time.Time, lastChance bool) bool {
 	switch {
-	case u.doubt.Failures() == 0:
+	case u.degradation.Failures() == 0:
 		return false
-	case lastChance || u.doubt.Lasts(now):
+	case lastChance || u.degradation.Lasts(now):
 		return true
 	default:
 		return u.online+u.batch > 0
 	}
 }
 
-// standing counts the batch items that were not told to give way.
-func (u *usage) standing(now time.Time) int {
+// notPreempted counts the batch items that are not being preempted.
+func (u *usage) notPreempted(now time.Time) int {
 	n := u.batch
 	for le := range u.leases {
-		if le.batch && now.Before(le.yields) {
+		if le.batch && now.Before(le.preemptUntil) {
 			n--
 		}
 	}
 	return n
 }
 
-func first(list []candidate, fits func(candidate) bool) (candidate, bool) {
+func firstMatch(list []candidate, fits func(candidate) bool) (candidate, bool) {
 	for _, c := range list {
 		if fits(c) {
 			return c, true
@@ -215,80 +217,80 @@
 	return candidate{}, false
 }
 
-// lease begins the lease, and has as many batch items give way as there are too many
-// at the target then.
-func (l *Ledger) lease(now time.Time, a Ask, c candidate) Grant {
-	le := l.add(now, a.ID, Running{Number: a.ID.Number, Target: c.Start, Batch: a.Batch})
-	le.group = a.Group
+// grantLease begins a lease at the target and preempts as many batch items there as then
+// exceed its slots.
+func (l *Ledger) grantLease(now time.Time, r Ask, c candidate) Grant {
+	le := l.add(now, r.ID, Running{Number: r.ID.Number, Target: c.Start, Batch: r.Batch})
+	le.group = r.Group
 	grant := Grant{Verdict: Granted, Target: c.Start, At: c.Target, Running: c.taken}
-	if !a.Batch {
-		grant.Yield = c.usage.yield(now, c.taken+1-c.Slots)
+	if !r.Batch {
+		grant.Yield = c.usage.preempt(now, c.taken+1-c.Slots)
 	}
 	return grant
 }
 
-// yield tells n batch items to give way, those that began last: they have the least
-// to lose.
-func (u *usage) yield(now time.Time, n int) []ID {
+// preempt marks n batch items for preemption, the last ones to begin first: they lose the
+// least work.
+func (u *usage) preempt(now time.Time, n int) []ID {
 	if n <= 0 {
 		return nil
 	}
-	var standing []*lease
+	var running []*lease
 	for le := range u.leases {
-		if le.batch && !now.Before(le.yields) {
-			standing = append(standing, le)
+		if le.batch && !now.Before(le.preemptUntil) {
+			running = append(running, le)
 		}
 	}
-	slices.SortFunc(standing, func(a, b *lease) int {
+	slices.SortFunc(running, func(a, b *lease) int {
 		return cmp.Or(b.granted.Compare(a.granted), cmp.Compare(a.id.Holder, b.id.Holder), cmp.Compare(a.id.Number, b.id.Number))
 	})
-	var told []ID
-	for _, le := range standing[:min(n, len(standing))] {
-		le.yields = now.Add(yieldTime)
-		told = append(told, le.id)
+	var preempted []ID
+	for _, le := range running[:min(n, len(running))] {
+		le.preemptUntil = now.Add(preemptTime)
+		preempted = append(preempted, le.id)
 	}
-	return told
+	return preempted
 }
 
-// room is what another zone told of its free slots.
-type room struct {
+// remoteFree is another zone's report of its free slots.
+type remoteFree struct {
 	leader string
 	free   map[string]int
 	at     time.Time
 }
 
-// Free counts the free slots of the zone's trusted targets, by group.
+// FreeSlots counts the free slots of the zone's healthy targets, by group.
 func (l *Ledger) Free(now time.Time) map[string]int {
 	free := map[string]int{}
 	for name, g := range l.groups {
 		for _, t := range g.targets {
-			u := l.of(t.Start)
-			if !u.doubtful(now, false) {
-				free[name] += max(0, t.Slots-u.online-u.standing(now))
+			u := l.usageOf(t.Start)
+			if !u.degraded(now, false) {
+				free[name] += max(0, t.Slots-u.online-u.notPreempted(now))
 			}
 		}
 	}
 	return free
 }
 
-// HearRoom takes what the leader of another zone tells of its free slots.
+// ApplyRemoteFree records the free slots that the leader of another zone reports.
 func (l *Ledger) HearRoom(now time.Time, zone, leader string, free map[string]int) {
-	l.others[zone] = &room{leader: leader, free: maps.Clone(free), at: now}
+	l.remote[zone] = &remoteFree{leader: leader, free: maps.Clone(free), at: now}
 }
 
-// elsewhere names the zone with the most room. What is sent there is counted until
-// that zone is heard again, so that what this zone sends between two words does not
-// meet at the same slots.
-func (l *Ledger) elsewhere(now time.Time, a Ask) Grant {
-	if a.Visiting || a.Stay {
+// otherZone chooses the zone with the most free slots. Requests sent there are subtracted
+// until that zone reports again, so that the requests that this zone sends between two
+// reports do not compete for the same slots.
+func (l *Ledger) otherZone(now time.Time, r Ask) Grant {
+	if r.Visiting || r.Stay {
 		return Grant{Verdict: None}
 	}
-	name, most := "", spareFar-1
-	for zone, r := range l.others {
-		if now.Sub(r.at) > RoomLife {
+	name, most := "", remoteMinFree-1
+	for zone, report := range l.remote {
+		if now.Sub(report.at) > RoomLife {
 			continue
 		}
-		free := r.free[a.Group]
+		free := report.free[r.Group]
 		if free > most || free == most && name != "" && zone < name {
 			name, most = zone, free
 		}
@@ -296,7 +298,7 @@
 	if name == "" {
 		return Grant{Verdict: None}
 	}
-	to := l.others[name]
-	to.free[a.Group]--
+	to := l.remote[name]
+	to.free[r.Group]--
 	return Grant{Verdict: Elsewhere, Zone: name, Leader: to.leader}
 }
--- a/core/slots/ledger.go
+++ b/core/slots/ledger.go
@@ -1,17 +1,17 @@
-// Package slots keeps which slots of an availability zone's targets are taken, and
-// gives them out. It is pure.
+// Package slots records which slots of an availability zone's targets are taken, and
+// assigns them. It does no I/O and reads no clock.
 //
-// One daemon of the zone keeps the ledger; the others ask it for a slot before each
-// request and tell it the end. So the count is exact at the moment of the choice,
-// whatever the size of the fleet, at the price of two short messages a request. When
-// every daemon chose by itself from what it had heard of the others, the messages
-// grew with the square of the zone, and what started between two of them met at the
-// same targets.
+// One daemon of the zone keeps the ledger; the others request a slot from it before each
+// request and report the end. The count is therefore exact at the time of the choice,
+// whatever the size of the fleet, at a cost of two short messages per request. If instead
+// every daemon chose from the load reports of the others, the number of messages would
+// grow with the square of the zone's size, and requests started between two reports would
+// meet at the same targets.
 //
-// A slot is given as a lease under a name that its holder chose. Holders tell all
-// their leases again and again: a ledger that has just begun is whole after one such
-// report of each, and a lease whose end was lost, or whose holder died, lapses.
-// Nothing that must hold depends on the ledger: a wrong count places work worse.
+// A slot is assigned as a lease under an ID that its holder chose. Holders report all
+// their leases periodically: a new ledger is complete after one such report of each
+// holder, and a lease whose end was lost, or whose holder died, expires. No guarantee
+// depends on the ledger: a wrong count only places work less well.
 package slots
 
 import (
@@ -25,78 +25,78 @@
 )
 
 const (
-	// LeaseLife is how long a lease counts without being told again. It bounds how
-	// long the work of a daemon that died is still counted.
+	// LeaseTTL is how long a lease is valid without being renewed. It bounds how long the
+	// work of a daemon that died is still counted.
 	LeaseLife = 1500 * time.Millisecond
-	// ReportEvery is the pace at which holders tell their leases; two reports may be
-	// lost.
+	// ReportInterval is the interval at which holders report their leases. A lease
+	// survives the loss of two reports.
 	ReportEvery = 500 * time.Millisecond
-	// inFlight is how long a lease that a report does not name may have been under
-	// way to its holder when that report was sent.
-	inFlight = 300 * time.Millisecond
-	// yieldTime is how long a batch item that was told to give way may still run. One
-	// that runs on has a holder that did not hear of it.
-	yieldTime = 500 * time.Millisecond
+	// maxGrantDelay is how long a grant may take to reach its holder. A report does not
+	// end a younger lease that it does not name.
+	maxGrantDelay = 300 * time.Millisecond
+	// preemptTime is how long a batch item may still run after its preemption. If it runs
+	// for longer, its holder did not receive the notice.
+	preemptTime = 500 * time.Millisecond
 )
 
-// Target is where requests run.
+// Target is a target of the zone.
 type Target struct {
-	// Start names the target's start; see roster.Start.
+	// Start identifies one start of the target; see roster.Start.
 	Start string
 	// Slots is how many requests it runs at once.
 	Slots int
-	// ID, Born, Address and Zone tell a holder that does not know the target where it is;
+	// ID, Born, Address and Zone describe the target to a holder that does not know it;
 	// see roster.Target.
 	ID            string
 	Born          int64
 	Address, Zone string
 }
 
-// ID names a lease: its holder's peer address, and a number that the holder never
-// uses again.
+// ID identifies a lease: the peer address of its holder, and a number that the holder
+// never reuses.
 type ID struct {
 	Holder string
 	Number uint64
 }
 
-// Running is a lease as its holder tells it.
+// Running is a lease as reported by its holder.
 type Running struct {
 	Number uint64
 	Target string
 	Batch  bool
 }
 
-// Ended is the end of a lease as its holder tells it.
+// Ended is the end of a lease as reported by its holder.
 type Ended struct {
 	Number uint64
 	Target string
-	// Outcome is what the end says of the target.
+	// Outcome is what the end shows about the target's health.
 	Outcome routing.Outcome
-	// Took is the time of an answered online request, 0 for anything else.
+	// Took is the total time of an answered online request, 0 for anything else.
 	Took time.Duration
 }
 
-// Ledger keeps the leases of one zone's targets.
+// Ledger holds the leases of one zone's targets.
 type Ledger struct {
 	groups  map[string]*group
 	holders map[string]map[uint64]*lease
 	usage   map[string]*usage
-	others  map[string]*room
+	remote  map[string]*remoteFree
 }
 
 // group is one target group.
 type group struct {
 	targets []Target
-	// speed is that of online requests.
-	speed routing.Speed
+	// serviceTime is that of online requests.
+	serviceTime routing.Speed
 }
 
-// usage is what is known of one target.
+// usage is the state of one target.
 type usage struct {
 	online, batch int
-	// leases holds those that run there.
-	leases map[*lease]bool
-	doubt  routing.Doubt
+	// leases holds the leases of the target.
+	leases      map[*lease]bool
+	degradation routing.Doubt
 }
 
 // lease is one taken slot.
@@ -105,65 +105,67 @@
 	group  string
 	target string
 	batch  bool
-	// granted is when it was given or first told, told when it was last told.
-	granted, told time.Time
-	// yields is until when it is expected to give way.
-	yields time.Time
+	// granted is when the lease was granted or first reported, renewed when it was last
+	// reported.
+	granted, renewed time.Time
+	// preemptUntil is until when the item is expected to end after its preemption.
+	preemptUntil time.Time
 }
 
 // NewLedger returns a ledger without targets.
 func NewLedger() *Ledger {
-	return &Ledger{groups: map[string]*group{}, holders: map[string]map[uint64]*lease{}, usage: map[string]*usage{}, others: map[string]*room{}}
+	return &Ledger{groups: map[string]*group{}, holders: map[string]map[uint64]*lease{}, usage: map[string]*usage{}, remote: map[string]*remoteFree{}}
 }
 
-// SetTargets replaces the zone's targets that may get work, by group. What is known
-// of those that stay is kept, and leases at others go on.
+// SetTargets replaces the zone's targets that may get work, by group. The state of
+// targets that remain is kept, and leases at removed targets continue.
 func (l *Ledger) SetTargets(targets map[string][]Target) {
 	groups := make(map[string]*group, len(targets))
-	stays := map[string]bool{}
+	remaining := map[string]bool{}
 	for name, list := range targets {
 		g := &group{targets: list}
 		if known := l.groups[name]; known != nil {
-			g.speed = known.speed
+			g.serviceTime = known.serviceTime
 		}
 		groups[name] = g
 		for _, t := range list {
-			stays[t.Start] = true
+			remaining[t.Start] = true
 		}
 	}
 	l.groups = groups
 	for start, u := range l.usage {
-		if !stays[start] && len(u.leases) == 0 {
+		if !remaining[start] && len(u.leases) == 0 {
 			delete(l.usage, start)
 		}
 	}
 }
 
-// Report takes what a holder says of its leases: all that run, and the ends since its
+// Report applies a holder's report of its leases: all that run, and the ends since its
 // last report.
 func (l *Ledger) Report(now time.Time, holder string, running []Running, ended []Ended) {
 	l.End(now, holder, ended)
 	named := make(map[uint64]bool, len(running))
 	for _, r := range running {
 		named[r.Number] = true
-		l.tell(now, ID{holder, r.Number}, r)
+		l.renew(now, ID{holder, r.Number}, r)
 	}
 	for number, le := range l.holders[holder] {
-		if !named[number] && now.Sub(le.granted) > inFlight {
+		if !named[number] && now.Sub(le.granted) > maxGrantDelay {
 			l.drop(le)
 		}
 	}
 }
 
-// End takes the ends of a holder's leases alone.
+// End applies ends of a holder's leases without a full report.
 func (l *Ledger) End(now time.Time, holder string, ended []Ended) {
 	for _, e := range ended {
 		l.end(now, ID{holder, e.Number}, e)
 	}
 }
 
-// tell takes a lease that runs, perhaps one that another ledger gave, or nobody.
-func (l *Ledger) tell(now time.Time, id ID, r Running) {
+// renew renews a running lease. It adds a lease that is not known here, for example
+// because another ledger granted it.
+func (l *Ledger) renew(now time.Time, id ID, r Running) {
 	le := l.holders[id.Holder][id.Number]
 	if le == nil || le.target != r.Target {
 		if le != nil {
@@ -171,16 +173,16 @@
 		}
 		le = l.add(now, id, r)
 	}
-	le.told = now
+	le.renewed = now
 }
 
 func (l *Ledger) add(now time.Time, id ID, r Running) *lease {
-	le := &lease{id: id, target: r.Target, batch: r.Batch, granted: now, told: now}
+	le := &lease{id: id, target: r.Target, batch: r.Batch, granted: now, renewed: now}
 	if l.holders[id.Holder] == nil {
 		l.holders[id.Holder] = map[uint64]*lease{}
 	}
 	l.holders[id.Holder][id.Number] = le
-	u := l.of(r.Target)
+	u := l.usageOf(r.Target)
 	u.leases[le] = true
 	u.count(le, 1)
 	return le
@@ -200,13 +202,13 @@
 	if len(held) == 0 {
 		delete(l.holders, le.id.Holder)
 	}
-	u := l.of(le.target)
+	u := l.usageOf(le.target)
 	delete(u.leases, le)
 	u.count(le, -1)
 }
 
-// of returns what is known of the target.
-func (l *Ledger) of(start string) *usage {
+// usageOf returns the state of the target and creates it if necessary.
+func (l *Ledger) usageOf(start string) *usage {
 	u := l.usage[start]
 	if u == nil {
 		u = &usage{leases: map[*lease]bool{}}
@@ -215,8 +217,8 @@
 	return u
 }
 
-// end takes the end of a lease, also of one that is not known here: what it says of
-// the target holds all the same.
+// end applies the end of a lease. If the lease is not known here, the outcome still
+// counts for the target.
 func (l *Ledger) end(now time.Time, id ID, e Ended) {
 	le := l.holders[id.Holder][id.Number]
 	if le != nil {
@@ -225,33 +227,33 @@
 	if e.Target == "" {
 		return
 	}
-	u := l.of(e.Target)
+	u := l.usageOf(e.Target)
 	switch e.Outcome {
 	case routing.Succeeded:
-		u.doubt = routing.Doubt{}
+		u.degradation = routing.Doubt{}
 	case routing.SoftFailed, routing.HardFailed:
-		u.doubt.Failed(now, 0)
+		u.degradation.Failed(now, 0)
 	}
 	if le == nil || e.Took <= 0 {
 		return
 	}
 	if g := l.groups[le.group]; g != nil {
-		g.speed.Measured(e.Took)
+		g.serviceTime.Measured(e.Took)
 	}
 }
 
-// Expire drops the leases that were not told again.
+// Expire drops the leases that were not renewed within LeaseTTL.
 func (l *Ledger) Expire(now time.Time) {
 	for _, held := range l.holders {
 		for _, le := range held {
-			if now.Sub(le.told) > LeaseLife {
+			if now.Sub(le.renewed) > LeaseLife {
 				l.drop(le)
 			}
 		}
 	}
 }
 
-// Counts returns what runs at each target that has leases.
+// Counts returns the number of requests at each target that has leases.
 func (l *Ledger) Counts() map[string]board.Count {
 	counts := map[string]board.Count{}
 	for start, u := range l.usage {
@@ -262,7 +264,7 @@
 	return counts
 }
 
-// Fullest returns the counts of at most so many targets, those that the most runs at.
+// Fullest returns the counts of the most loaded targets, at most as many as given.
 func (l *Ledger) Fullest(most int) map[string]board.Count {
 	counts := l.Counts()
 	if len(counts) <= most {
@@ -277,13 +279,13 @@
 	return counts
 }
 
-// Doubts gives the failures in a row of the targets that are in doubt.
+// DegradedTargets returns the number of consecutive failures of each degraded target.
 func (l *Ledger) Doubts(now time.Time) map[string]int {
-	doubts := map[string]int{}
+	degraded := map[string]int{}
 	for start, u := range l.usage {
-		if u.doubt.Lasts(now) {
-			doubts[start] = u.doubt.Failures()
+		if u.degradation.Lasts(now) {
+			degraded[start] = u.degradation.Failures()
 		}
 	}
-	return doubts
+	return degraded
 }
--- a/core/slots/load_test.go
+++ b/core/slots/load_test.go
@@ -13,15 +13,15 @@
 	"tarragonhollow.example/tarragonhollow/core/slots"
 )
 
-// answer is the end of a request at a target, told to the ledger a little later.
+// answer is the end of a request at a target, reported to the ledger a little later.
 type answer struct {
-	at     time.Time
-	number uint64
-	target string
-	told   bool
+	at       time.Time
+	number   uint64
+	target   string
+	reported bool
 }
 
-// answers is a heap of answers by their time.
+// answers is a heap of answers, ordered by time.
 type answers []answer
 
 func (a answers) Len() int           { return len(a) }
@@ -34,11 +34,11 @@
 	return last
 }
 
-// crowd plays a zone of which so large a share of the slots is taken. It returns how
-// many requests met a full target although another one had a free slot.
-func crowd(share float64, requests int) (misplaced int) {
+// simulate runs a zone with the given share of its slots taken. It returns how many
+// requests met a full target although another one had a free slot.
+func simulate(share float64, requests int) (misplaced int) {
 	const targets, perTarget = 32, 7
-	const tellTime = 4 * time.Millisecond // the gathering of ends, and the way to the leader
+	const reportDelay = 4 * time.Millisecond // batching of ends, and network delay to the leader
 	serviceTime := 500 * time.Millisecond
 	l := slots.NewLedger()
 	var list []slots.Target
@@ -56,13 +56,13 @@
 		now = now.Add(gap)
 		for len(ends) > 0 && !ends[0].at.After(now) {
 			e := heap.Pop(&ends).(answer)
-			if e.told {
+			if e.reported {
 				l.End(e.at, "h", []slots.Ended{{Number: e.number, Target: e.target, Outcome: routing.Succeeded, Took: serviceTime}})
 				continue
 			}
 			running[e.target]--
 			taken--
-			e.at, e.told = e.at.Add(tellTime), true
+			e.at, e.reported = e.at.Add(reportDelay), true
 			heap.Push(&ends, e)
 		}
 		got := l.Grant(now, slots.Ask{ID: slots.ID{Holder: "h", Number: number}, Group: "g", Patience: time.Minute, Stay: true}, number)
@@ -78,13 +78,13 @@
 }
 
 var _ = Describe("A step of load", func() {
-	// Nearly every slot of the zone is taken and single ones come free. Guests wait at
-	// one engine while the next one has a slot, if nobody knows where it is. Aim: fewer
-	// than one in a hundred does.
-	It("meets few full targets while others have free slots", func() {
+	// Nearly every slot of the zone is taken and single slots become free. If no daemon
+	// knows where they are, requests wait at one engine while the next one has a free
+	// slot. Limit: fewer than one request in a hundred.
+	It("sends few requests to full targets while others have free slots", func() {
 		const requests = 20_000
 		for _, share := range []float64{0.8, 0.9, 0.95} {
-			Expect(crowd(share, requests)).To(BeNumerically("<", requests/100), fmt.Sprint(share))
+			Expect(simulate(share, requests)).To(BeNumerically("<", requests/100), fmt.Sprint(share))
 		}
 	})
 })
--- a/core/slots/priority_test.go
+++ b/core/slots/priority_test.go
@@ -8,11 +8,11 @@
 	"tarragonhollow.example/tarragonhollow/core/slots"
 )
 
-// Most targets are down, and what is left gets half again as many requests as it can run.
-// Each request of the desk (rank 0) and each of the kitchen's tickets (rank 2) comes as
-// often as the other. Without ranks both would find the same queue, and the desk would be
-// refused as often as the tickets.
-func TestTheUrgentAreServedFirstWhereSlotsAreShort(t *testing.T) {
+// Most targets are down, and the remaining ones get half again as many requests as they
+// can run. Requests of the desk (rank 0) and the kitchen's tickets (rank 2) arrive
+// equally often. Without ranks both would find the same queue, and the desk's requests
+// would be refused as often as the tickets.
+func TestUrgentRequestsAreServedFirstWhenSlotsAreShort(t *testing.T) {
 	const (
 		slotCount = 8
 		took      = 200 * time.Millisecond
@@ -32,8 +32,8 @@
 			running = running[1:]
 		}
 		rank := int(n%2) * 2
-		ask := slots.Ask{ID: slots.ID{Holder: "h", Number: n + 1}, Group: "g", Patience: routing.QueuePatience(5*time.Second, rank)}
-		if l.Grant(now, ask, n).Verdict != slots.Granted {
+		request := slots.Ask{ID: slots.ID{Holder: "h", Number: n + 1}, Group: "g", Patience: routing.QueuePatience(5*time.Second, rank)}
+		if l.Grant(now, request, n).Verdict != slots.Granted {
 			refused[rank]++
 			continue
 		}
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -36,8 +36,9 @@
 
 var numbers uint64
 
-// ask asks for an online request of the holder h, changed by the options.
-func ask(change ...func(*slots.Ask)) slots.Ask {
+// request returns a slot request for an online request of the holder h, changed by the
+// given options.
+func request(change ...func(*slots.Ask)) slots.Ask {
 	numbers++
 	a := slots.Ask{ID: slots.ID{Holder: "h", Number: numbers}, Group: "g", Patience: time.Second}
 	for _, c := range change {
@@ -64,46 +65,47 @@
 
 	granted := func(change ...func(*slots.Ask)) slots.Grant {
 		GinkgoHelper()
-		got := l.Grant(now, ask(change...), numbers)
+		got := l.Grant(now, request(change...), numbers)
 		Expect(got.Verdict).To(Equal(slots.Granted))
 		return got
 	}
 
-	It("fills the targets evenly and gives each free slot out once", func() {
+	It("fills the targets evenly and grants each free slot once", func() {
 		for range 2 * perTarget {
 			granted()
 		}
 		Expect(l.Counts()).To(Equal(map[string]board.Count{"t0": {Online: perTarget}, "t1": {Online: perTarget}}))
 		Expect(l.Free(now)["g"]).To(BeZero())
-		Expect(l.Grant(now, ask(visiting), 0).Verdict).To(Equal(slots.None))
-		Expect(l.Grant(now, ask(batch), 0).Verdict).To(Equal(slots.None))
+		Expect(l.Grant(now, request(visiting), 0).Verdict).To(Equal(slots.None))
+		Expect(l.Grant(now, request(batch), 0).Verdict).To(Equal(slots.None))
 	})
 
-	It("has as many batch items give way as online work needs, the last ones first", func() {
+	It("preempts as many batch items as online work needs, the last ones first", func() {
 		var items []slots.Ask
 		for range 2 * perTarget {
-			a := ask(batch, holder(fmt.Sprint("h", len(items))))
+			a := request(batch, holder(fmt.Sprint("h", len(items))))
 			Expect(l.Grant(now, a, numbers).Verdict).To(Equal(slots.Granted))
 			items = append(items, a)
 			now = now.Add(time.Millisecond)
 		}
-		told := map[slots.ID]bool{}
+		preempted := map[slots.ID]bool{}
 		for range 3 {
 			for _, id := range granted().Yield {
-				told[id] = true
+				preempted[id] = true
 			}
 		}
-		Expect(told).To(HaveLen(3))
-		Expect(told).To(HaveKey(items[len(items)-1].ID))
-		Expect(told).To(HaveKey(items[len(items)-2].ID))
-		// An item whose holder did not hear of it is told again, or another one.
+		Expect(preempted).To(HaveLen(3))
+		Expect(preempted).To(HaveKey(items[len(items)-1].ID))
+		Expect(preempted).To(HaveKey(items[len(items)-2].ID))
+		// An item whose holder did not receive the notice is preempted again, or another
+		// one.
 		now = now.Add(time.Second)
 		Expect(granted().Yield).NotTo(BeEmpty())
 	})
 
-	// A zone has thousands of engines. Looking at each of them for every request takes the
-	// leader's processor; the choice must be as good as if it did.
-	It("gives a large zone's requests empty targets, and fills all of them evenly", func() {
+	// A zone has thousands of engines. Examining each of them for every request would use
+	// up the leader's CPU; the choice must be as good as if it did.
+	It("grants empty targets to a large zone's requests, and fills all of them evenly", func() {
 		const many = 500
 		l = ledger(many)
 		for range many {
@@ -119,69 +121,70 @@
 		Expect(l.Fullest(10)).To(HaveLen(10))
 	})
 
-	It("tells where the target is that it gives", func() {
+	It("returns the full description of the granted target", func() {
 		l.SetTargets(map[string][]slots.Target{"g": {{Start: "s", Slots: 1, ID: "t", Born: 7, Address: "1:1", Zone: "z"}}})
 		Expect(granted().At).To(Equal(slots.Target{Start: "s", Slots: 1, ID: "t", Born: 7, Address: "1:1", Zone: "z"}))
 	})
 
-	// Online requests come and go faster than batch items give way. Items that take the slots
-	// of those that have yet to leave wait at the engine, and guests behind them.
-	It("gives no batch item a slot that another one was told to leave and has not left", func() {
+	// Online requests come and go faster than batch items can be preempted. Items that
+	// get the slots of items that have not ended yet wait at the engine, and online
+	// requests wait behind them.
+	It("grants no batch item a slot whose preempted item has not ended", func() {
 		l = ledger(1)
 		for range perTarget {
-			Expect(l.Grant(now, ask(batch), 0).Verdict).To(Equal(slots.Granted))
+			Expect(l.Grant(now, request(batch), 0).Verdict).To(Equal(slots.Granted))
 		}
-		guest := ask()
-		Expect(l.Grant(now, guest, 0).Yield).To(HaveLen(1))
-		l.End(now, guest.ID.Holder, []slots.Ended{{Number: guest.ID.Number, Target: "t0", Outcome: routing.Succeeded}})
-		Expect(l.Grant(now, ask(batch), 0).Verdict).To(Equal(slots.None))
+		online := request()
+		Expect(l.Grant(now, online, 0).Yield).To(HaveLen(1))
+		l.End(now, online.ID.Holder, []slots.Ended{{Number: online.ID.Number, Target: "t0", Outcome: routing.Succeeded}})
+		Expect(l.Grant(now, request(batch), 0).Verdict).To(Equal(slots.None))
 	})
 
-	It("leaves batch the slots beyond the headroom only", func() {
+	It("grants batch only the slots beyond the headroom", func() {
 		l = ledger(1)
 		for range perTarget - 1 {
-			a := ask(batch)
+			a := request(batch)
 			a.Headroom = 1
 			Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.Granted))
 		}
-		a := ask(batch)
+		a := request(batch)
 		a.Headroom = 1
 		Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.None))
-		Expect(l.Grant(now, ask(), 0).Verdict).To(Equal(slots.Granted))
+		Expect(l.Grant(now, request(), 0).Verdict).To(Equal(slots.Granted))
 	})
 
-	// A target takes every connection and fails each request at once. It always looks
-	// like the emptiest one, and would draw the requests of the whole zone.
-	It("holds a target back that fails, and tries it again by one request at a time", func() {
-		a := ask(without("t1"))
+	// A target accepts every connection and fails each request at once. It always looks
+	// like the emptiest one, and would attract the requests of the whole zone.
+	It("avoids a target that fails, and tries it again with one request at a time", func() {
+		a := request(without("t1"))
 		Expect(l.Grant(now, a, 0).Target).To(Equal("t0"))
 		l.Report(now, "h", nil, []slots.Ended{{Number: a.ID.Number, Target: "t0", Outcome: routing.HardFailed}})
 		for range perTarget {
 			Expect(granted().Target).To(Equal("t1"))
 		}
-		// Its slots are not counted as free, but go before a queue elsewhere.
+		// Its slots do not count as free, but are preferred to a queue at another target.
 		Expect(l.Free(now)["g"]).To(BeZero())
 		now = now.Add(routing.FirstHold)
 		l = ledgerAfterFailure(now.Add(-routing.FirstHold))
-		trial := ask()
+		trial := request()
 		Expect(l.Grant(now, trial, 0).Target).To(Equal("t0"))
 		for range perTarget {
-			Expect(l.Grant(now, ask(), 0).Target).To(Equal("t1"))
+			Expect(l.Grant(now, request(), 0).Target).To(Equal("t1"))
 		}
 		l.Report(now, "h", nil, []slots.Ended{{Number: trial.ID.Number, Target: "t0", Outcome: routing.Succeeded}})
-		Expect(l.Grant(now, ask(), 0).Target).To(Equal("t0"))
-		Expect(l.Grant(now, ask(), 0).Target).To(Equal("t0"))
+		Expect(l.Grant(now, request(), 0).Target).To(Equal("t0"))
+		Expect(l.Grant(now, request(), 0).Target).To(Equal("t0"))
 	})
 
-	It("sends what must not run twice to no target that has not answered since it failed", func() {
+	It("sends no request that must not run twice to a target that has not answered since it failed", func() {
 		l = ledgerAfterFailure(now)
 		now = now.Add(time.Minute)
 		for range perTarget {
-			Expect(l.Grant(now, ask(lastChance), 0).Target).To(Equal("t1"))
+			Expect(l.Grant(now, request(lastChance), 0).Target).To(Equal("t1"))
 		}
 	})
 
-	It("passes a request on to the zone with the most room, and counts what it sent there", func() {
+	It("sends a request to the zone with the most free slots, and counts what it sent there", func() {
 		for range 2 * perTarget {
 			granted()
 		}
@@ -189,7 +192,7 @@
 		l.HearRoom(now, "x", "x:1", map[string]int{"g": 4})
 		var zones []string
 		for range 5 {
-			got := l.Grant(now, ask(), 0)
+			got := l.Grant(now, request(), 0)
 			if got.Verdict == slots.Elsewhere {
 				zones = append(zones, got.Zone)
 				continue
@@ -197,49 +200,50 @@
 			Expect(got.Verdict).To(Equal(slots.Granted))
 			zones = append(zones, "home")
 		}
-		// The last slot of a zone may be gone.
+		// The last slot of a zone may have been taken.
 		Expect(zones).To(Equal([]string{"x", "x", "y", "x", "y"}))
-		Expect(l.Grant(now, ask(), 0).Verdict).To(Equal(slots.Granted))
-		Expect(l.Grant(now, ask(staying), 0).Verdict).To(Equal(slots.Granted))
+		Expect(l.Grant(now, request(), 0).Verdict).To(Equal(slots.Granted))
+		Expect(l.Grant(now, request(staying), 0).Verdict).To(Equal(slots.Granted))
 		now = now.Add(slots.RoomLife + time.Millisecond)
 		l.HearRoom(now, "v", "v:1", map[string]int{"g": 2})
-		Expect(l.Grant(now, ask(), 0).Zone).To(Equal("v"))
+		Expect(l.Grant(now, request(), 0).Zone).To(Equal("v"))
 	})
 
-	// What would wait for longer than its caller does must be refused at once.
-	It("refuses what would queue for too long, by the time that requests take", func() {
+	// A request that would queue for longer than its caller waits must be refused at
+	// once.
+	It("refuses a request that would queue for too long, based on the service time", func() {
 		l = ledger(1)
 		for range 10 {
-			a := ask()
+			a := request()
 			Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.Granted))
 			l.Report(now, "h", nil, []slots.Ended{{Number: a.ID.Number, Target: "t0", Outcome: routing.Succeeded, Took: time.Second}})
 		}
 		for range perTarget {
 			granted()
 		}
-		// One in four slots gets free each quarter of a second.
+		// One of the four slots becomes free every quarter of a second.
 		granted()
 		granted()
 		granted()
-		refused := ask()
+		refused := request()
 		refused.Patience = 900 * time.Millisecond
 		got := l.Grant(now, refused, 0)
 		Expect(got.Verdict).To(Equal(slots.Overloaded))
 		Expect(got.Wait).To(BeNumerically("~", time.Second, time.Millisecond))
 	})
 
-	It("uses a target that the asker has tried only for want of another", func() {
+	It("uses a target that the caller has tried only if there is no other", func() {
 		Expect(granted(without("t0")).Target).To(Equal("t1"))
 		Expect(granted(without("t0", "t1")).Target).NotTo(BeEmpty())
-		Expect(l.Grant(now, ask(func(a *slots.Ask) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
+		Expect(l.Grant(now, request(func(a *slots.Ask) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
 	})
 
-	// A leader's host loses power. The next one knows nothing of what runs, and must
-	// not send the zone's requests to engines that are full.
-	It("is whole after one report of each holder", func() {
+	// A leader's host loses power. The next leader does not know what runs, and must not
+	// send the zone's requests to engines that are full.
+	It("is complete after one report of each holder", func() {
 		var running []slots.Running
 		for range 2 * perTarget {
-			a := ask()
+			a := request()
 			got := l.Grant(now, a, 0)
 			running = append(running, slots.Running{Number: a.ID.Number, Target: got.Target})
 		}
@@ -248,7 +252,7 @@
 		Expect(next.Counts()).To(Equal(l.Counts()))
 	})
 
-	It("drops a lease that its holder does not name, once it can't be under way to it any more", func() {
+	It("drops a lease that its holder does not report, once the grant must have reached it", func() {
 		granted()
 		l.Report(now, "h", nil, nil)
 		Expect(l.Counts()).To(HaveLen(1))
@@ -257,7 +261,7 @@
 		Expect(l.Counts()).To(BeEmpty())
 	})
 
-	It("drops the leases of a holder that is silent", func() {
+	It("drops the leases of a holder that sends no reports", func() {
 		granted()
 		now = now.Add(slots.LeaseLife)
 		l.Expire(now)
@@ -267,9 +271,9 @@
 		Expect(l.Counts()).To(BeEmpty())
 	})
 
-	// A count that is taken back wrongly leaves load that nobody has: a target looks
-	// full for good, or gets twice what fits.
-	It("counts what its holders run, whatever is asked, told and lost", func() {
+	// A count that is subtracted wrongly leaves load that no daemon has: a target looks
+	// full forever, or gets twice as many requests as fit.
+	It("counts what its holders run, whatever is requested, reported and lost", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := ledger(3)
 			now := start
