--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -1,32 +1,31 @@
-// Package admission decides how much batch work one target machine gets. It is
-// a pure state machine: online signals, load reports and stream events step in
-// with their time, and Step returns typed actions. It has no clock, socket or
-// goroutine of its own.
+// Package admission decides how much batch work one target machine gets. It is a pure
+// state machine: online signals, load reports and stream events are passed in with their
+// time, and Step returns typed actions. It has no clock, socket or goroutine of its own.
 //
-// The engines have no priority, so the only lever is what is sent to them. The
-// policy under comparison is a parameter: naive first come first served, a
-// static reserve, and give-way, the default.
+// The engines do not support priorities, so the load on them can only be controlled by
+// what is sent to them. The policy is a parameter: FCFS, StaticReserve or Preemptive, the
+// default.
 package admission
 
 import "time"
 
-// Numbers that are decisions; see docs/design/0004-batch-admission.md.
+// Limits of the state machine; see docs/design/0004-batch-admission.md.
 const (
-	// SignalExpiry is how long an entry host's count stays valid unrefreshed.
+	// SignalExpiry is how long an entry host's count is valid without being refreshed.
 	SignalExpiry = 2 * time.Second
-	// ReportValid is how long a load report is used after its arrival.
+	// ReportTTL is how long a load report is valid after its arrival.
 	ReportValid = 2 * time.Second
-	// ReportLag is how far a report may lie behind its arrival, beyond the lag
-	// that it states itself: streams that ran within it may be counted in the
-	// report. ReportLagMax bounds the sum, whatever the target's clock says.
+	// ReportLag is how old a report may be when it arrives, in addition to the lag that
+	// it states itself: the report may count streams that ran within that time.
+	// ReportLagMax bounds the sum, whatever the target's clock shows.
 	ReportLag    = time.Second
 	ReportLagMax = 5 * time.Second
-	// FailureBackoffMin and FailureBackoffMax bound the pause after failures in a row.
+	// FailureBackoffMin and FailureBackoffMax bound the pause after consecutive failures.
 	FailureBackoffMin = 100 * time.Millisecond
 	FailureBackoffMax = 5 * time.Second
 )
 
-// StreamID names a running batch stream at one target.
+// StreamID identifies a running batch stream at one target.
 type StreamID uint64
 
 // Stream is one running batch stream as the policies see it.
@@ -45,36 +44,37 @@
 	Tokens int
 	// Admitted is when the stream was started.
 	Admitted time.Time
-	// Small tells that the prompt was almost whole in the target's cache at the
+	// SmallPrefill is set if the prompt was almost entirely in the target's cache at the
 	// start, so that its prefill hardly lengthens a step.
 	Small bool
 	// Suspect streams run alone.
 	Suspect bool
-	// Pinned streams are never cancelled to make room: calls of plain services
-	// and work that must not be repeated cannot be resumed.
+	// Pinned streams are never cancelled to make room: calls of plain services and work
+	// that must not be repeated cannot be resumed.
 	Pinned bool
 }
 
-// Queue is what waits for this target.
+// Queue describes the batch items that wait for this target.
 type Queue struct {
 	// Waiting counts the items that could start now.
 	Waiting int
-	// Small counts those whose prefill hardly lengthens a step; it may stop at one.
+	// SmallPrefill counts those whose prefill hardly lengthens a step; counting may stop
+	// at one.
 	Small int
-	// NextDue is the due time of the most urgent one.
+	// NextDue is the due time of the most urgent item.
 	NextDue time.Time
-	// Weight is its profile's batch weight.
+	// Weight is the batch weight of its profile.
 	Weight float64
 	// Forecast is when its job is expected to finish; zero if unknown.
 	Forecast time.Time
-	// Suspect tells that the next item must run alone on this target.
+	// Suspect is set if the next item must run alone on this target.
 	Suspect bool
 }
 
-// Reason tells why batch is held back or cancelled.
+// Reason is why batch items wait or are cancelled.
 type Reason string
 
-// The reasons, most binding first.
+// The reasons, the strongest first.
 const (
 	ReasonNone     Reason = ""
 	ReasonLeaving  Reason = "target_leaving"
@@ -83,7 +83,8 @@
 	ReasonOnline   Reason = "online_running"
 	ReasonCoolDown Reason = "cool_down"
 	ReasonPrefill  Reason = "prefill_running"
-	// ReasonLongPrefill: what waits would stretch a step of online work too much.
+	// ReasonLongPrefill: the prefill of every waiting item would lengthen a step of
+	// online work too much.
 	ReasonLongPrefill Reason = "long_prefill"
 	ReasonRamp        Reason = "ramp"
 	ReasonSilent      Reason = "entries_silent"
@@ -91,14 +92,14 @@
 	ReasonEmpty       Reason = "nothing_waiting"
 )
 
-// Action is the output of a step.
+// Action is the result of a step.
 type Action struct {
 	// Admit is how many waiting items may start now.
 	Admit int
-	// Small tells that only items with a small prefill may start.
+	// SmallPrefill is set if only items with a small prefill may start.
 	Small bool
 	// Cancel lists running streams to be cancelled at once, to be resumed later.
 	Cancel []StreamID
-	// Why tells what holds back further items.
+	// Reason is why no further items may start.
 	Why Reason
 }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -18,23 +18,23 @@
 	os.Exit(m.Run())
 }
 
-// word is one online signal as the naive model keeps it.
-type word struct {
+// signal is one online signal as the reference model keeps it.
+type signal struct {
 	at     time.Time
 	entry  string
 	online int
 }
 
-// model is the naive version: it keeps every signal ever sent and counts the
-// online requests by a scan.
+// model is the reference model: it keeps every signal ever sent and counts the online
+// requests by a scan.
 type model struct {
-	words   []word
+	signals []signal
 	running map[StreamID]Stream
 }
 
 func (m *model) online(now time.Time) int {
-	last := map[string]word{}
-	for _, w := range m.words {
+	last := map[string]signal{}
+	for _, w := range m.signals {
 		last[w.entry] = w
 	}
 	n := 0
@@ -46,11 +46,11 @@
 	return n
 }
 
-// A planner's CAD plugin hangs because batch fills the slots that online work
-// needs. Whatever the order of signals, admissions, ends and pauses, the
-// admitted streams must fit beside the online requests that the naive count
-// shows, weight 0 must leave beside online only what is below the fill level,
-// and a suspect must be alone.
+// A planner's CAD plugin hangs because batch fills the slots that online work needs.
+// Whatever the order of signals, admissions, ends and pauses, the admitted streams must
+// fit next to the online requests that the reference model counts. While online work
+// runs, streams of weight 0 may take only what is below the fill level. A suspect must
+// run alone.
 func TestGiveWayAgainstNaiveCount(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.UnixMilli(1_000_000)
@@ -65,8 +65,8 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "event") {
 			case 0:
 				seq++
-				w := word{now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "entry"), rapid.IntRange(0, 3).Draw(rt, "online")}
-				m.words = append(m.words, w)
+				w := signal{now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "entry"), rapid.IntRange(0, 3).Draw(rt, "online")}
+				m.signals = append(m.signals, w)
 				target.Signal(now, w.entry, seq, w.online, seq)
 			case 1:
 				now = now.Add(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
@@ -116,32 +116,32 @@
 		delete(kept, id)
 	}
 	if a.Admit > 0 && len(kept)+a.Admit > slots-online-headroom {
-		rt.Fatalf("admits %d beside %d batch and %d online of %d slots", a.Admit, len(kept), online, slots)
+		rt.Fatalf("admits %d with %d batch and %d online of %d slots", a.Admit, len(kept), online, slots)
 	}
 	for _, s := range kept {
 		if s.Base == 0 {
 			weightless++
 		}
 		if s.Suspect && a.Admit > 0 {
-			rt.Fatalf("admits beside a suspect")
+			rt.Fatalf("admits while a suspect runs")
 		}
 	}
 	if online > 0 && weightless > below {
-		rt.Fatalf("%d streams of weight 0 run on beside %d online, fill %d of %d slots", weightless, online, policy.Fill, slots)
+		rt.Fatalf("%d streams of weight 0 keep running with %d online, fill %d of %d slots", weightless, online, policy.Fill, slots)
 	}
 	if online > 0 && len(kept) > max(slots-online-headroom, 0) {
-		rt.Fatalf("keeps %d beside %d online of %d slots", len(kept), online, slots)
+		rt.Fatalf("keeps %d with %d online of %d slots", len(kept), online, slots)
 	}
 	if online > 0 && q.Weight == 0 && a.Admit > 0 && len(kept)+a.Admit > below {
-		rt.Fatalf("admits weight 0 beside %d batch and %d online, fill %d", len(kept), online, policy.Fill)
+		rt.Fatalf("admits weight 0 with %d batch and %d online, fill %d", len(kept), online, policy.Fill)
 	}
 	if q.Suspect && a.Admit > 0 && (a.Admit != 1 || len(m.running)+online > 0) {
 		rt.Fatalf("suspect admitted with %d batch and %d online", len(m.running), online)
 	}
 }
 
-// Protection alone is easy: admit nothing. An idle target must also be filled
-// up to its headroom, by every policy, a short while after online work ended.
+// Protecting online work alone is easy: admit nothing. An idle target must also be filled
+// up to its headroom, by every policy, shortly after online work ended.
 func TestIdleTargetIsFilled(t *testing.T) {
 	for _, p := range []Policy{FCFS{}, StaticReserve{Free: 1}, DefaultGiveWay()} {
 		g := NewWithT(t)
@@ -165,8 +165,8 @@
 	}
 }
 
-// Each rule of the design note once, with figures small enough to check by hand.
-func TestGiveWayRules(t *testing.T) {
+// Checks each rule of the design note once, with numbers small enough to verify by hand.
+func TestPreemptiveRules(t *testing.T) {
 	g := NewWithT(t)
 	now := time.UnixMilli(1_000_000)
 	start := func(weight float64, streams int) *Target {
@@ -181,7 +181,7 @@
 	half := start(0.5, 8)
 	half.Signal(now, "a", 1, 4, 4)
 	g.Expect(half.Step(now, Queue{}).Cancel).To(ConsistOf(StreamID(1), StreamID(2), StreamID(3), StreamID(4), StreamID(5), StreamID(6)),
-		"weight 0.5 keeps two of four spare slots, the streams with most tokens")
+		"weight 0.5 keeps two of four free slots, the streams with most tokens")
 
 	prefill := start(1, 1)
 	prefill.Signal(now, "a", 1, 1, 1)
@@ -196,7 +196,7 @@
 		filled.Admitted(now, Stream{ID: StreamID(i + 1), Tokens: 1})
 	}
 	filled.Signal(now, "a", 1, 2, 2)
-	g.Expect(filled.Step(now, Queue{}).Cancel).To(HaveLen(4), "three of weight 0 stay: two online and they make five")
+	g.Expect(filled.Step(now, Queue{}).Cancel).To(HaveLen(4), "three of weight 0 are kept: with two online they make five")
 	filled.Signal(now, "a", 2, 6, 6)
 	g.Expect(filled.Step(now, Queue{Waiting: 9}).Cancel).To(HaveLen(7), "a burst takes all")
 
@@ -204,7 +204,7 @@
 	small.Admitted(now, Stream{ID: 1})
 	small.Admitted(now, Stream{ID: 2, Small: true})
 	small.Signal(now, "a", 1, 1, 1)
-	g.Expect(small.Step(now, Queue{}).Cancel).To(Equal([]StreamID{1}), "a long prefill does not go on beside online")
+	g.Expect(small.Step(now, Queue{}).Cancel).To(Equal([]StreamID{1}), "a long prefill does not continue while online work runs")
 	small.Ended(now, 1)
 	small.Progress(2, 1)
 	g.Expect(small.Step(now, Queue{Waiting: 5})).To(Equal(Action{Why: ReasonLongPrefill}))
@@ -217,12 +217,12 @@
 	g.Expect(silent.Step(now.Add(SignalExpiry+time.Millisecond), Queue{Waiting: 20}).Why).To(Equal(ReasonCoolDown), "the count has just expired")
 	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20})).To(Equal(Action{Admit: 4, Why: ReasonSilent}), "half of eight")
 	silent.SetEntries(nil)
-	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20}).Admit).To(Equal(8), "a dead host is not expected to speak")
+	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20}).Admit).To(Equal(8), "no signals are expected from a dead host")
 
-	unheard := start(0, 2)
-	unheard.Load(now.Add(time.Second), 0, 5, 1)
-	g.Expect(unheard.Online(now.Add(time.Second))).To(Equal(4), "the report shows four more than our two")
-	g.Expect(unheard.Step(now.Add(time.Second), Queue{}).Cancel).To(HaveLen(2))
+	unsignalled := start(0, 2)
+	unsignalled.Load(now.Add(time.Second), 0, 5, 1)
+	g.Expect(unsignalled.Online(now.Add(time.Second))).To(Equal(4), "the report shows four more than our two")
+	g.Expect(unsignalled.Step(now.Add(time.Second), Queue{}).Cancel).To(HaveLen(2))
 
 	lagging := start(0, 8)
 	for i := range 8 {
@@ -231,7 +231,7 @@
 	lagging.Load(now.Add(2500*time.Millisecond), time.Second, 8, 0)
 	g.Expect(lagging.Online(now.Add(2500*time.Millisecond))).To(BeZero(), "the report still shows our own eight")
 	lagging.Load(now.Add(4*time.Second), time.Second, 8, 0)
-	g.Expect(lagging.Online(now.Add(4*time.Second))).To(Equal(8), "they are gone for too long to be ours")
+	g.Expect(lagging.Online(now.Add(4*time.Second))).To(Equal(8), "they ended too long ago to be ours")
 
 	pinned := NewTarget(DefaultGiveWay(), 4, now)
 	pinned.Admitted(now, Stream{ID: 1, Pinned: true})
@@ -261,7 +261,7 @@
 	g.Expect(known).To(BeFalse())
 	due := now.Add(2 * UrgentWindow)
 	g.Expect(EffectiveWeight(0, now, due, time.Time{})).To(BeZero())
-	g.Expect(EffectiveWeight(0, now, due, now.Add(UrgentWindow*3/2))).To(BeNumerically("~", UrgentWeight/2, 1e-9), "the forecast eats half of the window")
+	g.Expect(EffectiveWeight(0, now, due, now.Add(UrgentWindow*3/2))).To(BeNumerically("~", UrgentWeight/2, 1e-9), "the forecast uses up half of the window")
 	g.Expect(EffectiveWeight(0, now, due, due.Add(time.Hour))).To(Equal(UrgentWeight))
 	g.Expect(EffectiveWeight(0.9, now, now, now)).To(Equal(0.9))
 }
--- a/core/admission/forecast.go
+++ b/core/admission/forecast.go
@@ -5,14 +5,14 @@
 const (
 	// UrgentWindow is the slack below which an item's weight begins to rise.
 	UrgentWindow = 15 * time.Minute
-	// UrgentWeight is the weight that an item without any slack reaches, if its
-	// profile's own weight is lower. It stays at a half: work that is late takes
-	// at most half of the slots that online leaves over.
+	// UrgentWeight is the weight of an item without slack, if its profile's own weight is
+	// lower. It is a half so that late work takes at most half of the slots that online
+	// work leaves free.
 	UrgentWeight = 0.5
 )
 
-// ForecastFinish tells when a backlog of items is finished at a rate of items a
-// second; false when the rate is not known.
+// ForecastFinish returns when a backlog of items will be finished at a rate in items per
+// second. It returns false if the rate is not known.
 func ForecastFinish(now time.Time, backlog int, rate float64) (time.Time, bool) {
 	if backlog <= 0 {
 		return now, true
@@ -28,10 +28,10 @@
 	return now.Add(time.Duration(seconds * float64(time.Second))), true
 }
 
-// EffectiveWeight raises a profile's batch weight as the due time comes near:
-// with slack = due − max(now, forecast), the weight stays base at a slack of
-// UrgentWindow or more, rises in a straight line, and is UrgentWeight at no
-// slack. It never falls below base.
+// EffectiveWeight raises a profile's batch weight as the due time approaches. With slack
+// = due − max(now, forecast), the weight is base at a slack of UrgentWindow or more,
+// rises linearly as the slack shrinks, and is UrgentWeight at no slack. It is never below
+// base.
 func EffectiveWeight(base float64, now, due, forecast time.Time) float64 {
 	if due.IsZero() || base >= UrgentWeight {
 		return base
@@ -48,16 +48,16 @@
 	return base + (UrgentWeight-base)*urgency
 }
 
-// rateHalfLife is how fast the estimate of Rate forgets.
+// rateHalfLife is the half-life with which Rate discounts past items.
 const rateHalfLife = 30 * time.Second
 
-// Rate estimates finished items a second over about the last minute. The zero
-// value is ready.
+// Rate estimates the finished items per second over about the last minute. The zero value
+// is ready to use.
 type Rate struct {
 	since time.Time
 	last  time.Time
-	// weight and time decay together, so that their quotient is a rate from
-	// the first item on.
+	// items and seconds decay together, so that their quotient is a rate from the first
+	// item on.
 	items   float64
 	seconds float64
 }
@@ -68,7 +68,7 @@
 	r.items += float64(n)
 }
 
-// PerSecond returns the estimate at now; 0 before anything was observed.
+// PerSecond returns the estimate at now; 0 before the first observation.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	r.advance(now)
 	if r.seconds <= 0 {
--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Snapshot is what a policy decides from. Running is sorted: streams worth
-// keeping come first.
+// Snapshot is the state of a target from which a policy decides. Running is sorted:
+// streams to keep come first.
 type Snapshot struct {
 	Now time.Time
 	// Slots is how many requests the target runs at once without queueing.
 	Slots int
-	// Online is the number of online requests believed to be at the target.
+	// Online is the estimated number of online requests at the target.
 	Online int
-	// Quiet is the time since online was last above zero; a target never seen
-	// with online work is quiet since it was taken over.
+	// SinceOnline is the time since Online was last above zero, or since the target was
+	// taken over if it has had no online work.
 	Quiet time.Duration
-	// Silent tells that entry hosts which should be heard are not.
+	// Silent is set if signals from entry hosts are missing.
 	Silent bool
 	// Running lists the batch streams.
 	Running []Stream
-	// Waiting and Weight describe the queue's head; Small counts the waiting
+	// Waiting and Weight describe the head of the queue; SmallPrefill counts the waiting
 	// items with a small prefill.
 	Waiting int
 	Small   int
 	Weight  float64
 }
 
-// Policy decides about one target. Implementations are pure.
+// Policy decides about one target. Implementations are pure functions of the snapshot.
 type Policy interface {
-	// Name is used in metrics and status.
+	// Name is used in metrics and status pages.
 	Name() string
-	// Decide returns the wished action. The state machine itself adds what holds
-	// under every policy: leaving, failing and suspect rules.
+	// Decide returns the action that the policy chooses. Target itself adds the rules
+	// that apply under every policy, for leaving and failing targets and for suspects.
 	Decide(s Snapshot) Action
-	// Limit is how many batch streams may run at once in the snapshot's state,
-	// however slowly Decide lets them in: that many are worth fetching.
+	// Limit is how many batch streams may run at once in the snapshot's state, however
+	// slowly Decide admits them. It bounds how many items are worth fetching.
 	Limit(s Snapshot) int
 }
 
-// FCFS is the naive version: it fills every slot whatever online does.
+// FCFS (first come, first served) fills every slot regardless of online work.
 type FCFS struct{}
 
 // Name implements Policy.
@@ -71,25 +71,26 @@
 // Limit implements Policy.
 func (p StaticReserve) Limit(s Snapshot) int { return max(s.Slots-p.Free, 0) }
 
-// GiveWay takes idle slots and gives them back at the first online request.
+// Preemptive runs batch on idle slots and preempts it when the first online request
+// arrives.
 type GiveWay struct {
 	// Headroom is how many slots stay free of batch for the first requests of a burst.
 	Headroom int
-	// Fill is up to how many streams, online and batch together, a target is
-	// filled beside online work whatever the weight. A target with this many
-	// steps hardly slower than a burst of online requests makes it, so the tail
-	// does not show it; a burst itself leaves batch none of it.
+	// Fill is the number of streams, online and batch together, up to which a target is
+	// filled while online work runs, whatever the weight. With this many streams the
+	// target's steps are hardly slower than a burst of online requests makes them, so the
+	// tail latency does not show it; a burst itself leaves batch none of these slots.
 	Fill int
-	// CoolDown is how long the target must be free of online work before batch
-	// starts again.
+	// CoolDown is how long the target must be free of online work before batch starts
+	// again.
 	CoolDown time.Duration
-	// RampEvery is the time in which the number of admitted streams may double.
+	// RampInterval is the time in which the number of admitted streams may double.
 	RampEvery time.Duration
 }
 
-// DefaultGiveWay returns the parameters in force unless settings say otherwise.
-// The cool-down is short since idle capacity lasts only seconds; the ramp keeps
-// a burst that comes back within it from meeting a full set of prefills.
+// DefaultPreemptive returns the parameters that apply unless settings override them. The
+// cool-down is short because idle capacity lasts only seconds; the ramp ensures that a
+// burst which returns while it runs does not meet a full set of prefills.
 func DefaultGiveWay() GiveWay {
 	return GiveWay{Headroom: 1, CoolDown: 200 * time.Millisecond, RampEvery: 50 * time.Millisecond}
 }
@@ -97,33 +98,32 @@
 // Name implements Policy.
 func (GiveWay) Name() string { return "give_way" }
 
-// Limit implements Policy. Beside online work a weight earns its share of the
-// spare slots, and Fill what is left below it.
+// Limit implements Policy. While online work runs, a weight gets its share of the free
+// slots, and Fill the rest of them below the fill level.
 func (p GiveWay) Limit(s Snapshot) int { return p.limit(s, s.Weight) }
 
 func (p GiveWay) limit(s Snapshot, weight float64) int {
-	spare := p.spare(s)
+	free := p.freeSlots(s)
 	if s.Online == 0 && s.Quiet >= p.CoolDown {
-		return spare
+		return free
 	}
-	return max(share(weight, spare), min(p.Fill-s.Online, spare))
+	return max(weightedShare(weight, free), min(p.Fill-s.Online, free))
 }
 
-func (p GiveWay) spare(s Snapshot) int {
+func (p GiveWay) freeSlots(s Snapshot) int {
 	return max(s.Slots-s.Online-p.headroom(s.Slots), 0)
 }
 
-// Decide implements Policy. While online work runs, a stream is kept only if
-// its rank is below the limit that its weight earns. A new stream's prefill
-// stretches the time between tokens of all running streams, so beside online
-// work at most one prefill runs at a time, and what runs on account of Fill
-// alone must have a small one.
+// Decide implements Policy. While online work runs, a stream is kept only if its rank is
+// below the limit for its weight. A new stream's prefill lengthens the time between
+// tokens of all running streams. While online work runs, at most one prefill therefore
+// runs at a time, and streams that run only because of Fill must have a small one.
 func (p GiveWay) Decide(s Snapshot) Action {
 	if s.Online > 0 {
-		return p.besideOnline(s)
+		return p.decideWithOnline(s)
 	}
 	if s.Quiet < p.CoolDown {
-		return p.onePrefill(s, Action{Why: ReasonCoolDown})
+		return p.admitOnePrefill(s, Action{Why: ReasonCoolDown})
 	}
 	limit, why := p.Limit(s), ReasonFull
 	if ramp := p.ramp(s.Quiet - p.CoolDown); ramp < limit {
@@ -132,19 +132,19 @@
 	return admitUpTo(s, p.quota(limit, s.Silent, &why), why)
 }
 
-// headroom leaves at least one slot to batch on an idle target; otherwise a
-// target with one slot would never run batch at all.
+// headroom leaves batch at least one slot on an idle target; otherwise a target with one
+// slot would never run batch.
 func (p GiveWay) headroom(slots int) int {
 	return min(p.Headroom, max(slots-1, 0))
 }
 
-func (p GiveWay) besideOnline(s Snapshot) Action {
+func (p GiveWay) decideWithOnline(s Snapshot) Action {
 	a := Action{Why: ReasonOnline}
 	kept := 0
 	for _, r := range s.Running {
 		limit := p.limit(s, r.Weight)
 		if r.Tokens == 0 && !r.Small {
-			limit = share(r.Weight, p.spare(s))
+			limit = weightedShare(r.Weight, p.freeSlots(s))
 		}
 		if r.Pinned || kept < limit {
 			kept++
@@ -155,11 +155,11 @@
 	if len(a.Cancel) > 0 {
 		return a
 	}
-	return p.onePrefill(s, a)
+	return p.admitOnePrefill(s, a)
 }
 
-// onePrefill admits at most one stream, and only when no batch prefill runs.
-func (p GiveWay) onePrefill(s Snapshot, a Action) Action {
+// admitOnePrefill admits at most one stream, and only if no batch prefill runs.
+func (p GiveWay) admitOnePrefill(s Snapshot, a Action) Action {
 	why := a.Why
 	limit := p.quota(p.Limit(s), s.Silent, &why)
 	if s.Waiting == 0 || len(s.Running) >= limit {
@@ -172,7 +172,7 @@
 			return a
 		}
 	}
-	small := len(s.Running) >= p.quota(share(s.Weight, p.spare(s)), s.Silent, &why)
+	small := len(s.Running) >= p.quota(weightedShare(s.Weight, p.freeSlots(s)), s.Silent, &why)
 	if small && s.Small == 0 {
 		a.Why = ReasonLongPrefill
 		return a
@@ -181,10 +181,9 @@
 	return a
 }
 
-// quota halves the limit while entry hosts that should be heard are silent:
-// their online load is unknown, and unknown must mean less batch. One stream
-// stays allowed on an otherwise free target, or a host that is live but cut off
-// would stop all batch for good.
+// quota halves the limit while signals from entry hosts are missing: their online load is
+// unknown, which must mean less batch. One stream remains allowed on an otherwise free
+// target, or a host that is live but partitioned would stop all batch permanently.
 func (p GiveWay) quota(limit int, silent bool, why *Reason) int {
 	if !silent || limit <= 1 {
 		return limit
@@ -193,7 +192,7 @@
 	return limit / 2
 }
 
-// ramp is the number of streams allowed after d without online work: 1, 2, 4, …
+// ramp returns the number of streams allowed after d without online work: 1, 2, 4, …
 func (p GiveWay) ramp(d time.Duration) int {
 	const maxDoublings = 16
 	if p.RampEvery <= 0 {
@@ -202,10 +201,10 @@
 	return 1 << min(int(d/p.RampEvery), maxDoublings)
 }
 
-// share is how many of the spare slots a weight earns, rounded down so that
-// weight 0 earns none.
-func share(weight float64, spare int) int {
-	return int(math.Floor(weight*float64(spare) + 1e-9))
+// weightedShare returns how many of the free slots a weight gets, rounded down so that
+// weight 0 gets none.
+func weightedShare(weight float64, free int) int {
+	return int(math.Floor(weight*float64(free) + 1e-9))
 }
 
 func admitUpTo(s Snapshot, limit int, why Reason) Action {
@@ -216,9 +215,9 @@
 	return Action{Admit: n, Why: why}
 }
 
-// sortKeepFirst orders streams by what is worth keeping beside online work:
-// higher weight, then earlier due, then more tokens, since their resume costs
-// the longest prefill.
+// sortKeepFirst sorts streams by priority for being kept while online work runs: higher
+// weight, then earlier due time, then more tokens, since these need the longest prefill
+// when they are resumed.
 func sortKeepFirst(streams []Stream) {
 	sort.Slice(streams, func(i, j int) bool {
 		a, b := streams[i], streams[j]
--- a/core/admission/signals.go
+++ b/core/admission/signals.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// entries holds the online counts by entry host.
-type entries struct {
-	since time.Time
-	live  map[string]bool
-	count map[string]entryCount
+// onlineCounts holds the online counts by entry host.
+type onlineCounts struct {
+	takenOverAt time.Time
+	live        map[string]bool
+	count       map[string]entryCount
 }
 
 type entryCount struct {
 	seq    uint64
 	online int
-	// started counts the requests that the entry host ever started here.
-	started uint64
-	heard   time.Time
+	// started counts all requests that the entry host has started here.
+	started    uint64
+	receivedAt time.Time
 }
 
-func newEntries(now time.Time) entries {
-	return entries{since: now, count: make(map[string]entryCount)}
+func newOnlineCounts(now time.Time) onlineCounts {
+	return onlineCounts{takenOverAt: now, count: make(map[string]entryCount)}
 }
 
-func (e *entries) setLive(live []string) {
+func (e *onlineCounts) setLive(live []string) {
 	e.live = make(map[string]bool, len(live))
 	for _, id := range live {
 		e.live[id] = true
@@ -33,10 +33,10 @@
 	}
 }
 
-// set stores an absolute word and tells whether it shows new starts. One-way
-// messages may overtake each other, so an older sequence number never replaces
-// a newer word.
-func (e *entries) set(entry string, c entryCount) bool {
+// apply stores an absolute count and reports whether it shows new starts. One-way
+// messages may overtake each other, so an older sequence number never replaces a newer
+// count.
+func (e *onlineCounts) apply(entry string, c entryCount) bool {
 	old, known := e.count[entry]
 	if known && c.seq < old.seq {
 		return false
@@ -45,28 +45,28 @@
 	return known && c.started > old.started
 }
 
-// total adds the counts that are still valid.
-func (e *entries) total(now time.Time) int {
+// total adds up the counts that are still valid.
+func (e *onlineCounts) total(now time.Time) int {
 	n := 0
 	for _, c := range e.count {
-		if now.Sub(c.heard) <= SignalExpiry {
+		if now.Sub(c.receivedAt) <= SignalExpiry {
 			n += c.online
 		}
 	}
 	return n
 }
 
-// silent tells whether online load is unknown: a live entry host whose last
-// word was that it has online requests here must repeat that word, so its
-// expired count means lost signals, not an idle target. After a take-over the
-// counts of the hosts not heard yet are unknown for one expiry.
-func (e *entries) silent(now time.Time) bool {
+// silent reports whether the online load is unknown. A live entry host whose last count
+// was above zero must repeat it, so an expired count means lost signals, not an idle
+// target. After a takeover, the counts of the hosts that have not sent a signal yet are
+// unknown for one SignalExpiry.
+func (e *onlineCounts) silent(now time.Time) bool {
 	for id, c := range e.count {
-		if c.online > 0 && now.Sub(c.heard) > SignalExpiry && (e.live == nil || e.live[id]) {
+		if c.online > 0 && now.Sub(c.receivedAt) > SignalExpiry && (e.live == nil || e.live[id]) {
 			return true
 		}
 	}
-	if now.Sub(e.since) > SignalExpiry {
+	if now.Sub(e.takenOverAt) > SignalExpiry {
 		return false
 	}
 	for id := range e.live {
@@ -77,8 +77,8 @@
 	return false
 }
 
-// report is the last load report; at is its arrival, window how far back it
-// may look.
+// report is the last load report; at is its arrival time, window how far before that it
+// may look back.
 type report struct {
 	at      time.Time
 	window  time.Duration
@@ -86,17 +86,17 @@
 	waiting int
 }
 
-// peakGrain is the time over which counts are merged into one sample; with the
-// bounded window it bounds the memory whatever the rate of signals.
-const peakGrain = 50 * time.Millisecond
+// peakResolution is the time over which counts are merged into one sample. Together with
+// the bounded window it bounds the memory, whatever the rate of signals.
+const peakResolution = 50 * time.Millisecond
 
-// peaks remembers how many streams ran lately, to judge a lagging report.
+// peaks holds the recent numbers of running streams, to interpret a lagging report.
 type peaks struct {
 	samples []peakSample
 }
 
-// peakSample covers a grain from at on: its largest counts, and the last ones,
-// which hold until the next sample.
+// peakSample covers the time from at for peakResolution: its largest counts, and the last
+// ones, which hold until the next sample.
 type peakSample struct {
 	at         time.Time
 	maxBatch   int
@@ -110,7 +110,7 @@
 	for len(p.samples) > 1 && p.samples[1].at.Before(cut) {
 		p.samples = p.samples[1:]
 	}
-	if n := len(p.samples); n > 0 && now.Sub(p.samples[n-1].at) < peakGrain {
+	if n := len(p.samples); n > 0 && now.Sub(p.samples[n-1].at) < peakResolution {
 		s := &p.samples[n-1]
 		s.maxBatch, s.maxOnline = max(s.maxBatch, batch), max(s.maxOnline, online)
 		s.lastBatch, s.lastOnline = batch, online
@@ -121,8 +121,8 @@
 	})
 }
 
-// within returns the largest counts between from and to. Without any sample the
-// present counts are returned.
+// within returns the largest counts between from and to. Without any sample it returns
+// the given current counts.
 func (p *peaks) within(from, to time.Time, batch, online int) (int, int) {
 	if len(p.samples) == 0 {
 		return batch, online
@@ -131,8 +131,8 @@
 	for i, s := range p.samples {
 		switch {
 		case s.at.After(to) || (i+1 < len(p.samples) && !p.samples[i+1].at.After(from)):
-		case from.Sub(s.at) >= peakGrain:
-			// The sample began before the window; what held at its end counts.
+		case from.Sub(s.at) >= peakResolution:
+			// The sample began before the window; the counts at its end apply.
 			maxBatch, maxOnline = max(maxBatch, s.lastBatch), max(maxOnline, s.lastOnline)
 		default:
 			maxBatch, maxOnline = max(maxBatch, s.maxBatch), max(maxOnline, s.maxOnline)
--- a/core/admission/target.go
+++ b/core/admission/target.go
@@ -13,115 +13,115 @@
 type Target struct {
 	slots   int
 	policy  Policy
-	entries entries
+	online  onlineCounts
 	running map[StreamID]*Stream
 	report  report
 	peaks   peaks
 
-	quietSince   time.Time
-	leaving      bool
-	failures     int
-	blockedUntil time.Time
+	noOnlineSince time.Time
+	leaving       bool
+	failures      int
+	blockedUntil  time.Time
 }
 
-// NewTarget returns the state for a target taken over at now.
+// NewTarget returns the state of a target that is taken over at now.
 func NewTarget(policy Policy, slots int, now time.Time) *Target {
 	return &Target{
-		slots:      slots,
-		policy:     policy,
-		entries:    newEntries(now),
-		running:    make(map[StreamID]*Stream),
-		quietSince: now,
+		slots:         slots,
+		policy:        policy,
+		online:        newOnlineCounts(now),
+		running:       make(map[StreamID]*Stream),
+		noOnlineSince: now,
 	}
 }
 
-// SetPolicy changes the policy from the next step on.
+// SetPolicy changes the policy for the following steps.
 func (t *Target) SetPolicy(p Policy) { t.policy = p }
 
-// PolicyName names the policy in force.
+// PolicyName returns the name of the current policy.
 func (t *Target) PolicyName() string { return t.policy.Name() }
 
 // SetSlots changes the number of slots.
 func (t *Target) SetSlots(n int) { t.slots = n }
 
-// SetLeaving tells whether the target leaves the fleet.
+// SetLeaving sets whether the target is leaving the fleet.
 func (t *Target) SetLeaving(leaving bool) { t.leaving = leaving }
 
-// SetEntries tells which entry hosts are live: counts of others are dropped,
-// and those that should be heard but are not count as unknown.
-func (t *Target) SetEntries(live []string) { t.entries.setLive(live) }
+// SetEntries sets which entry hosts are live. Counts of other hosts are dropped, and live
+// hosts whose signals are missing count as unknown load.
+func (t *Target) SetEntries(live []string) { t.online.setLive(live) }
 
-// Signal takes an entry host's absolute word: its online requests at the target
-// now, and how many it ever started there. A sequence number older than the last
-// one is ignored. It tells whether online requests began.
+// Signal applies an entry host's absolute counts: its online requests at the target now,
+// and all that it ever started there. A sequence number older than the last one is
+// ignored. It reports whether online requests began.
 func (t *Target) Signal(now time.Time, entry string, seq uint64, online int, started uint64) bool {
-	before := t.entries.total(now)
+	before := t.online.total(now)
 	t.peaks.add(now, len(t.running), before)
-	began := t.entries.set(entry, entryCount{seq: seq, online: max(online, 0), started: started, heard: now})
-	after := t.entries.total(now)
+	began := t.online.apply(entry, entryCount{seq: seq, online: max(online, 0), started: started, receivedAt: now})
+	after := t.online.total(now)
 	t.peaks.add(now, len(t.running), after)
-	// Requests that begin and end between two signals leave the count at zero;
-	// only the rising number of starts shows that the burst goes on.
+	// Requests that begin and end between two signals leave the count at zero; only the
+	// rising number of starts shows that the burst continues.
 	if began || after > 0 || before > 0 {
-		t.quietSince = now
+		t.noOnlineSince = now
 	}
 	return began || after > before
 }
 
-// Load takes a load report that arrived at now and says that it is lag old. The
-// target's clock may be off, so the lag only widens the window of our own
-// streams that explain the report, within bounds.
+// ApplyReport applies a load report that arrived at now and states that it is lag old.
+// The target's clock may be wrong, so the lag only widens, within bounds, the window in
+// which this daemon's own streams can explain the report.
 func (t *Target) Load(now time.Time, lag time.Duration, running, waiting int) {
 	window := min(ReportLag+max(lag, 0), ReportLagMax)
 	t.report = report{at: now, window: window, running: running, waiting: waiting}
 }
 
-// Admitted tells that a stream was started.
+// Admitted records that a stream was started.
 func (t *Target) Admitted(now time.Time, s Stream) {
 	s.Admitted = now
 	t.running[s.ID] = &s
-	t.peaks.add(now, len(t.running), t.entries.total(now))
+	t.peaks.add(now, len(t.running), t.online.total(now))
 }
 
-// Progress tells how many tokens a stream has delivered.
+// Progress records how many tokens a stream has delivered.
 func (t *Target) Progress(id StreamID, tokens int) {
 	if s := t.running[id]; s != nil {
 		s.Tokens = tokens
 	}
 }
 
-// SetForecast tells when the stream's job is now expected to finish.
+// SetForecast sets when the stream's job is expected to finish.
 func (t *Target) SetForecast(id StreamID, finish time.Time) {
 	if s := t.running[id]; s != nil {
 		s.Forecast = finish
 	}
 }
 
-// Ended tells that a stream no longer runs.
+// Ended records that a stream no longer runs.
 func (t *Target) Ended(now time.Time, id StreamID) {
-	t.peaks.add(now, len(t.running), t.entries.total(now))
+	t.peaks.add(now, len(t.running), t.online.total(now))
 	delete(t.running, id)
-	t.peaks.add(now, len(t.running), t.entries.total(now))
+	t.peaks.add(now, len(t.running), t.online.total(now))
 }
 
-// Failed tells that the target refused, crashed or could not be reached: it is
-// left alone for a time that doubles with each failure in a row.
+// Failed records that the target refused a request, crashed or could not be reached.
+// Nothing is admitted for a pause that doubles with each consecutive failure.
 func (t *Target) Failed(now time.Time) {
 	if now.Before(t.blockedUntil) {
-		return // one crash ends many streams at once and counts once
+		return // one crash ends many streams at once but counts only once
 	}
 	pause := FailureBackoffMin << min(t.failures, 10)
 	t.failures++
 	t.blockedUntil = now.Add(min(pause, FailureBackoffMax))
 }
 
-// Succeeded ends the row of failures.
+// Succeeded resets the number of consecutive failures.
 func (t *Target) Succeeded() { t.failures = 0 }
 
 // Running returns the number of batch streams.
 func (t *Target) Running() int { return len(t.running) }
 
-// Share returns the part of the slots that batch streams take.
+// BatchShare returns the share of the slots that batch streams take.
 func (t *Target) Share() float64 {
 	if t.slots <= 0 {
 		return 0
@@ -129,33 +129,33 @@
 	return float64(len(t.running)) / float64(t.slots)
 }
 
-// Online returns the number of online requests believed to be at the target.
+// Online returns the estimated number of online requests at the target.
 func (t *Target) Online(now time.Time) int {
-	return t.entries.total(now) + t.unexplained(now)
+	return t.online.total(now) + t.unexplained(now)
 }
 
-// Alone tells whether stream id is the only request believed to be at the target.
+// Alone reports whether stream id is the only request at the target, as far as is known.
 func (t *Target) Alone(now time.Time, id StreamID) bool {
 	return t.running[id] != nil && len(t.running) == 1 && t.Online(now) == 0
 }
 
-// unexplained is how many requests the last report shows beyond all that could
-// have come from this steward and the signalling entry hosts while the report
-// was made. They are online requests not heard of, or another steward's batch;
-// both must count against our own.
+// unexplained returns how many requests the last report shows beyond all that this batch
+// dispatcher and the signalling entry hosts can have caused while the report was made.
+// They are online requests whose signals are missing, or another dispatcher's batch; both
+// must reduce the batch admitted here.
 func (t *Target) unexplained(now time.Time) int {
 	if t.report.at.IsZero() || now.Sub(t.report.at) > ReportValid {
 		return 0
 	}
-	batch, online := t.peaks.within(t.report.at.Add(-t.report.window), t.report.at, len(t.running), t.entries.total(now))
+	batch, online := t.peaks.within(t.report.at.Add(-t.report.window), t.report.at, len(t.running), t.online.total(now))
 	return max(t.report.running+t.report.waiting-batch-online, 0)
 }
 
-// Room is how many batch streams the policy lets run now, for work of the given
-// weight: it bounds how much is worth fetching.
+// BatchLimit returns how many batch streams of the given weight the policy allows now. It
+// bounds how many items are worth fetching.
 func (t *Target) Room(now time.Time, weight float64) int {
 	s := t.snapshot(now, Queue{Waiting: t.slots, Weight: weight})
-	if t.barred(now, s, Queue{}) != ReasonNone {
+	if t.blockedBy(now, s, Queue{}) != ReasonNone {
 		return 0
 	}
 	return t.policy.Limit(s)
@@ -166,7 +166,7 @@
 	s := t.snapshot(now, q)
 	a := t.policy.Decide(s)
 	a.Admit = min(a.Admit, q.Waiting)
-	if why := t.barred(now, s, q); why != ReasonNone {
+	if why := t.blockedBy(now, s, q); why != ReasonNone {
 		a.Admit, a.Why = 0, why
 	} else if q.Suspect {
 		a.Admit = min(a.Admit, 1)
@@ -174,9 +174,10 @@
 	return a
 }
 
-// barred holds under every policy. A suspect may crash the target, so it starts
-// only where nothing else would be taken down, and nothing starts beside it.
-func (t *Target) barred(now time.Time, s Snapshot, q Queue) Reason {
+// blockedBy returns the rule that blocks admission under every policy, or ReasonNone. A
+// suspect may crash the target, so it starts only if nothing else runs there, and nothing
+// starts while it runs.
+func (t *Target) blockedBy(now time.Time, s Snapshot, q Queue) Reason {
 	if t.leaving {
 		return ReasonLeaving
 	}
@@ -197,14 +198,14 @@
 func (t *Target) snapshot(now time.Time, q Queue) Snapshot {
 	online := t.Online(now)
 	if online > 0 {
-		t.quietSince = now
+		t.noOnlineSince = now
 	}
 	s := Snapshot{
 		Now:     now,
 		Slots:   t.slots,
 		Online:  online,
-		Quiet:   now.Sub(t.quietSince),
-		Silent:  t.entries.silent(now),
+		Quiet:   now.Sub(t.noOnlineSince),
+		Silent:  t.online.silent(now),
 		Running: make([]Stream, 0, len(t.running)),
 		Waiting: q.Waiting,
 		Small:   q.Small,
