--- a/core/slots/grant.go
+++ b/core/slots/grant.go
@@ -18,7 +18,7 @@
 	RoomLife = 400 * time.Millisecond
 )
 
-// SlotRequest is a request for a slot.
+// Request is a request for a slot.
 type Ask struct {
 	ID    ID
 	Group string
@@ -26,21 +26,21 @@
 	// free, less Headroom slots of each target.
 	Batch    bool
 	Headroom int
-	// Exclude lists the starts of targets that the caller can't use: already tried, or
+	// Exclude lists the starts of targets that the holder can't use: already tried, or
 	// ejected by it.
 	Exclude []string
 	// LastChance marks a request that gets no further attempt after a failure.
 	LastChance bool
 	// Patience is the maximum time for which the request may queue at a target.
 	Patience time.Duration
-	// Visiting is set if the caller's own zone is full: the request gets a free slot or
+	// Visiting is set if the holder's own zone is full: the request gets a free slot or
 	// none.
 	Visiting bool
 	// Stay requires a slot of this zone, even if other zones have free ones.
 	Stay bool
 }
 
-// Verdict is the result of a SlotRequest.
+// Verdict is the result of a Request.
 type Verdict int
 
 const (
@@ -59,7 +59,7 @@
 	return [...]string{"none", "granted", "elsewhere", "overloaded"}[v]
 }
 
-// Grant is the answer to a SlotRequest.
+// Grant is the answer to a Request.
 type Grant struct {
 	Verdict Verdict
 	// Target is the start of the chosen target, At its full description, and Running the
@@ -151,9 +151,9 @@
 }
 
 // candidates examines sample targets, beginning at a position in the list that seed
-// determines. It returns those that the caller can use, the least taken first and equal
+// determines. It returns those that the request can use, the least taken first and equal
 // ones in the order given by seed: the healthy ones, and the degraded ones. Targets that
-// the caller excluded come last among the degraded ones, for use if there is no better
+// the request excludes come last among the degraded ones, for use if there is no better
 // one.
 func (l *Ledger) candidates(now time.Time, g *group, r Ask, seed uint64, sample int) (healthy, degraded []candidate) {
 	var excluded []candidate
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -232,7 +232,7 @@
 		Expect(got.Wait).To(BeNumerically("~", time.Second, time.Millisecond))
 	})
 
-	It("uses a target that the caller has tried only if there is no other", func() {
+	It("uses a target that the request excludes only if there is no other", func() {
 		Expect(granted(without("t0")).Target).To(Equal("t1"))
 		Expect(granted(without("t0", "t1")).Target).NotTo(BeEmpty())
 		Expect(l.Grant(now, request(func(a *slots.Ask) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
