--- a/core/admission/forecast.go
+++ b/core/admission/forecast.go
@@ -28,10 +28,9 @@
 	return now.Add(time.Duration(seconds * float64(time.Second))), true
 }
 
-// EffectiveWeight raises a profile's batch weight as the due time approaches. With slack
-// = due − max(now, forecast), the weight is base at a slack of UrgentWindow or more,
-// rises linearly as the slack shrinks, and is UrgentWeight at no slack. It is never below
-// base.
+// EffectiveWeight raises a profile's batch weight as the due time approaches. The slack is
+// due − max(now, forecast). The weight is base at a slack of UrgentWindow or more, rises
+// linearly as the slack shrinks, and is UrgentWeight at no slack. It is never below base.
 func EffectiveWeight(base float64, now, due, forecast time.Time) float64 {
 	if due.IsZero() || base >= UrgentWeight {
 		return base
--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -98,8 +98,8 @@
 // Name implements Policy.
 func (GiveWay) Name() string { return "give_way" }
 
-// Limit implements Policy. While online work runs, a weight gets its share of the free
-// slots, and Fill the rest of them below the fill level.
+// Limit implements Policy. While online work runs, and during the cool-down, the limit is
+// the weight's share of the free slots, or the free slots below Fill if these are more.
 func (p GiveWay) Limit(s Snapshot) int { return p.limit(s, s.Weight) }
 
 func (p GiveWay) limit(s Snapshot, weight float64) int {
