--- a/core/election/election.go
+++ b/core/election/election.go
@@ -1,11 +1,11 @@
-// Package election decides which daemon of an availability zone leads it, from
+// Package election chooses the leader of an availability zone among its daemons, from
 // heartbeats alone. It is pure.
 //
-// All daemons order the zone's members alike, the roomiest hosts first. The first
-// one of this order that lives leads: it says so by heartbeats, and every other
-// daemon stands back as long as it hears a better one than itself. Nothing is
-// stored and nothing is agreed. Two leaders at once, or none for a moment, must be
-// harmless to whoever uses this: what a leader says is advice.
+// All daemons sort the zone's members in the same order, hosts with the most capacity
+// first. The first live member in this order leads and sends heartbeats; every other
+// daemon stands back while it receives the heartbeats of a member before itself. Nothing
+// is stored and no consensus is reached, so callers must tolerate two leaders at once, or
+// none for a moment: what a leader sends is advisory.
 package election
 
 import (
@@ -17,23 +17,23 @@
 )
 
 const (
-	// HeartbeatEvery is the pace of a leader's heartbeats. At 49 daemons in a zone
-	// they cost the leader some 330 messages a second, and every other daemon 7.
+	// HeartbeatInterval is the interval between a leader's heartbeats. At 49 daemons in a
+	// zone they cost the leader some 330 messages a second, and every other daemon 7.
 	HeartbeatEvery = 150 * time.Millisecond
-	// Silence is how long after its last heartbeat a leader is no longer followed:
-	// more than two heartbeats may be lost or late on a busy host.
+	// LeaderTimeout is how long after its last heartbeat a leader is still followed. It
+	// covers more than two heartbeats that are lost, or late on a busy host.
 	Silence = 500 * time.Millisecond
-	// stagger is by how much longer each further member of the order waits before it
-	// leads, up to maxStagger, so that after a loss one daemon comes forward and not
-	// all of them at once. It is a few times what a heartbeat takes within a zone.
+	// stagger is how much longer each further member in the order waits before it leads,
+	// up to maxStagger, so that after the loss of a leader one daemon takes over and not
+	// all of them at once. It is a few times the latency of a heartbeat within a zone.
 	stagger    = 30 * time.Millisecond
 	maxStagger = 600 * time.Millisecond
-	// maxFailures is how many calls in a row a leader may leave unanswered before it
-	// is passed over for DeafFor, although its heartbeats come: one that is cut off
-	// one way, or too slow to be of use.
+	// maxFailures is the number of consecutive calls that a leader may leave unanswered
+	// before it is excluded for ExclusionPeriod, even though its heartbeats arrive: its
+	// incoming link may be cut, or it may be too slow to be useful.
 	maxFailures = 2
-	// DeafFor is how long such a leader is passed over. It bounds what a wrong
-	// belief costs, and how often a leader that is really deaf is tried.
+	// ExclusionPeriod is how long such a leader is excluded. It bounds the cost of a
+	// wrong conclusion, and how often a leader that does not answer is tried again.
 	DeafFor = 2 * time.Second
 )
 
@@ -41,7 +41,7 @@
 type Member struct {
 	// Address is its peer address.
 	Address string
-	// Room says how much its host can do, in any unit that all members share.
+	// Capacity is how much work its host can do, in any unit that all members share.
 	Room float64
 }
 
@@ -50,31 +50,31 @@
 	zone, self string
 	started    time.Time
 	members    []Member
-	order      map[string]int
-	// ordered lists the members' addresses in their order.
+	positions  map[string]int
+	// ordered holds the members' addresses in their order.
 	ordered []string
 	peers   map[string]*peer
-	// vacant is when a leader was last known to have gone.
-	vacant time.Time
-	// leads tells whether this daemon led when it was last asked.
-	leads bool
+	// vacantSince is when a leader was last known to have stopped or failed.
+	vacantSince time.Time
+	// leading reports whether this daemon led at the last call of Lead.
+	leading bool
 }
 
-// peer is what was heard of another member.
+// peer holds what is known about another member.
 type peer struct {
 	heartbeat time.Time
 	failures  int
-	// deafUntil is until when it is passed over.
-	deafUntil time.Time
+	// excludedUntil is when its exclusion ends.
+	excludedUntil time.Time
 }
 
-// New returns the view of the daemon at the address self, which began to listen at
+// New returns the view of the daemon at the address self, which started to listen at
 // started.
 func New(zone, self string, started time.Time) *Election {
-	return &Election{zone: zone, self: self, started: started, order: map[string]int{}, peers: map[string]*peer{}}
+	return &Election{zone: zone, self: self, started: started, positions: map[string]int{}, peers: map[string]*peer{}}
 }
 
-// SetMembers takes the members of the zone, this daemon among them.
+// SetMembers sets the members of the zone, including this daemon.
 func (e *Election) SetMembers(now time.Time, members []Member) {
 	if slices.Equal(members, e.members) {
 		return
@@ -84,68 +84,70 @@
 	slices.SortFunc(ordered, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.Room, a.Room), cmp.Compare(e.rank(a), e.rank(b)), cmp.Compare(a.Address, b.Address))
 	})
-	clear(e.order)
+	clear(e.positions)
 	e.ordered = make([]string, 0, len(ordered))
 	for i, m := range ordered {
-		e.order[m.Address] = i
+		e.positions[m.Address] = i
 		e.ordered = append(e.ordered, m.Address)
 	}
 	for address := range e.peers {
-		if _, stays := e.order[address]; !stays {
-			e.gone(now, address)
+		if _, remains := e.positions[address]; !remains {
+			e.drop(now, address)
 		}
 	}
 }
 
-// Ordered lists the members' addresses, those that lead before others first. The slice
-// must not be changed.
+// Ordered returns the members' addresses in order of preference as leader. The caller
+// must not modify the slice.
 func (e *Election) Ordered() []string { return e.ordered }
 
-// rank spreads the leading of zones over daemons of equal room.
+// rank spreads the leadership of zones over daemons of equal capacity.
 func (e *Election) rank(m Member) uint64 { return xxhash.Sum64String(e.zone + "\x00" + m.Address) }
 
-// Heard takes a heartbeat. It tells whether its sender is a member.
+// ReceiveHeartbeat records a heartbeat and reports whether its sender is another member
+// of the zone.
 func (e *Election) Heard(now time.Time, address string) bool {
-	if _, known := e.order[address]; !known || address == e.self {
+	if _, known := e.positions[address]; !known || address == e.self {
 		return false
 	}
 	e.peer(address).heartbeat = now
 	return true
 }
 
-// Resigned takes a leader's word that it stops.
-func (e *Election) Resigned(now time.Time, address string) { e.gone(now, address) }
+// Resigned records a leader's notice that it stops leading.
+func (e *Election) Resigned(now time.Time, address string) { e.drop(now, address) }
 
-// gone forgets a member that leads no more: its next heartbeat, if one comes, tells
-// that it is back. The others come forward one after the other from this moment.
-func (e *Election) gone(now time.Time, address string) {
-	if _, heard := e.peers[address]; heard {
+// drop forgets a member that no longer leads; its next heartbeat, if any, shows that it
+// is back. The other members come forward one after the other from now on.
+func (e *Election) drop(now time.Time, address string) {
+	if _, known := e.peers[address]; known {
 		delete(e.peers, address)
-		e.vacant = now
+		e.vacantSince = now
 	}
 }
 
-// Answered notes that a leader answered a call.
+// CallAnswered records that a leader answered a call.
 func (e *Election) Answered(address string) {
 	if p := e.peers[address]; p != nil {
 		p.failures = 0
 	}
 }
 
-// Failed notes a call without an answer. gone tells that nobody listens there.
-func (e *Election) Failed(now time.Time, address string, gone bool) {
+// CallFailed records a call without an answer; notListening is true if nothing listens at
+// the address.
+func (e *Election) Failed(now time.Time, address string, notListening bool) {
 	p := e.peers[address]
 	if p == nil {
 		return
 	}
-	if gone {
-		e.gone(now, address)
+	if notListening {
+		e.drop(now, address)
 		return
 	}
 	p.failures++
 	if p.failures >= maxFailures {
 		p.failures = 0
-		p.deafUntil = now.Add(DeafFor)
+		p.excludedUntil = now.Add(DeafFor)
 	}
 }
 
@@ -158,50 +160,50 @@
 	return p
 }
 
-// Leader returns the address of the daemon that leads the zone as far as known
-// here, this one perhaps; false if there is none.
+// Leader returns the address of the daemon that leads the zone as far as this daemon
+// knows, which may be its own; false if there is none.
 func (e *Election) Leader(now time.Time) (string, bool) {
-	best, found := e.self, e.leads
+	best, found := e.self, e.leading
 	for address, p := range e.peers {
-		if now.Sub(p.heartbeat) > Silence || now.Before(p.deafUntil) {
+		if now.Sub(p.heartbeat) > Silence || now.Before(p.excludedUntil) {
 			continue
 		}
-		if !found || e.order[address] < e.order[best] {
+		if !found || e.positions[address] < e.positions[best] {
 			best, found = address, true
 		}
 	}
 	return best, found
 }
 
-// Lead decides whether this daemon leads now. able tells whether it could: one that
-// knows no targets, or stops, does not come forward.
-func (e *Election) Lead(now time.Time, able bool) bool {
-	own, member := e.order[e.self]
-	e.leads = able && member && (own == 0 || now.Sub(e.lapsed(own)) > e.turn(own))
-	return e.leads
+// Lead decides whether this daemon leads now. eligible is false for a daemon that must
+// not lead because it knows no targets or is stopping.
+func (e *Election) Lead(now time.Time, eligible bool) bool {
+	position, member := e.positions[e.self]
+	e.leading = eligible && member && (position == 0 || now.Sub(e.noBetterSince(position)) > e.startDelay(position))
+	return e.leading
 }
 
-// lapsed is the moment from which on no better member than the own place in the order
-// leads: the last one fell silent, or said that it stops, or is not heard since this
-// daemon began to listen.
-func (e *Election) lapsed(own int) time.Time {
+// noBetterSince returns the moment since when no member before position leads: the last
+// such member stopped sending heartbeats or resigned, or none has sent any since this
+// daemon started to listen.
+func (e *Election) noBetterSince(position int) time.Time {
 	last := e.started.Add(Silence)
-	if e.vacant.After(last) {
-		last = e.vacant
+	if e.vacantSince.After(last) {
+		last = e.vacantSince
 	}
 	for address, p := range e.peers {
-		if end := p.heartbeat.Add(Silence); e.order[address] < own && end.After(last) {
+		if end := p.heartbeat.Add(Silence); e.positions[address] < position && end.After(last) {
 			last = end
 		}
 	}
 	return last
 }
 
-// turn is how long this daemon leaves it to those before it in the order to come
-// forward. One that leads goes on at once.
-func (e *Election) turn(own int) time.Duration {
-	if e.leads {
+// startDelay returns how long this daemon waits for the members before it in the order to
+// come forward. A daemon that already leads does not wait.
+func (e *Election) startDelay(position int) time.Duration {
+	if e.leading {
 		return 0
 	}
-	return min(time.Duration(own)*stagger, maxStagger)
+	return min(time.Duration(position)*stagger, maxStagger)
 }
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -16,14 +16,14 @@
 	RunSpecs(t, "election")
 }
 
-// zone plays the daemons of one zone on a simulated clock. Heartbeats arrive at
-// once where the link lets them through.
+// zone simulates the daemons of one zone on a simulated clock. Heartbeats arrive
+// immediately unless the link drops them.
 type zone struct {
 	now     time.Time
 	members []election.Member
 	views   map[string]*election.Election
 	dead    map[string]bool
-	// cut tells whether a heartbeat is lost on its way.
+	// cut reports whether heartbeats from one daemon to the other are lost.
 	cut func(from, to string) bool
 	// sent counts the heartbeats.
 	sent int
@@ -45,20 +45,20 @@
 	delete(z.dead, address)
 }
 
-// pass lets time pass in steps of a tenth of a heartbeat.
-func (z *zone) pass(d time.Duration) {
+// advance advances the clock in steps of a tenth of a heartbeat interval.
+func (z *zone) advance(d time.Duration) {
 	const steps = 10
 	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(election.HeartbeatEvery / steps) {
 		for i, m := range z.members {
 			tick := z.now.UnixNano()/int64(election.HeartbeatEvery/steps) + int64(i)
 			if !z.dead[m.Address] && tick%steps == 0 {
-				z.beat(m.Address)
+				z.sendHeartbeats(m.Address)
 			}
 		}
 	}
 }
 
-func (z *zone) beat(from string) {
+func (z *zone) sendHeartbeats(from string) {
 	if !z.views[from].Lead(z.now, true) {
 		return
 	}
@@ -70,7 +70,7 @@
 	}
 }
 
-// leaders lists whom the living daemons take for the leader.
+// leaders counts, by the address of the leader, the live daemons that follow it.
 func (z *zone) leaders() map[string]int {
 	got := map[string]int{}
 	for address, view := range z.views {
@@ -98,12 +98,12 @@
 	return list
 }
 
-const settled = 2 * time.Second
+const settleTime = 2 * time.Second
 
 var _ = Describe("The election of a zone's leader", func() {
-	It("takes one leader of the roomiest hosts, and the same one at all daemons", func() {
+	It("elects one leader among the hosts with the most capacity, the same one at all daemons", func() {
 		z := newZone(members(49)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		got := z.leaders()
 		Expect(got).To(HaveLen(1))
 		for leader := range got {
@@ -112,70 +112,70 @@
 		}
 	})
 
-	// The leader's host loses power. Requests of the zone are placed by old words
-	// until another one leads, so that must not take long, and the daemons must not
-	// all come forward together: on small hosts that alone would cost seconds.
-	It("replaces a leader that died within a second, by one daemon", func() {
+	// The leader's host loses power. Requests of the zone are placed by outdated load
+	// reports until another daemon leads, so that must not take long, and the daemons
+	// must not all come forward together: on small hosts that alone would cost seconds.
+	It("replaces a dead leader within a second, by one daemon", func() {
 		z := newZone(members(49)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		for leader := range z.leaders() {
 			z.dead[leader] = true
 		}
 		z.sent = 0
-		z.pass(time.Second)
+		z.advance(time.Second)
 		Expect(z.leaders()).To(HaveLen(1))
 		Expect(z.leaders()).NotTo(HaveKey("none"))
 		// One leader sends 48 heartbeats each 150 ms.
 		Expect(z.sent).To(BeNumerically("<=", 3*48*8))
 	})
 
-	// More than half of the zone's hosts lose power at the same moment, the best
-	// ones among them.
+	// More than half of the zone's hosts lose power at the same moment, including the
+	// best ones.
 	It("replaces the best half of a zone", func() {
 		z := newZone(members(40)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		for i := range 22 {
 			z.dead[fmt.Sprint("10.0.0.", i, ":1")] = true
 		}
-		z.pass(settled)
+		z.advance(settleTime)
 		Expect(z.leaders()).To(HaveLen(1))
 		Expect(z.leaders()).NotTo(HaveKey("none"))
 	})
 
-	It("goes back to the best one when it has started again", func() {
+	It("returns to the best member once it has restarted", func() {
 		z := newZone(members(10)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		before := z.leaders()
 		for leader := range before {
 			z.dead[leader] = true
 		}
-		z.pass(settled)
+		z.advance(settleTime)
 		for leader := range before {
 			z.start(leader)
 		}
-		z.pass(settled)
+		z.advance(settleTime)
 		Expect(z.leaders()).To(Equal(before))
 	})
 
-	// A switch parts the zone. Each side goes on by itself, and they agree again
-	// afterwards.
-	It("takes one leader on each side of a cut, and one again after it", func() {
+	// A switch failure partitions the zone. Each side elects its own leader, and they
+	// agree again after the partition heals.
+	It("elects one leader on each side of a partition, and a single one after it", func() {
 		z := newZone(members(20)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		side := func(address string) bool { return len(address)%2 == 0 }
 		z.cut = func(from, to string) bool { return side(from) != side(to) }
-		z.pass(settled)
+		z.advance(settleTime)
 		Expect(z.leaders()).To(HaveLen(2))
 		z.cut = func(string, string) bool { return false }
-		z.pass(settled)
+		z.advance(settleTime)
 		Expect(z.leaders()).To(HaveLen(1))
 	})
 
-	// A leader whose incoming link is cut goes on sending heartbeats and answers
-	// nobody. Each request would wait for it in vain.
-	It("passes over a leader that sends heartbeats and answers no call", func() {
+	// A leader whose incoming link is cut continues to send heartbeats but answers
+	// nobody. Each request would wait for it until it timed out.
+	It("excludes a leader that sends heartbeats but answers no calls", func() {
 		z := newZone(members(10)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		view := z.views["10.0.0.9:1"]
 		leader := func() string {
 			address, _ := view.Leader(z.now)
@@ -189,28 +189,28 @@
 		view.Failed(z.now, deaf, false)
 		Expect(leader()).To(Equal(deaf))
 		view.Failed(z.now, deaf, false)
-		z.pass(election.HeartbeatEvery * 2)
+		z.advance(election.HeartbeatEvery * 2)
 		_, found := view.Leader(z.now)
 		Expect(found).To(BeFalse())
-		z.pass(election.DeafFor)
+		z.advance(election.DeafFor)
 		Expect(leader()).To(Equal(deaf))
 	})
 
-	It("drops a leader at once where nobody listens any more, or that resigns", func() {
+	It("drops a leader immediately if nothing listens at its address, or if it resigns", func() {
 		z := newZone(members(10)...)
-		z.pass(settled)
+		z.advance(settleTime)
 		view := z.views["10.0.0.9:1"]
 		leader, _ := view.Leader(z.now)
 		view.Failed(z.now, leader, true)
 		_, found := view.Leader(z.now)
 		Expect(found).To(BeFalse())
-		z.pass(settled)
+		z.advance(settleTime)
 		view.Resigned(z.now, leader)
 		_, found = view.Leader(z.now)
 		Expect(found).To(BeFalse())
 	})
 
-	It("never lets a daemon lead that can't, or that is no member", func() {
+	It("never lets a daemon lead that is not eligible or not a member", func() {
 		alone := election.New("z", "a", time.Unix(1000, 0))
 		Expect(alone.Lead(time.Unix(2000, 0), true)).To(BeFalse())
 		alone.SetMembers(time.Unix(1000, 0), []election.Member{{Address: "a"}})
