--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -1,15 +1,15 @@
 // Package feed decides which daemons of an availability zone read the platform's log
-// themselves, and what the others hold. It is pure.
+// themselves, and which targets the other daemons hold. It is pure.
 //
-// In a large zone the leader reads the log, and while it does not reach it some daemons
-// that it appoints. The others subscribe to a reader, which passes on the configuration
-// and a bounded sample of the targets. What the log serves then follows the number of
-// zones, and what a subscriber holds follows nothing at all.
+// In a large zone the leader reads the log; while it does not reach the log, some daemons
+// that it appoints read it. The other daemons subscribe to a reader, which forwards the
+// configuration and a bounded sample of the targets. The load on the log then grows only
+// with the number of zones, and what a subscriber holds does not grow at all.
 //
-// Files: readers.go is the leader's choice of readers, standby.go that of who is to lead
-// after it, source.go the subscriber's choice of a reader, fallback.go what a daemon does
-// that no reader serves, sample.go the targets that it holds. passedover.go keeps who
-// did not fill a role.
+// Files: readers.go is the leader's choice of readers, standby.go its choice of the
+// daemon to lead after it, source.go the subscriber's choice of a reader, fallback.go
+// what a daemon does when no reader serves it, sample.go the choice of the targets that a
+// subscriber holds. passedover.go records which daemons did not fill a role.
 package feed
 
 import "time"
@@ -25,11 +25,11 @@
 type Reader struct {
 	// Address is its peer address.
 	Address string
-	// Age is how old its last answer from the log is, Never for none.
+	// Age is the time since its last answer from the log, Never for none.
 	Age time.Duration
 }
 
-// Fresh tells whether the reader reaches the log.
+// Fresh reports whether the log has answered the reader within StaleAfter.
 func (r Reader) Fresh() bool { return fresh(r.Age) }
 
 func fresh(age time.Duration) bool { return age != Never && age <= StaleAfter }
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -49,8 +49,8 @@
 		now = time.Unix(1000, 0)
 		readers = feed.NewReaders("d00")
 	})
-	// run lets time pass; age tells how old the log's last answer to a daemon is, and
-	// false for one that does not report.
+	// run advances the clock; age returns the age of the log's last answer to a daemon,
+	// and false for a daemon that does not report.
 	run := func(d time.Duration, own time.Duration, age func(address string) (time.Duration, bool)) []feed.Reader {
 		var list []feed.Reader
 		for range int(d / step) {
@@ -70,8 +70,8 @@
 		Expect(addresses(run(10*time.Second, fresh, nobody))).To(Equal([]string{"d00"}))
 	})
 
-	// The log turns the leader away and serves most others.
-	It("finds a daemon that the log serves while the leader is turned away", func() {
+	// The log rejects the leader's requests and serves most other daemons.
+	It("finds a daemon that the log serves while it rejects the leader", func() {
 		served := func(address string) (time.Duration, bool) {
 			if address == "d04" {
 				return fresh, true
@@ -83,8 +83,8 @@
 		Expect(list).To(ContainElement(And(HaveField("Address", "d04"), WithTransform(feed.Reader.Fresh, BeTrue()))), "%v", list)
 	})
 
-	// The log is out for all: it must not be asked by the whole fleet.
-	It("has few daemons ask a log that answers nobody, and goes through them", func() {
+	// The log is unavailable to all daemons: the whole fleet must not query it.
+	It("has few daemons query a log that answers nobody, and rotates through them", func() {
 		asked := map[string]bool{}
 		for range 40 {
 			list := run(time.Second, feed.Never, func(string) (time.Duration, bool) { return feed.Never, true })
@@ -96,19 +96,19 @@
 		Expect(len(asked)).To(BeNumerically(">", 8))
 	})
 
-	It("passes over daemons that are dead", func() {
+	It("excludes daemons that are dead", func() {
 		list := run(12*time.Second, stale, func(address string) (time.Duration, bool) { return fresh, address == "d06" })
 		Expect(list).To(ContainElement(HaveField("Address", "d06")))
 		Expect(addresses(list)).NotTo(ContainElement("d01"))
 	})
 
-	It("goes back to the leader alone", func() {
+	It("returns to the leader alone once it reaches the log", func() {
 		all := func(string) (time.Duration, bool) { return fresh, true }
 		Expect(len(run(3*time.Second, stale, all))).To(BeNumerically(">", 1))
 		Expect(addresses(run(3*time.Second, fresh, all))).To(Equal([]string{"d00"}))
 	})
 
-	It("takes in a daemon that began to read by itself, as long as it is needed", func() {
+	It("accepts a daemon that began to read on its own, for as long as it is needed", func() {
 		readers.Report(now, "d33", fresh)
 		Expect(addresses(readers.Select(now, stale, zone()))).To(ContainElement("d33"))
 		readers.Report(now, "d33", fresh)
@@ -117,7 +117,7 @@
 })
 
 var _ = Describe("The standby", func() {
-	It("is the next daemon that asks for all targets", func() {
+	It("is the next daemon that requests all targets", func() {
 		now := time.Unix(1000, 0)
 		standby := feed.NewStandby("d00")
 		named := ""
@@ -135,12 +135,12 @@
 				standby.Seen(now, named)
 			}
 		}
-		Expect(named).To(Equal("d01"), "d02 has died, and d01 was passed over long ago")
+		Expect(named).To(Equal("d01"), "d02 has died, and the exclusion of d01 ended long ago")
 	})
 })
 
 var _ = Describe("A subscriber's source", func() {
-	It("is a reader that the log answers, and not one that was silent just now", func() {
+	It("is a reader that the log answers, and not one that just failed to answer", func() {
 		now := time.Unix(1000, 0)
 		s := feed.NewSource("self")
 		_, known := s.Next(now)
@@ -172,8 +172,8 @@
 	start := time.Unix(1000, 0)
 	const targets = 10_000
 
-	// reading counts how many daemons of the zone read the configuration and the targets
-	// at a moment; answered tells what the log does.
+	// zoneOf is a zone without readers. reading counts how many of its daemons read the
+	// configuration and the targets at a moment; age is the age of the log's last answer.
 	type zoneOf struct{ daemons []*feed.Fallback }
 	newZone := func() *zoneOf {
 		z := &zoneOf{}
@@ -195,7 +195,7 @@
 		return configuration, lists
 	}
 
-	It("begins at once and one after the other where all have just started", func() {
+	It("begins at once, one daemon after the other, where all have just started", func() {
 		z := newZone()
 		c, t := reading(z, start, feed.Never)
 		Expect([]int{c, t}).To(Equal([]int{1, 1}))
@@ -204,9 +204,9 @@
 		Expect(t).To(Equal(2))
 	})
 
-	// The log is out. Were all daemons of a fleet to try it all the time, its first answers
-	// would be refusals for its rate.
-	It("is given up and tried again in turn while the log answers nobody", func() {
+	// The log is unavailable. If all daemons of a fleet kept trying it, the first answers
+	// after its return would be refusals because of the request rate.
+	It("is abandoned and retried in turn while the log answers nobody", func() {
 		z := newZone()
 		most := 0
 		for now := start; now.Before(start.Add(2 * time.Minute)); now = now.Add(step) {
@@ -217,7 +217,7 @@
 		Expect(most).To(BeNumerically(">", 0))
 	})
 
-	It("goes on while the log answers, until a reader serves", func() {
+	It("continues while the log answers, until a reader does", func() {
 		f := feed.NewFallback(start)
 		s := feed.Situation{Members: members, ConfigurationAge: fresh, TargetsAge: fresh}
 		for now := start; now.Before(start.Add(time.Minute)); now = now.Add(step) {
@@ -228,7 +228,7 @@
 		c, t := f.Decide(start.Add(time.Minute+step), s)
 		Expect(c || t).To(BeFalse())
 		c, t = f.Decide(start.Add(time.Minute+2*time.Second), s)
-		Expect(c && t).To(BeTrue(), "the reader has gone again")
+		Expect(c && t).To(BeTrue(), "the reader no longer answers")
 	})
 })
 
@@ -241,13 +241,13 @@
 		return hashes
 	}
 
-	It("holds as many names whatever their number, and all where they are few", func() {
+	It("has a fixed size, and holds all names where there are fewer", func() {
 		for _, n := range []int{0, 1, 31, 32, 33, 1000, 10_000} {
 			Expect(feed.Sample(7, names(n), 32)).To(HaveLen(min(n, 32)))
 		}
 	})
 
-	It("uses all names alike over many holders", func() {
+	It("uses all names evenly over many holders", func() {
 		used := map[int]int{}
 		hashes := names(500)
 		const holders = 400
@@ -262,7 +262,7 @@
 		}
 	})
 
-	It("changes little when a name goes", func() {
+	It("changes little when a name is removed", func() {
 		hashes := names(500)
 		before := map[uint64]bool{}
 		for _, i := range feed.Sample(7, hashes, 32) {
--- a/core/feed/passedover.go
+++ b/core/feed/passedover.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// passOverFor is how long a daemon that did not fill its role is left out.
-const passOverFor = 10 * time.Second
+// exclusionPeriod is how long a daemon that did not fill its role is not chosen again.
+const exclusionPeriod = 10 * time.Second
 
-// passedOver holds until when daemons are left out, by peer address.
-type passedOver map[string]time.Time
+// exclusions holds when the exclusion of each daemon ends, by peer address.
+type exclusions map[string]time.Time
 
-func (p passedOver) add(now time.Time, address string) { p[address] = now.Add(passOverFor) }
+func (e exclusions) add(now time.Time, address string) { e[address] = now.Add(exclusionPeriod) }
 
-func (p passedOver) has(now time.Time, address string) bool { return now.Before(p[address]) }
+func (e exclusions) has(now time.Time, address string) bool { return now.Before(e[address]) }
 
-// expire forgets the daemons whose time is over.
-func (p passedOver) expire(now time.Time) {
-	for address, until := range p {
+// expire deletes the exclusions that have ended.
+func (e exclusions) expire(now time.Time) {
+	for address, until := range e {
 		if !now.Before(until) {
-			delete(p, address)
+			delete(e, address)
 		}
 	}
 }
--- a/core/feed/readers.go
+++ b/core/feed/readers.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	// wanted is how many daemons of a zone read the targets from the log while they reach
-	// it: the leader alone, whose standby gets them from it.
-	wanted = 1
-	// mostReaders bounds them while some do not reach it, so that a log that is out is
-	// asked by few.
-	mostReaders = 5
-	// appointEvery is the pause between two appointments.
-	appointEvery = 300 * time.Millisecond
-	// reportWithin is how long a reader may be silent before another one takes its place:
-	// several of its reports may be lost.
-	reportWithin = 1500 * time.Millisecond
-	// loadTime is how long an appointed daemon has to load what the log holds.
-	loadTime = 4 * time.Second
+	// wantedReaders is how many daemons of a zone read the targets from the log while
+	// they reach it: only the leader, from which the standby gets them.
+	wantedReaders = 1
+	// maxReaders bounds the readers while some of them do not reach the log, so that few
+	// daemons query a log that is unavailable.
+	maxReaders = 5
+	// appointInterval is the pause between two appointments.
+	appointInterval = 300 * time.Millisecond
+	// reportTimeout is how long a reader may be silent before it is replaced: several of
+	// its reports may be lost.
+	reportTimeout = 1500 * time.Millisecond
+	// loadTimeout is how long an appointed daemon has to load the content of the log.
+	loadTimeout = 4 * time.Second
 )
 
 // Readers is the leader's choice of the zone's readers. The zero value is not usable.
 type Readers struct {
 	self      string
 	appointed map[string]*appointee
-	// passedOver are the daemons that did not serve as readers.
-	passedOver passedOver
-	last       time.Time
+	// excluded are the daemons that did not serve as readers.
+	excluded exclusions
+	last     time.Time
 }
 
-// appointee is a daemon that was asked to read the log.
+// appointee is a daemon appointed to read the log.
 type appointee struct {
 	since, reported time.Time
 	// answered is when the log last answered it, zero for never.
 	answered time.Time
 }
 
-// NewReaders returns the choice of the daemon at the peer address self, without any
-// other reader.
+// NewReaders returns the choice of the daemon at the peer address self, without other
+// readers.
 func NewReaders(self string) *Readers {
-	return &Readers{self: self, appointed: map[string]*appointee{}, passedOver: passedOver{}}
+	return &Readers{self: self, appointed: map[string]*appointee{}, excluded: exclusions{}}
 }
 
-// Adopt takes over the readers of an earlier leader.
+// Adopt takes over the readers of a previous leader.
 func (r *Readers) Adopt(now time.Time, readers []Reader) {
 	for _, reader := range readers {
 		if reader.Address != r.self && r.appointed[reader.Address] == nil {
@@ -52,8 +52,9 @@
 	}
 }
 
-// Report takes a daemon's word on how long ago the log last answered it. One that was
-// not appointed reads because no reader served it, and serves as one from now on.
+// Report records how long ago the log last answered a daemon. A daemon that was not
+// appointed reads the log because no reader served it, and counts as a reader from now
+// on.
 func (r *Readers) Report(now time.Time, address string, age time.Duration) {
 	if address == r.self {
 		return
@@ -69,8 +70,8 @@
 	}
 }
 
-// Select returns the readers, this daemon first. ownAge is how old its own last answer
-// from the log is, members are the daemons of the zone in order of preference.
+// Select returns the readers, this daemon first. ownAge is the time since its own last
+// answer from the log; members are the daemons of the zone in order of preference.
 func (r *Readers) Select(now time.Time, ownAge time.Duration, members []string) []Reader {
 	r.dismissSilent(now, members)
 	r.dismissExcess(now, ownAge)
@@ -91,35 +92,36 @@
 	return now.Sub(a.answered)
 }
 
-// useless tells whether the daemon had time to reach the log and does not.
-func (a *appointee) useless(now time.Time) bool {
-	return !fresh(a.age(now)) && now.Sub(a.since) > loadTime
+// loadTimedOut reports whether the daemon had time to reach the log and does not reach
+// it.
+func (a *appointee) loadTimedOut(now time.Time) bool {
+	return !fresh(a.age(now)) && now.Sub(a.since) > loadTimeout
 }
 
-// dismissSilent drops the readers that have left the zone or no longer report.
+// dismissSilent removes the readers that have left the zone or no longer report.
 func (r *Readers) dismissSilent(now time.Time, members []string) {
 	for address, a := range r.appointed {
-		if !slices.Contains(members, address) || now.Sub(later(a.reported, a.since)) > reportWithin {
+		if !slices.Contains(members, address) || now.Sub(later(a.reported, a.since)) > reportTimeout {
 			r.dismiss(now, address)
 		}
 	}
-	r.passedOver.expire(now)
+	r.excluded.expire(now)
 }
 
-// dismissExcess drops readers that are not needed: those that do not reach the log while
-// enough others do, one of them to make room for a further try while too few do, and
-// those beyond the number that is wanted.
+// dismissExcess removes readers that are not needed: those that do not reach the log
+// while enough others do, one of them to make room for another attempt while too few do,
+// and those beyond wantedReaders.
 func (r *Readers) dismissExcess(now time.Time, ownAge time.Duration) {
-	enough := r.freshCount(now, ownAge) >= wanted
-	full := len(r.appointed)+1 >= mostReaders
+	enough := r.freshCount(now, ownAge) >= wantedReaders
+	full := len(r.appointed)+1 >= maxReaders
 	for address, a := range r.appointed {
-		if a.useless(now) && (enough || full) {
+		if a.loadTimedOut(now) && (enough || full) {
 			r.dismiss(now, address)
 			full = false
 		}
 	}
 	for address := range r.appointed {
-		if r.freshCount(now, ownAge) <= wanted || !fresh(r.appointed[address].age(now)) {
+		if r.freshCount(now, ownAge) <= wantedReaders || !fresh(r.appointed[address].age(now)) {
 			continue
 		}
 		delete(r.appointed, address)
@@ -128,7 +130,7 @@
 
 func (r *Readers) dismiss(now time.Time, address string) {
 	delete(r.appointed, address)
-	r.passedOver.add(now, address)
+	r.excluded.add(now, address)
 }
 
 func (r *Readers) freshCount(now time.Time, ownAge time.Duration) int {
@@ -144,13 +146,13 @@
 	return n
 }
 
-// appoint asks one more daemon to read while too few reach the log.
+// appoint appoints one more reader while too few reach the log.
 func (r *Readers) appoint(now time.Time, ownAge time.Duration, members []string) {
-	if now.Sub(r.last) < appointEvery || len(r.appointed)+1 >= mostReaders || !r.short(now, ownAge) {
+	if now.Sub(r.last) < appointInterval || len(r.appointed)+1 >= maxReaders || !r.needsReader(now, ownAge) {
 		return
 	}
 	for _, address := range members {
-		if address == r.self || r.passedOver.has(now, address) || r.appointed[address] != nil {
+		if address == r.self || r.excluded.has(now, address) || r.appointed[address] != nil {
 			continue
 		}
 		r.appointed[address] = &appointee{since: now}
@@ -159,18 +161,18 @@
 	}
 }
 
-// short tells whether a further reader is needed. Those that still load count, unless
-// nobody reaches the log at all.
-func (r *Readers) short(now time.Time, ownAge time.Duration) bool {
+// needsReader reports whether another reader is needed. Readers that are still loading
+// count, unless no daemon reaches the log at all.
+func (r *Readers) needsReader(now time.Time, ownAge time.Duration) bool {
 	reached := r.freshCount(now, ownAge)
 	if reached == 0 {
 		return true
 	}
 	loading := 0
 	for _, a := range r.appointed {
-		if !fresh(a.age(now)) && !a.useless(now) {
+		if !fresh(a.age(now)) && !a.loadTimedOut(now) {
 			loading++
 		}
 	}
-	return reached+loading < wanted
+	return reached+loading < wantedReaders
 }
--- a/core/feed/sample.go
+++ b/core/feed/sample.go
@@ -8,12 +8,13 @@
 	"tarragonhollow.example/tarragonhollow/core/splitmix"
 )
 
-// Hash is the hash of a name that Sample mixes.
+// Hash returns the hash of a name, as Sample expects it.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Sample returns the indexes of at most n of the names, given by their hashes: those
-// that rank first for the holder. Each holder gets others, so that all holders together
-// use all names alike, and a name that comes or goes changes the samples of few.
+// Sample returns the indexes of at most n of the names, which are given by their hashes:
+// those that rank first for the holder. Each holder gets a different sample, so that all
+// holders together use all names evenly, and adding or removing a name changes few
+// samples.
 func Sample(holder uint64, hashes []uint64, n int) []int {
 	if len(hashes) <= n {
 		all := make([]int, len(hashes))
@@ -45,7 +46,7 @@
 	index int
 }
 
-// lowest is a heap whose first element has the highest rank.
+// lowest is a heap of the lowest ranks; its first element has the highest of them.
 type lowest []ranked
 
 func (l lowest) Len() int           { return len(l) }
--- a/core/feed/source.go
+++ b/core/feed/source.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// avoidFor is how long a reader that did not answer is asked last.
+// avoidFor is how long a reader that did not answer is chosen only after the others.
 const avoidFor = time.Second
 
-// Source is a subscriber's choice of the reader that it asks.
+// Source is a subscriber's choice of the reader to query.
 type Source struct {
 	self    string
 	readers []Reader
-	// failed holds when each reader last left a question unanswered.
+	// failed holds when each reader last left a request unanswered.
 	failed map[string]time.Time
 }
 
@@ -22,7 +22,7 @@
 // reader yet.
 func NewSource(self string) *Source { return &Source{self: self, failed: map[string]time.Time{}} }
 
-// SetReaders takes the zone's readers.
+// SetReaders sets the zone's readers.
 func (s *Source) SetReaders(readers []Reader) {
 	s.readers = s.readers[:0]
 	for _, r := range readers {
@@ -37,11 +37,12 @@
 	}
 }
 
-// Failed notes that a reader did not answer.
+// Failed records that a reader did not answer.
 func (s *Source) Failed(now time.Time, address string) { s.failed[address] = now }
 
-// Next returns the reader to ask, false if none is known. Readers that reach the log go
-// first, then those that answered lately; subscribers spread over equal ones.
+// Next returns the reader to query, false if none is known. Readers that have not failed
+// lately go first, and among these the ones that reach the log; subscribers are spread
+// over equal readers.
 func (s *Source) Next(now time.Time) (string, bool) {
 	best, bestRank, bestHash := "", 0, uint64(0)
 	for _, r := range s.readers {
--- a/core/feed/standby.go
+++ b/core/feed/standby.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Standby is the leader's choice of the daemon that holds all targets of the zone beside
-// it, so that the zone has a leader soon after this one has gone.
+// Standby is the leader's choice of the daemon that also holds all targets of the zone,
+// so that the zone has a new leader soon after this one is lost.
 type Standby struct {
-	self, named string
-	// since is when the daemon was named, seen when it last asked for all targets.
+	self, chosen string
+	// since is when the daemon was chosen, seen when it last requested all targets.
 	since, seen time.Time
-	// passedOver are the daemons that did not ask.
-	passedOver passedOver
+	// excluded are the daemons that did not request them.
+	excluded exclusions
 }
 
 // NewStandby returns the choice of the daemon at the peer address self.
 func NewStandby(self string) *Standby {
-	return &Standby{self: self, passedOver: passedOver{}}
+	return &Standby{self: self, excluded: exclusions{}}
 }
 
-// Seen notes that a daemon has asked for all targets.
+// FullListRequested records that a daemon has requested all targets.
 func (s *Standby) Seen(now time.Time, address string) {
-	if address == s.named {
+	if address == s.chosen {
 		s.seen = now
 	}
 }
@@ -27,19 +27,19 @@
 // Select returns the standby, "" for none. members are the daemons of the zone in order
 // of preference.
 func (s *Standby) Select(now time.Time, members []string) string {
-	if s.named != "" && now.Sub(later(s.seen, s.since)) <= reportWithin {
-		return s.named
+	if s.chosen != "" && now.Sub(later(s.seen, s.since)) <= reportTimeout {
+		return s.chosen
 	}
-	if s.named != "" {
-		s.passedOver.add(now, s.named)
-		s.named = ""
+	if s.chosen != "" {
+		s.excluded.add(now, s.chosen)
+		s.chosen = ""
 	}
 	for _, address := range members {
-		if address != s.self && !s.passedOver.has(now, address) {
-			s.named, s.since = address, now
+		if address != s.self && !s.excluded.has(now, address) {
+			s.chosen, s.since = address, now
 			break
 		}
 	}
-	s.passedOver.expire(now)
-	return s.named
+	s.excluded.expire(now)
+	return s.chosen
 }
