--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster decides which targets may get new work, from the entries that
-// targets keep about themselves in a store that is at times away. It is pure.
+// Package roster decides which targets may get new work, from the entries that targets
+// keep about themselves in a store that is unavailable at times. It is pure.
 package roster
 
 import (
@@ -9,34 +9,33 @@
 )
 
 const (
-	// ReturnGrace is how long after the store is heard again a target whose
-	// entry vanished meanwhile stays in use: living targets write their entries
-	// again within about 2 s of the store's return.
+	// ReturnGrace is how long after the store answers again a target whose entry vanished
+	// in the meantime stays in use: live targets rewrite their entries within about 2 s
+	// of the store's return.
 	ReturnGrace = 2200 * time.Millisecond
-	// lapsedShare is the part of a group that must have vanished within the grace for
-	// its targets to stay in use, whether or not some are back: less than that is what
-	// planned work takes away.
-	lapsedShare = 0.5
-	// AwayAfter is the silence of the store after which entries that vanish are
-	// put down to the silence itself. It is above the pace at which the store is
-	// asked in calm times.
+	// vanishedShare is the share of a group above which its targets stay in use when they
+	// vanish within the grace period; targets that are back count as vanished. Planned
+	// maintenance removes a smaller share.
+	vanishedShare = 0.5
+	// OutageThreshold is how long the store must have been silent for vanished entries to
+	// be attributed to the outage itself. It is above the interval between queries to the
+	// store in quiet times.
 	AwayAfter = 1500 * time.Millisecond
-	// LateFor is how long an entry of an earlier start stands aside. Writes whose
-	// answer was lost take effect up to 6 s late, and a living target writes its
-	// entry again with its next heartbeat, some 1.2 s later, if another one stands
-	// there.
+	// LateWriteWindow is how long an entry of an earlier start is deferred. Writes whose
+	// answer was lost take effect up to 6 s late, and a live target that finds another
+	// entry in place of its own rewrites it with its next heartbeat, some 1.2 s later.
 	LateFor = 8 * time.Second
 )
 
-// Target is what a target's entry says.
+// Target is the content of a target's entry.
 type Target struct {
-	// ID names the target. It may start again under its ID; an address may be used
-	// again by another target.
+	// ID identifies the target. A target may restart under its ID, and its address may be
+	// reused by another target.
 	ID string
-	// Born is when it started, in Unix milliseconds by its own clock, which need
-	// not agree with any other; 0 if its entries don't tell.
+	// Born is when it started, in Unix milliseconds by its own clock, which need not
+	// agree with any other; 0 if its entries lack it.
 	Born int64
-	// Start names this start. The roster sets it.
+	// Start identifies this start. The roster sets it.
 	Start Start
 	// Group is the target group that it serves.
 	Group string
@@ -53,87 +52,88 @@
 // Roster is the view of all targets.
 type Roster struct {
 	entries map[string]Target
-	// lapsed holds the targets whose entries vanished while the store was away,
-	// with the moment at which they count as gone.
-	lapsed map[string]waiting
+	// expired holds the targets whose entries vanished during an outage of the store,
+	// with the moment at which they are dropped.
+	expired map[string]pendingChange
 	// vanished holds, by ID, the group of each target whose entry vanished within the
-	// last grace, also of those that are back.
+	// last grace period, including those that are back.
 	vanished map[string]string
-	// aside holds the entries of earlier starts, with the moment at which they
-	// count after all.
-	aside     map[string]waiting
-	heard     time.Time
-	graceEnds time.Time
-	// sampled tells that the entries are a sample that another daemon chose.
+	// deferred holds the entries of earlier starts, with the moment at which they are
+	// applied after all.
+	deferred   map[string]pendingChange
+	lastAnswer time.Time
+	graceEnds  time.Time
+	// sampled is set while the entries are a sample that another daemon chose.
 	sampled bool
-	// version counts the changes of what Usable returns, other than those by time; due
-	// is when the next one by time comes, zero for never.
-	version uint64
-	due     time.Time
+	// version counts the changes of what Usable returns, other than those due to time
+	// alone; nextChange is when the next one due to time comes, zero for never.
+	version    uint64
+	nextChange time.Time
 }
 
-// waiting is a target of which something changes at a moment.
-type waiting struct {
+// pendingChange is a target whose state changes at a set moment.
+type pendingChange struct {
 	target Target
 	until  time.Time
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{entries: map[string]Target{}, lapsed: map[string]waiting{}, aside: map[string]waiting{},
+	return &Roster{entries: map[string]Target{}, expired: map[string]pendingChange{}, deferred: map[string]pendingChange{},
 		vanished: map[string]string{}}
 }
 
-// Heard notes an answer of the store. Call it before Set, Remove, Spoil and
-// Replace for what the answer holds.
+// StoreAnswered records an answer of the store. Call it before Set, Remove, Invalidate
+// and Replace with the content of the answer.
 func (r *Roster) Heard(now time.Time) {
-	if !r.heard.IsZero() && now.Sub(r.heard) > AwayAfter {
+	if !r.lastAnswer.IsZero() && now.Sub(r.lastAnswer) > AwayAfter {
 		r.graceEnds = now.Add(ReturnGrace)
 		clear(r.vanished)
 		r.version++
 	}
-	r.heard = now
+	r.lastAnswer = now
 }
 
-// Set takes an entry.
+// Set applies an entry.
 //
-// Failure guarded against: the last write of a target that crashed takes effect
-// seconds later, when the target has started again under its ID. Taken as news, it
-// would bring back an address that serves others by now, or make a target that
-// drains look ready. So the start that was born last stands, and an entry of an
-// earlier one counts only if the later start writes nothing more for LateFor: then
+// Failure guarded against: the last write of a target that crashed takes effect seconds
+// later, when the target has restarted under its ID. Applied as new, it would bring back
+// an address that may serve another target by now, or make a draining target look ready.
+// So the entry of the start with the latest Born is kept, and an entry of an earlier
+// start is applied only if the later start writes nothing more for LateWriteWindow: then
 // the target's clock has gone back, and the log's order is right.
 func (r *Roster) Set(now time.Time, t Target) {
 	t.Start = StartOf(t.ID, t.Born)
 	known, had := r.entries[t.ID]
 	if had && t.Born < known.Born {
-		if _, waits := r.aside[t.ID]; !waits {
-			r.aside[t.ID] = waiting{t, now.Add(LateFor)}
+		if _, isDeferred := r.deferred[t.ID]; !isDeferred {
+			r.deferred[t.ID] = pendingChange{t, now.Add(LateFor)}
 			r.version++
 		}
 		return
 	}
-	_, lapsed := r.lapsed[t.ID]
-	_, aside := r.aside[t.ID]
-	if had && known == t && !lapsed && !aside {
-		return // a heartbeat without news
+	_, expired := r.expired[t.ID]
+	_, deferred := r.deferred[t.ID]
+	if had && known == t && !expired && !deferred {
+		return // a heartbeat without changes
 	}
 	r.entries[t.ID] = t
-	delete(r.lapsed, t.ID)
-	delete(r.aside, t.ID)
+	delete(r.expired, t.ID)
+	delete(r.deferred, t.ID)
 	r.version++
 }
 
-// Remove takes the end of an entry. Within the grace after a silence of the store
-// the target stays in use if most of its group vanish: a store that was away lets
-// the entries of living targets lapse, and dropping them all at once would leave
-// nowhere to send. Targets that were draining are dropped at once.
+// Remove applies the removal of an entry. Within the grace period after an outage of the
+// store the target stays in use if most of its group vanished: a store that was
+// unavailable lets the entries of live targets expire, and dropping them all at once
+// would leave no target to send to. Draining targets are dropped at once.
 //
-// Fewer are dropped at once too. Failure guarded against: the store turns this
-// daemon away and serves the others, and a target leaves meanwhile. Kept for the
-// grace, it would get work from here for longer than it stays up.
+// If fewer vanished, they are dropped at once too. Failure guarded against: the store
+// rejects this daemon's requests and serves the others, and a target leaves meanwhile. If
+// it were kept for the grace period, this daemon would send it work for longer than it
+// stays up.
 func (r *Roster) Remove(now time.Time, id string) {
-	delete(r.aside, id)
+	delete(r.deferred, id)
 	t, ok := r.entries[id]
 	if !ok {
 		return
@@ -141,24 +141,24 @@
 	delete(r.entries, id)
 	r.version++
 	if now.Before(r.graceEnds) && !t.Draining {
-		r.lapsed[id] = waiting{t, r.graceEnds}
+		r.expired[id] = pendingChange{t, r.graceEnds}
 		r.vanished[id] = t.Group
 	}
 }
 
-// Spoil takes an entry that names no usable target. What it replaced no longer
-// counts, without any grace: somebody else has written there, and the target, if it
-// lives, writes its own entry again with its next heartbeat.
+// Invalidate applies an entry that names no usable target. The entry that it replaced is
+// dropped without a grace period: something else has written there, and the target, if it
+// is alive, rewrites its own entry with its next heartbeat.
 func (r *Roster) Spoil(id string) {
 	r.version++
 	delete(r.entries, id)
-	delete(r.lapsed, id)
-	delete(r.aside, id)
+	delete(r.expired, id)
+	delete(r.deferred, id)
 }
 
-// Replace takes all entries at once, as read after a gap in the changes. spoiled
-// lists the IDs whose entry names no usable target.
-func (r *Roster) Replace(now time.Time, all []Target, spoiled ...string) {
+// Replace applies all entries at once, as read after a gap in the changes. invalid lists
+// the IDs whose entry names no usable target.
+func (r *Roster) Replace(now time.Time, all []Target, invalid ...string) {
 	if r.sampled {
 		r.sampled = false
 		r.version++
@@ -167,7 +167,7 @@
 	for _, t := range all {
 		next[t.ID] = true
 	}
-	for _, id := range spoiled {
+	for _, id := range invalid {
 		r.Spoil(id)
 	}
 	for id := range r.entries {
@@ -180,37 +180,38 @@
 	}
 }
 
-// Adopt takes targets that another daemon uses, true as of the moment at: a sample of
-// them, or whole all that matter here. That daemon has judged what lapsed, so nothing is
-// kept beside them.
-func (r *Roster) Adopt(at time.Time, list []Target, whole bool) {
+// Adopt replaces the entries by targets that another daemon uses, as of the moment at:
+// all that matter here if complete is set, otherwise a sample of them. That daemon has
+// already handled expired entries, so nothing is kept beside the list.
+func (r *Roster) Adopt(at time.Time, list []Target, complete bool) {
 	r.entries = make(map[string]Target, len(list))
 	for _, t := range list {
 		t.Start = StartOf(t.ID, t.Born)
 		r.entries[t.ID] = t
 	}
-	clear(r.lapsed)
-	clear(r.aside)
+	clear(r.expired)
+	clear(r.deferred)
 	clear(r.vanished)
-	r.heard = at
-	r.sampled = !whole
+	r.lastAnswer = at
+	r.sampled = !complete
 	r.version++
 }
 
-// Confirm notes that what was adopted was still true at the moment at.
+// Confirm records that what was adopted was still accurate at the moment at.
 func (r *Roster) Confirm(at time.Time) {
-	if at.After(r.heard) {
-		r.heard = at
+	if at.After(r.lastAnswer) {
+		r.lastAnswer = at
 	}
 }
 
-// Known tells whether the store was heard at all.
-func (r *Roster) Known() bool { return !r.heard.IsZero() }
+// Known reports whether anything has been received from the store, directly or through
+// another daemon.
+func (r *Roster) Known() bool { return !r.lastAnswer.IsZero() }
 
-// Age is how old the last word of the store is; it is meaningless before the first.
-func (r *Roster) Age(now time.Time) time.Duration { return now.Sub(r.heard) }
+// Age returns the time since the store's last answer; it is meaningless before the first.
+func (r *Roster) Age(now time.Time) time.Duration { return now.Sub(r.lastAnswer) }
 
-// Complete tells whether all targets that matter here are known, and not only a sample.
+// Complete reports whether all targets that matter here are known, and not only a sample.
 func (r *Roster) Complete() bool { return r.Known() && !r.sampled }
 
 // Len returns the number of entries.
@@ -222,81 +223,82 @@
 	return t, known
 }
 
-// Version changes whenever what Usable returns may have changed; now is the present.
+// Version returns a number that changes whenever the result of Usable may have changed;
+// now is the current time.
 func (r *Roster) Version(now time.Time) uint64 {
-	if !r.due.IsZero() && !now.Before(r.due) {
+	if !r.nextChange.IsZero() && !now.Before(r.nextChange) {
 		r.version++
-		r.due = time.Time{}
+		r.nextChange = time.Time{}
 	}
 	return r.version
 }
 
-// Current returns the start that the target has now, "" if none is known.
+// CurrentStart returns the target's current start, "" if none is known.
 func (r *Roster) Current(id string) Start { return r.entries[id].Start }
 
-// Usable returns the targets that may get new work, sorted by ID, and when the
-// answer changes by time alone (zero: never).
+// Usable returns the targets that may get new work, sorted by ID, and when the result
+// next changes due to time alone (zero: never).
 func (r *Roster) Usable(now time.Time) ([]Target, time.Time) {
-	until := r.pass(now)
-	r.due = until
-	list := make([]Target, 0, len(r.entries)+len(r.lapsed))
+	until := r.applyDue(now)
+	r.nextChange = until
+	list := make([]Target, 0, len(r.entries)+len(r.expired))
 	for _, t := range r.entries {
 		if !t.Draining {
 			list = append(list, t)
 		}
 	}
-	list = append(list, r.kept()...)
+	list = append(list, r.retained()...)
 	slices.SortFunc(list, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	return list, until
 }
 
-// kept lists the lapsed targets of the groups of which most have vanished.
-func (r *Roster) kept() []Target {
-	if len(r.lapsed) == 0 {
+// retained lists the expired targets of the groups of which most have vanished.
+func (r *Roster) retained() []Target {
+	if len(r.expired) == 0 {
 		return nil
 	}
-	all, vanished := map[string]int{}, map[string]int{}
+	sizes, vanished := map[string]int{}, map[string]int{}
 	for id, t := range r.entries {
 		if _, was := r.vanished[id]; !was {
-			all[t.Group]++
+			sizes[t.Group]++
 		}
 	}
 	for _, group := range r.vanished {
-		all[group]++
+		sizes[group]++
 		vanished[group]++
 	}
 	var list []Target
-	for _, l := range r.lapsed {
+	for _, l := range r.expired {
 		group := l.target.Group
-		if float64(vanished[group]) > lapsedShare*float64(all[group]) {
+		if float64(vanished[group]) > vanishedShare*float64(sizes[group]) {
 			list = append(list, l.target)
 		}
 	}
 	return list
 }
 
-// pass takes the changes that time alone has brought, and returns when the next
-// one comes (zero: never).
-func (r *Roster) pass(now time.Time) time.Time {
+// applyDue applies the changes that are due, and returns when the next one is (zero:
+// never).
+func (r *Roster) applyDue(now time.Time) time.Time {
 	var next time.Time
-	due := func(w waiting) bool {
-		if !now.Before(w.until) {
+	due := func(c pendingChange) bool {
+		if !now.Before(c.until) {
 			return true
 		}
-		if next.IsZero() || w.until.Before(next) {
-			next = w.until
+		if next.IsZero() || c.until.Before(next) {
+			next = c.until
 		}
 		return false
 	}
-	for id, w := range r.aside {
-		if due(w) {
-			delete(r.aside, id)
-			r.entries[id] = w.target
+	for id, c := range r.deferred {
+		if due(c) {
+			delete(r.deferred, id)
+			r.entries[id] = c.target
 		}
 	}
-	for id, w := range r.lapsed {
-		if due(w) {
-			delete(r.lapsed, id)
+	for id, c := range r.expired {
+		if due(c) {
+			delete(r.expired, id)
 		}
 	}
 	return next
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -33,9 +33,9 @@
 		return r
 	}
 
-	// Ten thousand targets write their entries all the time. A daemon that works its groups
-	// out anew at each of them spends its processor on nothing.
-	It("counts changes, and no heartbeats", func() {
+	// Ten thousand targets rewrite their entries all the time. A daemon must not
+	// recompute its groups at each write: that would waste its CPU.
+	It("counts changes, but not heartbeats", func() {
 		r := fresh()
 		version := r.Version(at(0))
 		r.Heard(at(time.Second))
@@ -48,7 +48,7 @@
 		Expect(r.Version(at(2 * time.Second))).NotTo(Equal(version))
 	})
 
-	It("counts what time alone changes", func() {
+	It("counts changes due to time alone", func() {
 		r := fresh()
 		back := at(6 * time.Second)
 		r.Heard(back)
@@ -60,7 +60,7 @@
 	})
 
 	// A daemon of a large zone holds a sample that a reader of the log chose.
-	It("adopts a sample as it is, and is whole again after a list of all", func() {
+	It("adopts a sample unchanged, and is complete again after a list of all targets", func() {
 		r := fresh()
 		Expect(r.Complete()).To(BeTrue())
 		r.Adopt(at(10*time.Second), []roster.Target{{ID: "b"}, {ID: "z"}}, false)
@@ -69,7 +69,7 @@
 		r.Confirm(at(9 * time.Second))
 		Expect(r.Age(at(11 * time.Second))).To(Equal(time.Second))
 		r.Adopt(at(12*time.Second), []roster.Target{{ID: "z"}}, true)
-		Expect(ids(r, at(12*time.Second))).To(Equal([]string{"z"}), "no grace for what the reader dropped")
+		Expect(ids(r, at(12*time.Second))).To(Equal([]string{"z"}), "no grace period for what the reader dropped")
 		Expect(r.Complete()).To(BeTrue())
 		r.Adopt(at(13*time.Second), nil, false)
 		r.Heard(at(13 * time.Second))
@@ -77,24 +77,24 @@
 		Expect(r.Complete()).To(BeTrue())
 	})
 
-	It("uses what is listed and does not drain", func() {
+	It("uses listed targets that are not draining", func() {
 		r := fresh()
 		Expect(ids(r, at(0))).To(Equal([]string{"a", "b"}))
 		r.Set(at(0), roster.Target{ID: "a", Draining: true})
 		Expect(ids(r, at(0))).To(Equal([]string{"b"}))
 	})
 
-	It("drops a target at once whose entry vanishes while the store is heard", func() {
+	It("drops a target immediately if its entry vanishes while the store answers", func() {
 		r := fresh()
 		r.Heard(at(time.Second))
 		r.Remove(at(time.Second), "a")
 		Expect(ids(r, at(time.Second))).To(Equal([]string{"b"}))
 	})
 
-	// The store was away for seconds and let the entries of living targets lapse.
-	// When it returns, the list is empty: every request would be refused although
-	// all targets serve. They write their entries again within 2 s.
-	It("keeps targets whose entries lapsed with the store away, until they had time to return", func() {
+	// The store was unavailable for seconds and let the entries of live targets expire.
+	// When it returns, the list is empty: every request would be refused although all
+	// targets serve. They rewrite their entries within 2 s.
+	It("keeps targets whose entries expired during an outage of the store, until they had time to rewrite them", func() {
 		r := fresh()
 		back := at(6 * time.Second)
 		r.Heard(back)
@@ -108,7 +108,7 @@
 		Expect(ids(r, until)).To(Equal([]string{"a"}))
 	})
 
-	It("gives no grace to a target that drained before the store went away", func() {
+	It("gives no grace period to a target that was draining before the outage", func() {
 		r := fresh()
 		r.Set(at(0), roster.Target{ID: "b", Draining: true})
 		back := at(6 * time.Second)
@@ -117,7 +117,7 @@
 		Expect(ids(r, back)).To(Equal([]string{"a"}))
 	})
 
-	It("does not extend the grace with every answer", func() {
+	It("does not extend the grace period with every answer", func() {
 		r := fresh()
 		back := at(6 * time.Second)
 		for d := time.Duration(0); d <= roster.ReturnGrace; d += roster.ReturnGrace / 4 {
@@ -127,10 +127,10 @@
 		Expect(ids(r, back.Add(roster.ReturnGrace))).To(Equal([]string{"b"}))
 	})
 
-	// A target crashes, starts again under its ID at another address and writes an
-	// entry; only then the last write of its earlier start takes effect, seconds
-	// late. Requests must not go back to the old address, and a target that drains
-	// must not look ready.
+	// A target crashes, restarts under its ID at another address and writes an entry;
+	// only then does the last write of its earlier start take effect, seconds late.
+	// Requests must not go back to the old address, and a draining target must not look
+	// ready.
 	It("lets no late entry of an earlier start replace a later one", func() {
 		r := fresh()
 		r.Set(at(0), roster.Target{ID: "a", Born: 100, Address: "old"})
@@ -145,9 +145,9 @@
 		Expect(ids(r, at(time.Minute))).To(Equal([]string{"b"}))
 	})
 
-	// A target's clock goes back, and it starts again: its later start was born
-	// earlier by that clock. It must not stay unused for good.
-	It("takes a start that was born earlier if the later one says nothing more", func() {
+	// A target's clock goes back, and it restarts: by that clock its later start is the
+	// earlier one. It must not stay unused forever.
+	It("accepts a start that was born earlier if the later one writes nothing more", func() {
 		r := fresh()
 		r.Set(at(0), roster.Target{ID: "a", Born: 200, Address: "old"})
 		r.Set(at(time.Second), roster.Target{ID: "a", Born: 150, Address: "new"})
@@ -157,7 +157,7 @@
 		Expect(list[0].Address).To(Equal("new"))
 	})
 
-	It("takes any start once the entry has gone", func() {
+	It("accepts any start once the entry is removed", func() {
 		r := fresh()
 		r.Heard(at(time.Second))
 		r.Set(at(time.Second), roster.Target{ID: "a", Born: 200})
@@ -166,7 +166,7 @@
 		Expect(r.Current("a")).To(Equal(roster.StartOf("a", 100)))
 	})
 
-	It("names each start of a target differently, in few bytes", func() {
+	It("gives each start of a target a different, short name", func() {
 		names := map[roster.Start]bool{}
 		for _, id := range []string{"a", "b", "a-longer-name-of-a-target"} {
 			for born := range int64(50) {
@@ -178,9 +178,9 @@
 		Expect(names).To(HaveLen(150))
 	})
 
-	// Somebody else writes over a target's entry. Nothing is known of the target
-	// then; it must not stay in use for the grace that a lapsed entry has.
-	It("drops a target at once whose entry was spoiled", func() {
+	// Something else overwrites a target's entry. Nothing is known of the target then; it
+	// must not stay in use for the grace period of an expired entry.
+	It("drops a target immediately if its entry is invalidated", func() {
 		r := fresh()
 		back := at(6 * time.Second)
 		r.Heard(back)
@@ -188,10 +188,10 @@
 		Expect(ids(r, back)).To(Equal([]string{"b"}))
 	})
 
-	// The store turns this daemon away and serves the others, while one target of
-	// several leaves without draining. It must get no work for the grace: it ends
-	// within that time.
-	It("gives no grace where only a part of a group vanishes", func() {
+	// The store rejects this daemon's requests and serves the others, while one target of
+	// several leaves without draining. It must get no work during the grace period: it
+	// ends within that time.
+	It("gives no grace period where only a part of a group vanishes", func() {
 		r := roster.New()
 		r.Heard(at(0))
 		r.Replace(at(0), []roster.Target{{ID: "a", Group: "g"}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}, {ID: "d", Group: "h"}})
