--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -19,15 +19,15 @@
 }
 
 var (
-	start = time.Unix(1_000_000, 0)
-	terms = quota.Terms{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
+	start     = time.Unix(1_000_000, 0)
+	tolerance = quota.Terms{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 )
 
 func account(rate, burst float64) *accounts.Account {
 	return &accounts.Account{Name: "hotel", Quota: accounts.Quota{Rate: rate, Burst: burst}}
 }
 
-// fill lets a book's buckets fill over d, its weight told as often as it is.
+// fill lets a limiter's buckets fill over d, with its weight set every 100 ms.
 func fill(b *quota.Book, from time.Time, d time.Duration, weight float64) time.Time {
 	for end := from.Add(d); from.Before(end); from = from.Add(100 * time.Millisecond) {
 		b.SetWeight(from, weight)
@@ -35,7 +35,7 @@
 	return from
 }
 
-// takes counts the tokens that are taken at one moment.
+// takes counts the tokens that can be taken at one moment.
 func takes(b *quota.Book, now time.Time, a *accounts.Account) int {
 	n := 0
 	for b.Take(now, a).Verdict == quota.Taken {
@@ -44,7 +44,7 @@
 	return n
 }
 
-var _ = Describe("A book of quotas", func() {
+var _ = Describe("A limiter", func() {
 	plain := quota.Terms{Window: 5 * time.Second}
 
 	It("lets the burst through at once and the rate after it", func() {
@@ -56,7 +56,7 @@
 		Expect(takes(b, now, a)).To(BeNumerically("~", 10, 1))
 	})
 
-	It("counts a request that no target ran not at all", func() {
+	It("does not count a request that no target ran", func() {
 		b := quota.NewBook(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(1, 1)
@@ -66,14 +66,14 @@
 		Expect(takes(b, now, a)).To(Equal(1))
 	})
 
-	It("follows a limit that falls", func() {
+	It("applies a quota that is lowered", func() {
 		b := quota.NewBook(start, "a", plain)
 		now := fill(b, start, 20*time.Second, 1)
 		Expect(b.Take(now, account(100, 100)).Verdict).To(Equal(quota.Taken))
 		Expect(takes(b, now, account(2, 3))).To(Equal(3))
 	})
 
-	It("moves tokens to who runs short, and makes none", func() {
+	It("transfers tokens to a participant that runs short, and creates none", func() {
 		x, y := quota.NewBook(start, "x", plain), quota.NewBook(start, "y", plain)
 		now := fill(x, start, 10*time.Second, 0.5)
 		fill(y, start, 10*time.Second, 0.5)
@@ -92,7 +92,7 @@
 		Expect(rest).To(BeNumerically(">=", 9))
 	})
 
-	It("asks the others no more for a moment once they had nothing", func() {
+	It("does not query the others again for a moment once they had no tokens", func() {
 		b := quota.NewBook(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(10, 1)
@@ -102,9 +102,9 @@
 		Expect(b.Take(now.Add(110*time.Millisecond), a).Verdict).To(Equal(quota.Taken))
 	})
 
-	// An account sends several times its quota. All its callers, told the same moment,
-	// would come back together and be refused again but for one.
-	It("spreads the return of refused callers over the tokens to come", func() {
+	// An account sends several times its quota. With the same retry delay, all its
+	// callers would come back together and all but one would be refused again.
+	It("spreads the retries of refused callers over the upcoming tokens", func() {
 		b := quota.NewBook(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(10, 5)
@@ -123,10 +123,10 @@
 		Expect(last).To(BeNumerically("<=", 2*time.Second))
 	})
 
-	// A leader is frozen and another one takes its place. When it wakes, what it held
-	// has been given out by the other one.
+	// A leader is frozen and another one takes its place. When it resumes, the other one
+	// has given out what it held.
 	It("has no tokens after it was frozen", func() {
-		b := quota.NewBook(start, "a", terms)
+		b := quota.NewBook(start, "a", tolerance)
 		now := fill(b, start, 10*time.Second, 0.25)
 		Expect(b.Take(now, account(100, 100)).Verdict).To(Equal(quota.Taken))
 		now = now.Add(3 * time.Second)
@@ -134,10 +134,10 @@
 		Expect(takes(b, now, account(100, 100))).To(BeZero())
 	})
 
-	// Everything loses power and starts again. No account gets its burst anew, and none
-	// of ordinary size has to wait for its first token.
-	It("begins with a part of the spare, once", func() {
-		b := quota.NewBook(start, "a", terms)
+	// Everything loses power and restarts. No account gets its burst again, and none of
+	// ordinary size has to wait for its first token.
+	It("starts with a share of the excess, once", func() {
+		b := quota.NewBook(start, "a", tolerance)
 		b.SetWeight(start, 0.25)
 		Expect(takes(b, start, account(9, 9))).To(Equal(3))
 		b.SetWeight(start, 0.01)
@@ -145,25 +145,25 @@
 		Expect(takes(b, start, account(9, 9))).To(BeZero())
 	})
 
-	// A hotel sends a request now and then. Its bucket is full when it comes, though
-	// nobody counted it all the while.
-	It("knows an account that it never saw as one that has not sent", func() {
+	// A hotel sends a request now and then. Its bucket must be full by then, although it
+	// was not tracked in between.
+	It("treats an account that it never saw as one that has been idle", func() {
 		b := quota.NewBook(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 0.5)
 		Expect(takes(b, now, account(4, 8))).To(Equal(4))
 	})
 })
 
-// fleet is a model of a fleet: daemons in zones, each with a book, that follow the
-// leader of their zone as far as they reach it, while they are cut off, frozen and
-// restarted. It counts what an account gets through.
+// fleet is a model of a fleet: daemons in zones, each with a limiter, that follow the
+// leader of their zone while they reach it, and are cut off, frozen and restarted. It
+// counts the requests of an account that are let through.
 type fleet struct {
 	random *rand.Rand
 	now    time.Time
 	zones  int
-	// swell is a fault for the check itself: by it all weights are multiplied.
-	swell float64
-	// oneZone tells that all callers of the account are in one zone.
+	// weightFactor multiplies all weights: a fault injected to test the check itself.
+	weightFactor float64
+	// oneZone is set if all callers of the account are in one zone.
 	oneZone bool
 	daemons []*modelDaemon
 	passed  []time.Time
@@ -171,20 +171,20 @@
 }
 
 type modelDaemon struct {
-	book *quota.Book
-	zone int
-	// side is the part of a cut network in which it is.
-	side     int
-	downTill time.Time
-	// iceTill is until when it is frozen.
-	iceTill time.Time
-	follows int
-	vote    quota.Vote
-	votes   quota.Votes
+	limiter *quota.Book
+	zone    int
+	// side is the part of a partitioned network that it is in.
+	side      int
+	downUntil time.Time
+	// frozenUntil is when it resumes.
+	frozenUntil time.Time
+	follows     int
+	vote        quota.Vote
+	votes       quota.Votes
 }
 
 func newFleet(seed uint64, n, zones int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: start, zones: zones, swell: 1}
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: start, zones: zones, weightFactor: 1}
 	for i := range n {
 		f.daemons = append(f.daemons, &modelDaemon{zone: i % zones})
 		f.begin(i)
@@ -194,21 +194,21 @@
 
 func (f *fleet) begin(i int) {
 	d := f.daemons[i]
-	d.book = quota.NewBook(f.now, fmt.Sprint("daemon-", i), terms)
+	d.limiter = quota.NewBook(f.now, fmt.Sprint("daemon-", i), tolerance)
 	d.vote, d.votes = quota.Vote{}, quota.Votes{}
 	d.follows = i
 }
 
 func (f *fleet) lives(i int) bool {
 	d := f.daemons[i]
-	return !f.now.Before(d.downTill) && !f.now.Before(d.iceTill)
+	return !f.now.Before(d.downUntil) && !f.now.Before(d.frozenUntil)
 }
 
 func (f *fleet) reaches(i, j int) bool {
 	return f.lives(i) && f.lives(j) && f.daemons[i].side == f.daemons[j].side
 }
 
-// elect has a daemon follow the first one of its zone that it reaches.
+// elect makes a daemon follow the first daemon of its zone that it reaches.
 func (f *fleet) elect(i int) {
 	for j, other := range f.daemons {
 		if other.zone == f.daemons[i].zone && f.reaches(i, j) {
@@ -218,7 +218,7 @@
 	}
 }
 
-// step lets the fleet do what it does every 50 ms. Who leads is noticed late.
+// step simulates 50 ms of the fleet. A change of leader is noticed late.
 func (f *fleet) step() {
 	for i, d := range f.daemons {
 		if !f.lives(i) {
@@ -230,39 +230,39 @@
 		if f.reaches(i, d.follows) && d.vote.Lend(f.now, fmt.Sprint(d.follows)) {
 			f.daemons[d.follows].votes[fmt.Sprint(i)] = f.now
 		}
-		d.book.SetWeight(f.now, min(1, f.swell*float64(d.votes.Count(f.now))/float64(len(f.daemons))))
+		d.limiter.SetWeight(f.now, min(1, f.weightFactor*float64(d.votes.Count(f.now))/float64(len(f.daemons))))
 	}
 	f.now = f.now.Add(50 * time.Millisecond)
 }
 
-// trouble strikes now and then.
-func (f *fleet) trouble() {
+// injectFault injects a random fault, in some of its calls.
+func (f *fleet) injectFault() {
 	n := len(f.daemons)
 	switch f.random.IntN(120) {
-	case 0: // a part of the daemons is cut off, each by itself
+	case 0: // some daemons are cut off, each on its own
 		for i := range n {
 			if f.random.IntN(3) == 0 {
 				f.daemons[i].side = 1 + i
 			}
 		}
-	case 1: // two halves
+	case 1: // a partition into two halves
 		for i := range n {
 			f.daemons[i].side = f.random.IntN(2)
 		}
-	case 2, 3: // the network is whole
+	case 2, 3: // the partition heals
 		for i := range n {
 			f.daemons[i].side = 0
 		}
 	case 4, 5, 6: // a leader is frozen
-		f.daemons[f.random.IntN(f.zones)].iceTill = f.now.Add(time.Duration(f.random.IntN(4000)) * time.Millisecond)
+		f.daemons[f.random.IntN(f.zones)].frozenUntil = f.now.Add(time.Duration(f.random.IntN(4000)) * time.Millisecond)
 	case 7, 8, 9: // a leader is killed
 		f.restart(f.random.IntN(f.zones), 1)
 	}
 }
 
-// restart has a daemon begin anew after a moment.
+// restart makes a daemon start again, without state, after some seconds.
 func (f *fleet) restart(i int, seconds int) {
-	f.daemons[i].downTill = f.now.Add(time.Duration(seconds) * time.Second)
+	f.daemons[i].downUntil = f.now.Add(time.Duration(seconds) * time.Second)
 	f.begin(i)
 }
 
@@ -281,10 +281,10 @@
 	} else {
 		at = i
 	}
-	book := f.daemons[at].book
-	answer := book.Take(f.now, a)
+	limiter := f.daemons[at].limiter
+	answer := limiter.Take(f.now, a)
 	if answer.Verdict == quota.Short && leads {
-		answer = book.Again(f.now, a, f.gather(at, a, answer.Want))
+		answer = limiter.Again(f.now, a, f.collect(at, a, answer.Want))
 	}
 	if answer.Verdict == quota.Taken {
 		f.passed = append(f.passed, f.now)
@@ -293,14 +293,14 @@
 	f.refused++
 }
 
-// gather asks the other leaders for tokens; some are lost on their way.
-func (f *fleet) gather(at int, a *accounts.Account, want float64) float64 {
+// collect requests tokens from the other leaders; some are lost on the way.
+func (f *fleet) collect(at int, a *accounts.Account, want float64) float64 {
 	got := 0.0
 	for j, other := range f.daemons {
 		if j == at || other.follows != j || !f.reaches(at, j) || got >= want {
 			continue
 		}
-		given := other.book.Give(f.now, a, want-got)
+		given := other.limiter.Give(f.now, a, want-got)
 		if f.random.IntN(20) > 0 {
 			got += given
 		}
@@ -308,12 +308,12 @@
 	return got
 }
 
-// worst returns by how much the fullest window passes the bound; 0 or less is within.
+// worst returns by how much the fullest window exceeds the bound; 0 or less is within it.
 func (f *fleet) worst(a *accounts.Account) float64 {
-	bound := (a.Quota.Rate*terms.Window.Seconds()+a.Quota.Burst)*(1+terms.Overshoot) + terms.Slack
+	bound := (a.Quota.Rate*tolerance.Window.Seconds()+a.Quota.Burst)*(1+tolerance.Overshoot) + tolerance.Slack
 	worst, first := -bound, 0
 	for i, at := range f.passed {
-		for at.Sub(f.passed[first]) >= terms.Window {
+		for at.Sub(f.passed[first]) >= tolerance.Window {
 			first++
 		}
 		worst = max(worst, float64(i-first+1)-bound)
@@ -321,12 +321,12 @@
 	return worst
 }
 
-// play sends the account's requests at a rate for a while.
-func (f *fleet) play(a *accounts.Account, perSecond float64, seconds int, trouble bool) {
+// play sends the account's requests at a rate for some seconds.
+func (f *fleet) play(a *accounts.Account, perSecond float64, seconds int, faults bool) {
 	due := 0.0
 	for range seconds * 20 {
-		if trouble {
-			f.trouble()
+		if faults {
+			f.injectFault()
 		}
 		f.step()
 		for due += perSecond / 20; due >= 1; due-- {
@@ -336,9 +336,9 @@
 }
 
 // A hotel sends eight times its quota through all daemons, while zones are cut off from
-// each other, a third of the daemons stands alone, leaders die, freeze and wake, and
-// for a while two of a zone give tokens out. In no window may more get through than the
-// quota and what may be passed over it.
+// each other, a third of the daemons is isolated, leaders die, freeze and resume, and for
+// a while two daemons of a zone give out tokens. In no window may more requests get
+// through than the quota and its tolerance allow.
 func TestTheBoundHoldsUnderTrouble(t *testing.T) {
 	for _, n := range []int{13, 79, 300} {
 		for _, rate := range []float64{1.6, 9, 64} {
@@ -354,7 +354,7 @@
 	}
 }
 
-// All daemons are killed, again and again, while an account floods them.
+// All daemons are killed repeatedly, while an account floods them with requests.
 func TestTheBoundHoldsWhenAllStartAgain(t *testing.T) {
 	for seed := range uint64(6) {
 		f := newFleet(seed, 79, 4)
@@ -371,20 +371,21 @@
 	}
 }
 
-// The check above must be able to fail: weights that add up to more than one break it.
+// The check above must be able to fail: weights that add up to more than one exceed the
+// bound.
 func TestTheCheckSeesWeightsThatAddUpToMore(t *testing.T) {
 	f := newFleet(1, 79, 4)
-	f.swell = 3
+	f.weightFactor = 3
 	a := account(64, 64)
 	f.play(a, 8*64, 40, true)
 	if f.worst(a) <= 0 {
-		t.Fatal("weights that add up to three pass unseen")
+		t.Fatal("weights that add up to three are not detected")
 	}
 }
 
-// An account sends what its quota allows in steps of 0.39 and 1.91 of its mean, which is
-// five eighths of its rate, through one zone alone. Calm days refuse fewer than one of
-// a thousand such requests.
+// An account sends, through one zone alone, at 0.39 and 1.91 times its mean rate in turn;
+// the mean is five eighths of its quota's rate. On calm days fewer than one of a thousand
+// such requests is refused.
 func TestOrdinaryLoadIsNotRefused(t *testing.T) {
 	for _, n := range []int{13, 79, 300} {
 		for _, rate := range []float64{1.6, 9, 64} {
@@ -403,22 +404,22 @@
 	}
 }
 
-// BenchmarkTake decides on one request among 18,000 accounts.
+// BenchmarkTake measures the decision on one request among 18,000 accounts.
 func BenchmarkTake(b *testing.B) {
-	book := quota.NewBook(start, "a", terms)
+	limiter := quota.NewBook(start, "a", tolerance)
 	list := make([]*accounts.Account, 18_000)
 	for i := range list {
 		list[i] = &accounts.Account{Name: fmt.Sprint("account-", i), Quota: accounts.Quota{Rate: 10, Burst: 10}}
 	}
 	for i := 0; b.Loop(); i++ {
-		book.Take(start, list[i%len(list)])
+		limiter.Take(start, list[i%len(list)])
 	}
 }
 
 var _ = Describe("A vote", func() {
-	// The leader of a zone is cut off and its daemons follow a new one. The old one must
-	// have let go of a vote before the new one may count it, however late it came.
-	It("is one participant's at a time", func() {
+	// The leader of a zone is cut off and its daemons follow a new one. A vote must have
+	// expired at the old one before the new one may count it, however late it arrived.
+	It("is held by one participant at a time", func() {
 		var v quota.Vote
 		votes := quota.Votes{}
 		late := start.Add(150 * time.Millisecond)
@@ -433,7 +434,7 @@
 		Expect(v.Lend(at, "old")).To(BeFalse())
 	})
 
-	It("is due at its pace, and at once for another participant", func() {
+	It("is due at its interval, and at once for another participant", func() {
 		var v quota.Vote
 		Expect(v.Due(start, "a")).To(BeTrue())
 		Expect(v.Lend(start, "a")).To(BeTrue())
--- a/core/quota/vote.go
+++ b/core/quota/vote.go
@@ -3,54 +3,57 @@
 import "time"
 
 const (
-	// VoteEvery is the pace at which a daemon renews its vote.
+	// VoteInterval is the interval at which a daemon renews its vote.
 	VoteEvery = 300 * time.Millisecond
-	// voteLife is how long a participant holds a vote that is not renewed.
-	voteLife = 800 * time.Millisecond
-	// voteAgain is how long after it last lent its vote a daemon may lend it to another
-	// participant: the first one has let go of it then, however late it came.
-	voteAgain = voteLife + 200*time.Millisecond
+	// voteTTL is how long a participant holds a vote that is not renewed.
+	voteTTL = 800 * time.Millisecond
+	// retransferAfter is how long after its last transfer a vote may be transferred to
+	// another participant: it has expired at the first one by then, however late it
+	// arrived there.
+	retransferAfter = voteTTL + 200*time.Millisecond
 )
 
-// Vote is a daemon's vote. Lent to one participant, it is not lent to another one until
-// the first has let go of it.
+// Vote is a daemon's vote. Once transferred to a participant, it is not transferred to
+// another one until the first has released it.
 //
 // Failure guarded against: the leader of a zone is cut off, and its daemons follow a new
-// one. If both counted them, both would give out the zone's part of every quota.
+// one. If both counted their votes, both would give out the zone's share of every quota.
 type Vote struct {
-	holder string
-	lent   time.Time
+	holder        string
+	transferredAt time.Time
 }
 
-// Due tells whether the vote is to be lent to a participant now: to another one, or again.
+// Due reports whether the vote is to be transferred to a participant now, as a new holder
+// or as a renewal.
 func (v *Vote) Due(now time.Time, to string) bool {
-	return v.holder != to || now.Sub(v.lent) >= VoteEvery
+	return v.holder != to || now.Sub(v.transferredAt) >= VoteEvery
 }
 
-// Lend lends the vote to a participant, or renews that. It tells whether the vote is that
-// participant's now.
+// Transfer transfers the vote to a participant, or renews the transfer. It reports
+// whether that participant holds the vote now.
 func (v *Vote) Lend(now time.Time, to string) bool {
-	if v.holder != to && now.Sub(v.lent) < voteAgain {
+	if v.holder != to && now.Sub(v.transferredAt) < retransferAfter {
 		return false
 	}
-	v.holder, v.lent = to, now
+	v.holder, v.transferredAt = to, now
 	return true
 }
 
-// Returned takes the vote back from a participant that has let go of it.
+// Returned records that a participant has released the vote.
 func (v *Vote) Returned(from string) {
 	if v.holder == from {
 		*v = Vote{}
 	}
 }
 
-// Votes are those that a participant holds, by the daemon that lent them.
+// Votes holds when each vote of a participant was last received, by the daemon that
+// transferred it.
 type Votes map[string]time.Time
 
-// Count counts the votes that are held, and forgets the others.
+// Count returns the number of votes that are held, and deletes the expired ones.
 func (v Votes) Count(now time.Time) int {
 	for daemon, at := range v {
-		if now.Sub(at) > voteLife {
+		if now.Sub(at) > voteTTL {
 			delete(v, daemon)
 		}
 	}
