--- a/core/accounts/accounts.go
+++ b/core/accounts/accounts.go
@@ -1,6 +1,5 @@
-// Package accounts holds the client accounts of one version of the configuration:
-// their keys, their priority and their quota. It decides whose a request is. It is
-// pure.
+// Package accounts holds the client accounts of one version of the configuration: their
+// keys, priorities and quotas. It finds the account of a request. It is pure.
 package accounts
 
 import (
@@ -12,12 +11,13 @@
 )
 
 const (
-	// SureFor is how old the last word about the configuration may be for what it does
-	// not hold, a key or a route, to be refused for good. A reading that waits for news
-	// answers at least every second.
+	// MaxConfigAge is the time since the configuration was last confirmed as current up to
+	// which a key or route that it lacks is refused permanently. A read that waits for
+	// changes returns at least every second.
 	SureFor = 1500 * time.Millisecond
-	// UnsureRetryMs tells callers when to come back to a daemon that may have missed a
-	// change. Another daemon, or this one once it has asked its peers, knows more.
+	// StaleRetryAfterMs is the retry delay, in milliseconds, for callers of a daemon that
+	// may have missed a change. Another daemon, or this one once it has queried its
+	// peers, knows more.
 	UnsureRetryMs = 250
 	// bearer is the scheme of the credentials, in lower case.
 	bearer = "bearer "
@@ -26,19 +26,19 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority ranks its requests; 0 goes first. It goes before the route's.
+	// Priority ranks its requests; 0 goes first. It overrides the route's priority.
 	Priority int
 	// Quota bounds its online requests over the whole fleet.
 	Quota Quota
 }
 
-// Quota is a bound on requests: Rate a second, and Burst beyond them at once. A
-// rate of 0 is no bound.
+// Quota is a limit on requests: Rate a second, and Burst beyond them at once. A rate of
+// 0 means no limit.
 type Quota struct {
 	Rate, Burst float64
 }
 
-// Bounded tells whether the quota bounds anything.
+// Bounded reports whether the quota limits anything.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
 // Entry is an account with its keys, as the operator configures it.
@@ -47,20 +47,20 @@
 	Keys []string
 }
 
-// digest stands for a key. Keys are looked up by it, so that the time of a lookup
-// tells nothing of the keys that are near.
+// digest is the hash of a key. Keys are looked up by their digest, so that the time of a
+// lookup reveals nothing about similar keys.
 type digest [sha256.Size]byte
 
-// Set is the accounts of one configuration. It does not change. A nil Set means that
-// no accounts are configured: every request is allowed and belongs to nobody.
+// Set is the accounts of one configuration. It is immutable. A nil Set means that no
+// accounts are configured: every request is allowed and belongs to no account.
 type Set struct {
 	byKey  map[digest]*Account
 	byName map[string]*Account
 }
 
-// NewSet returns the accounts, and the names of those whose entry can't be used: one
-// without a name, with a name that another one has, or with a key that another one
-// holds. Such a key stays with the account that is listed first.
+// NewSet returns the accounts, and the names of those whose entry can't be used
+// completely: one without a name, with the name of another account, or with an empty key
+// or another account's key. Such a key stays with the account that is listed first.
 func NewSet(entries []Entry) (s *Set, faulty []string) {
 	s = &Set{byKey: make(map[digest]*Account, len(entries)), byName: make(map[string]*Account, len(entries))}
 	for i := range entries {
@@ -71,23 +71,23 @@
 	return s, faulty
 }
 
-// add takes an entry and tells whether all of it could be used.
+// add adds an entry and reports whether all of it could be used.
 func (s *Set) add(e *Entry) bool {
 	if e.Name == "" || s.byName[e.Name] != nil {
 		return false
 	}
 	account := &e.Account
 	s.byName[e.Name] = account
-	whole := true
+	complete := true
 	for _, key := range e.Keys {
 		d := digest(sha256.Sum256([]byte(key)))
 		if holder := s.byKey[d]; key == "" || holder != nil && holder != account {
-			whole = false
+			complete = false
 			continue
 		}
 		s.byKey[d] = account
 	}
-	return whole
+	return complete
 }
 
 // Len returns the number of accounts.
@@ -98,7 +98,7 @@
 	return len(s.byName)
 }
 
-// Named returns the account of the name, nil if there is none.
+// ByName returns the account with the name, nil if there is none.
 func (s *Set) Named(name string) *Account {
 	if s == nil {
 		return nil
@@ -106,14 +106,14 @@
 	return s.byName[name]
 }
 
-// Identify returns the account whose key the credentials hold; they are the values of
-// a request's Authorization header. public allows a request without an account. age is
-// how old the last word about the configuration is.
+// Identify returns the account whose key the credentials hold; they are the values of a
+// request's Authorization header. public allows a request without an account. age is how
+// long ago the configuration was last confirmed as current.
 //
-// Failure guarded against: a daemon that is cut off from the configuration does not
-// hold a key that was added meanwhile. Refused for good, the caller gives up, though
-// any other daemon would serve it. While the daemon can't be sure, it tells the caller
-// to come back.
+// Failure guarded against: a daemon that is cut off from the configuration lacks a key
+// that was added meanwhile. If it refused the key permanently, the caller would give up,
+// though any other daemon would serve it. While the configuration may be outdated, the
+// caller is told to retry.
 func (s *Set) Identify(credentials []string, public bool, age time.Duration) (*Account, *outcome.Refusal) {
 	if s == nil {
 		return nil, nil
@@ -132,7 +132,7 @@
 	}
 }
 
-// keyOf returns the key of a request's credentials, or why there is none.
+// keyOf returns the key in a request's credentials, or the reason why there is none.
 func keyOf(credentials []string) (string, *outcome.Refusal) {
 	if len(credentials) != 1 {
 		return "", outcome.Refuse(outcome.Unauthorized, "the request brings %d keys, not one", len(credentials))
--- a/core/accounts/accounts_test.go
+++ b/core/accounts/accounts_test.go
@@ -39,8 +39,8 @@
 			Expect(account.Name).To(Equal(name))
 		},
 		Entry("one of several", "hotel", "Bearer k2"),
-		Entry("another one's", "guesthouse", "Bearer k3"),
-		Entry("the scheme in other letters", "hotel", "bEARER k1"),
+		Entry("another account's", "guesthouse", "Bearer k3"),
+		Entry("the scheme in mixed case", "hotel", "bEARER k1"),
 		Entry("spaces around it", "hotel", "Bearer  k1 "),
 		Entry("unknown", "", "Bearer k9"),
 		Entry("none", ""),
@@ -52,7 +52,7 @@
 		Entry("only the beginning of one", "", "Bearer k"),
 	)
 
-	It("are not needed for a public route, but told", func() {
+	It("are optional for a public route, but identified", func() {
 		account, refusal := set.Identify(nil, true, time.Hour)
 		Expect(account).To(BeNil())
 		Expect(refusal).To(BeNil())
@@ -61,17 +61,18 @@
 		Expect(account.Name).To(Equal("guesthouse"))
 	})
 
-	It("are needed by nobody where none are configured", func() {
+	It("are not required where none are configured", func() {
 		var none *accounts.Set
 		account, refusal := none.Identify([]string{"Bearer k1"}, false, time.Hour)
 		Expect(account).To(BeNil())
 		Expect(refusal).To(BeNil())
 	})
 
-	// A daemon has lost its configuration source. A guesthouse gets a new key and uses
-	// it there; every other daemon knows the key. The guesthouse must not be told to
-	// give up, while known keys go on and requests without any are refused at once.
-	It("refuse no unknown key for good while the configuration may be old", func() {
+	// A daemon has lost its configuration source. A guesthouse gets a new key and uses it
+	// there; every other daemon knows the key. The guesthouse must not be told to give
+	// up, while known keys continue to work and requests without a key are refused at
+	// once.
+	It("do not refuse an unknown key permanently while the configuration may be outdated", func() {
 		_, refusal := set.Identify([]string{"Bearer k9"}, false, 10*time.Second)
 		Expect(refusal.Code).To(Equal(outcome.NotReady))
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
@@ -83,7 +84,7 @@
 		Expect(refusal.Code).To(Equal(outcome.Unauthorized))
 	})
 
-	It("never tell a key", func() {
+	It("never reveal a key", func() {
 		for _, credentials := range []string{"Bearer secret", "Basic secret", "secret"} {
 			for _, age := range []time.Duration{0, time.Hour} {
 				_, refusal := set.Identify([]string{credentials}, false, age)
@@ -92,7 +93,7 @@
 		}
 	})
 
-	It("keep a key with the account that is listed first, and tell of faulty entries", func() {
+	It("keep a key with the account that is listed first, and report faulty entries", func() {
 		set, faulty := accounts.NewSet([]accounts.Entry{
 			entry("a", "k"), entry("b", "k", "own"), entry("", "nobody"), entry("a", "again"), entry("c", ""), entry("d", "x", "x"),
 		})
@@ -110,8 +111,8 @@
 	})
 })
 
-// FuzzIdentify gives whatever credentials. None may panic or find an account whose key
-// they do not hold whole.
+// FuzzIdentify passes arbitrary credentials. None may panic, or find an account whose
+// full key they do not hold.
 func FuzzIdentify(f *testing.F) {
 	set, _ := accounts.NewSet([]accounts.Entry{entry("hotel", "key-1")})
 	f.Add("Bearer key-1")
@@ -128,7 +129,7 @@
 	})
 }
 
-// BenchmarkNewSet takes a configuration of 18,000 accounts with two keys each.
+// BenchmarkNewSet builds the accounts of a configuration: 18,000 with two keys each.
 func BenchmarkNewSet(b *testing.B) {
 	var list []accounts.Entry
 	for i := range 18_000 {
