--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,24 +1,24 @@
-// Package retry decides whether a failed attempt is followed by another one:
-// the retry budget of a target group, the decision itself, and the tracker of
-// requests that crash targets. It is pure.
+// Package retry decides whether a failed attempt is followed by another one: the retry
+// budget of a target group, the decision itself, and the tracker of requests that crash
+// targets. It is pure.
 package retry
 
 import "time"
 
 const (
-	// FloorPerSecond lets a quiet group retry at all: a share of nearly nothing
-	// would be nothing.
+	// FloorPerSecond lets a group with little traffic retry at all: a share of almost no
+	// requests would be almost no retries.
 	FloorPerSecond = 1.0
-	// MaxTokens bounds what a quiet time saves up. It covers the streams one
-	// entry host loses when one target dies (a target's slots over the entry
-	// hosts, with room), and no more.
+	// MaxTokens bounds what accumulates in quiet times. It covers the streams that one
+	// entry host loses when one target dies (a target's slots divided by the entry hosts,
+	// with a margin), and no more.
 	MaxTokens = 20.0
 )
 
-// Budget is a token bucket that bounds retries by a share of the first
-// attempts. Over any span with n first attempts and s seconds at most
-// MaxTokens + share*n + FloorPerSecond*s retries pass, however many requests
-// fail; a count per request would multiply the load when all of them fail.
+// Budget is a token bucket that limits retries to a share of the first attempts. Over any
+// span with n first attempts and s seconds at most MaxTokens + share*n + FloorPerSecond*s
+// retries pass, however many requests fail; a limit per request would multiply the load
+// when all of them fail.
 type Budget struct {
 	share  float64
 	tokens float64
@@ -33,10 +33,10 @@
 // SetShare changes the share from now on.
 func (b *Budget) SetShare(share float64) { b.share = share }
 
-// First counts a first attempt.
+// CountFirst counts a first attempt.
 func (b *Budget) First() { b.add(b.share) }
 
-// Take spends one retry if there is one.
+// Take consumes one retry and reports whether there was one.
 func (b *Budget) Take(now time.Time) bool {
 	if !b.Left(now) {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Left tells whether a retry could be had now.
+// Available reports whether a retry is available now.
 func (b *Budget) Left(now time.Time) bool {
 	if now.After(b.at) {
 		b.add(FloorPerSecond * now.Sub(b.at).Seconds())
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -21,8 +21,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// When all targets fail, every request wants its retries. The budget must hold
-// the sum to its share, in any order of requests and time.
+// When all targets fail, every request attempts its retries. The budget must limit their
+// sum to its share, in any order of requests and time.
 func TestBudgetHoldsTheShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0, 0.5).Draw(t, "share")
@@ -45,10 +45,11 @@
 	})
 }
 
-// A guest's order must not be sent twice, and "not run" must be true: over
-// random failures, a non-repeatable request is never retried once reached, no
-// retry starts past the deadline, and not_run is said exactly if none reached.
-func TestDecideIsTrueAndAtMostOnce(t *testing.T) {
+// A guest's order must not be sent twice, and "not run" must be true: over random
+// failures, a non-repeatable request is never retried once it reached a target, no retry
+// starts past the deadline, and the state is not_run exactly if no attempt reached a
+// target.
+func TestDecideIsAccurateAndAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Situation{
 			Failure: Failure{
@@ -78,11 +79,11 @@
 	})
 }
 
-// One request crashes every target that runs it; it is sent again and again,
-// to any daemon, beside innocent requests. Suspects run alone. The crasher must
-// be refused after a few targets and no innocent ever. Each daemon sees its own
-// requests only, and tells its part of a crash before the next round.
-func TestCrasherIsCondemnedAndInnocentsAreNot(t *testing.T) {
+// One request crashes every target that runs it; it is sent again and again, to any
+// daemon, beside harmless requests. Suspects run alone. The crasher must be refused after
+// a few targets, and no harmless request ever. Each daemon sees its own requests only,
+// and reports its part of a crash before the next round.
+func TestCrasherIsQuarantinedAndHarmlessRequestsAreNot(t *testing.T) {
 	const crasher, most = "crasher", 3
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewSuspects(2)
@@ -108,40 +109,40 @@
 				}
 			}
 			for i := range 6 {
-				if s.Verdict(innocent(i)) == Condemned {
-					t.Fatalf("%s is condemned after %d crashes", innocent(i), crashed)
+				if s.Verdict(harmless(i)) == Condemned {
+					t.Fatalf("%s is quarantined after %d crashes", harmless(i), crashed)
 				}
 			}
 		}
 		if s.Verdict(crasher) != Condemned || crashed > most {
-			t.Fatalf("the crasher took %d targets, verdict %v", crashed, s.Verdict(crasher))
+			t.Fatalf("the crasher crashed %d targets, verdict %v", crashed, s.Verdict(crasher))
 		}
 	})
 }
 
-func innocent(i int) string { return fmt.Sprintf("innocent%d", i) }
+func harmless(i int) string { return fmt.Sprintf("innocent%d", i) }
 
 // companions draws requests that may share a target: no suspects.
 func companions(t *rapid.T, s *Suspects) []string {
 	var clear []string
 	for i := range 6 {
-		if rapid.Bool().Draw(t, "beside") && s.Verdict(innocent(i)) == Clear {
-			clear = append(clear, innocent(i))
+		if rapid.Bool().Draw(t, "beside") && s.Verdict(harmless(i)) == Clear {
+			clear = append(clear, harmless(i))
 		}
 	}
 	return clear
 }
 
-// split deals the requests to two daemons.
+// split divides the requests between two daemons.
 func split(t *rapid.T, all []string) [][]string {
 	cut := rapid.IntRange(0, len(all)).Draw(t, "cut")
 	parts := [][]string{slices.Clone(all[:cut]), slices.Clone(all[cut:])}
 	return slices.DeleteFunc(parts, func(p []string) bool { return len(p) == 0 })
 }
 
-// A target with a fault of its own crashes over and over under one request.
-// That tells of the target: a crash at a second one is needed.
-func TestOneBadTargetCondemnsNobody(t *testing.T) {
+// A faulty target crashes repeatedly under one request. That is evidence against the
+// target: a crash of a second one is needed.
+func TestOneFaultyTargetQuarantinesNothing(t *testing.T) {
 	s := NewSuspects(2)
 	for i := range int64(5) {
 		s.Crashed(Crash{Target: "bad", AtMs: i * 60_000, Running: []string{"order"}, Total: 1})
@@ -155,9 +156,9 @@
 	}
 }
 
-// Two daemons isolate two suspects on the same target at the same moment, each
-// believing to be alone. The second daemon's word must clear the innocent.
-func TestLateWordWithdrawsAVerdict(t *testing.T) {
+// Two daemons run two suspects on the same target at the same moment, each assuming that
+// its own runs alone. The second daemon's report must clear the harmless one.
+func TestLateReportWithdrawsAVerdict(t *testing.T) {
 	s := NewSuspects(2)
 	s.Crashed(Crash{Target: "a", AtMs: 0, Running: []string{"innocent", "crasher"}, Total: 2})
 	s.Crashed(Crash{Target: "b", AtMs: 9_000, Running: []string{"innocent"}, Total: 1})
--- a/core/retry/silence_test.go
+++ b/core/retry/silence_test.go
@@ -10,8 +10,8 @@
 	"tarragonhollow.example/tarragonhollow/core/retry"
 )
 
-var _ = Describe("The silence after which a target is given up", func() {
-	// around is a time about a mean, as engines take it with a slot free.
+var _ = Describe("The maximum wait for an answer of a target", func() {
+	// around returns a random time about a mean, as targets take it with a slot free.
 	around := func(r *rand.Rand, mean time.Duration) time.Duration {
 		return time.Duration(float64(mean) * (0.5 + r.ExpFloat64()/2))
 	}
@@ -33,17 +33,17 @@
 		Expect(s.Patience()).To(BeNumerically("<", retry.LongestSilence))
 	})
 
-	// A guest's question goes to an engine that has just gone dark. It must still be
-	// answered within its 300 ms by another one.
+	// A guest's question goes to a target that has just stopped answering. Another one
+	// must still answer it within its 300 ms.
 	It("leaves time for another target within the objective where targets are quick", func() {
 		s := learned(rand.New(rand.NewPCG(1, 1)), 30*time.Millisecond)
 		Expect(s.Patience()).To(BeNumerically("<=", 250*time.Millisecond))
 		Expect(s.Patience()).To(BeNumerically(">=", retry.ShortestSilence))
 	})
 
-	// All engines turn slow together. A patience that gives up what would have come
-	// doubles their load.
-	It("gives up few requests when all targets turn slow together", func() {
+	// All targets become slow together. A maximum wait that gives up requests that would
+	// still have been answered doubles their load.
+	It("gives up few requests when all targets become slow together", func() {
 		for _, slow := range []time.Duration{150 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond} {
 			r := rand.New(rand.NewPCG(2, uint64(slow)))
 			s := learned(r, 30*time.Millisecond)
@@ -58,12 +58,12 @@
 				}
 				s.Answered(took)
 			}
-			// A tenth of the requests is half of what may be sent again at all.
+			// A tenth of the requests is half of what may be retried at all.
 			Expect(gaveUp).To(BeNumerically("<=", requests/10), slow.String())
 		}
 	})
 
-	It("comes back to what targets take once they are quick again", func() {
+	It("returns to what targets take once they are quick again", func() {
 		r := rand.New(rand.NewPCG(3, 3))
 		s := learned(r, 30*time.Millisecond)
 		before := s.Patience()
--- a/core/retry/suspects.go
+++ b/core/retry/suspects.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// MergeWindow is the time within which two tellings of a crash of the same
-	// target are the same crash, seen by two entry hosts.
+	// MergeWindow is the time within which two reports of a crash of the same target
+	// count as one crash, seen by two entry hosts.
 	MergeWindow = 2 * time.Second
-	// SettleTime is how long after it was first heard of a crash is open: every
-	// entry host with a request there sees its own connection break and tells the
-	// others. It covers that with room; see Suspects.VerdictAt.
+	// ReportWindow is how long after its first report a crash stays open: every entry
+	// host with a request there sees its own connection break and reports to the others.
+	// It covers that with a margin; see Suspects.VerdictAt.
 	SettleTime = 150 * time.Millisecond
-	// CrashMemory is how long a crash counts.
+	// CrashRetention is how long a crash counts.
 	CrashMemory = time.Hour
-	// MaxCrashes is the bound of crashes kept.
+	// MaxCrashes is the maximum number of crashes kept.
 	MaxCrashes = 256
-	// MaxRunning is the bound of requests named per crash.
+	// MaxRunning is the maximum number of requests named per crash.
 	MaxRunning = 128
 )
 
@@ -26,67 +26,67 @@
 type Crash struct {
 	// Target is the crashed target's address.
 	Target string
-	// AtMs is when it was seen first, Unix milliseconds.
+	// AtMs is when it was seen first, in Unix milliseconds.
 	AtMs int64
 	// Running names the requests, by fingerprint, known to have run there.
 	Running []string
-	// Cleared names those of them that completed elsewhere since; they are no
-	// longer in Running.
+	// Cleared names those of them that have completed elsewhere since; they are no longer
+	// in Running.
 	Cleared []string
 	// Total estimates how many requests ran there fleet-wide; at least
 	// len(Running).
 	Total int
 }
 
-// Verdict is what may be done with a request.
+// Verdict is how a request may be run.
 type Verdict int
 
 const (
-	// Clear requests run anywhere.
+	// Clear requests may run anywhere.
 	Clear Verdict = iota
-	// Isolated requests ran on one target as it crashed: they run next where as
-	// little else as possible does, so that the next crash, or its absence, tells
+	// PreferAlone requests ran on one target when it crashed: they run next where as few
+	// other requests as possible do, so that the next crash, or its absence, is evidence
 	// about them alone.
 	Isolated
-	// Quarantined requests ran on several targets as they crashed: they run only
-	// where nothing else does. One that shared a third crash would cost others
-	// their answers and still prove nothing.
+	// RunAlone requests ran on several targets when they crashed: they run only where
+	// nothing else does. If one shared a third crash, that would cost others their
+	// answers and still prove nothing.
 	Quarantined
-	// Condemned requests are refused.
+	// Quarantined requests are refused.
 	Condemned
-	// Pending requests wait until the crashes they took part in are settled; it
-	// takes SettleTime at most.
+	// Pending requests wait until the crashes that they took part in are no longer open,
+	// at most ReportWindow.
 	Pending
 )
 
-// Suspects tracks which requests ran on targets as they crashed. All verdicts
-// follow from the crashes in memory, so daemons that exchange crashes reach the
-// same verdicts, and a later telling of the same crash can clear an innocent
-// whom an incomplete one made look guilty.
+// Suspects tracks which requests ran on targets when they crashed. All verdicts are
+// derived from the crashes kept, so daemons that exchange crashes reach the same
+// verdicts, and a later report of the same crash can clear a harmless request that an
+// incomplete report implicated.
 type Suspects struct {
-	limit     int
-	crashes   []Crash
-	condemned map[string]bool
-	// heardMs holds when each crash of crashes was first heard of here, by this
-	// daemon's clock: others' clocks must not open or settle a crash.
-	heardMs []int64
+	limit       int
+	crashes     []Crash
+	quarantined map[string]bool
+	// receivedMs holds when each crash of crashes was first received here, by this
+	// daemon's clock: others' clocks must not open or close a crash.
+	receivedMs []int64
 }
 
-// NewSuspects returns a tracker that condemns after limit crashes.
+// NewSuspects returns a tracker that quarantines a request after limit crashes.
 func NewSuspects(limit int) *Suspects {
-	return &Suspects{limit: max(1, limit), condemned: map[string]bool{}}
+	return &Suspects{limit: max(1, limit), quarantined: map[string]bool{}}
 }
 
 // SetLimit changes the limit.
 func (s *Suspects) SetLimit(limit int) {
 	s.limit = max(1, limit)
-	s.judge()
+	s.evaluate()
 }
 
-// Crashed takes one telling of a crash, heard at the moment it tells of.
+// Crashed applies a report of a crash, received at the time of the crash.
 func (s *Suspects) Crashed(c Crash) bool { return s.Hear(c.AtMs, c) }
 
-// Hear takes one telling of a crash, heard now, and tells whether anything was
+// Apply applies a report of a crash, received now, and reports whether anything in it was
 // new.
 func (s *Suspects) Hear(nowMs int64, c Crash) bool {
 	c = c.bounded()
@@ -97,18 +97,18 @@
 	changed := true
 	if i < 0 {
 		s.crashes = append(s.crashes, c)
-		s.heardMs = append(s.heardMs, nowMs)
+		s.receivedMs = append(s.receivedMs, nowMs)
 	} else {
 		changed = merge(&s.crashes[i], c)
 	}
 	if len(s.crashes) > MaxCrashes {
-		s.crashes, s.heardMs = s.crashes[1:], s.heardMs[1:]
+		s.crashes, s.receivedMs = s.crashes[1:], s.receivedMs[1:]
 	}
-	s.judge()
+	s.evaluate()
 	return changed
 }
 
-// bounded returns a copy that keeps to the memory's bounds.
+// bounded returns a copy that names at most MaxRunning requests of each kind.
 func (c Crash) bounded() Crash {
 	c.Running = slices.Clone(c.Running[:min(len(c.Running), MaxRunning)])
 	c.Cleared = slices.Clone(c.Cleared[:min(len(c.Cleared), MaxRunning)])
@@ -121,8 +121,8 @@
 	return a.Target == b.Target && max(apart, -apart) <= MergeWindow.Milliseconds()
 }
 
-// merge adds what the second telling knows more. Once cleared is cleared, in
-// whichever order the tellings come.
+// merge adds what the second report has beyond the first. A request that was cleared once
+// stays cleared, in whichever order the reports arrive.
 func merge(into *Crash, c Crash) bool {
 	changed := false
 	for _, f := range c.Cleared {
@@ -141,8 +141,8 @@
 	return changed
 }
 
-// clear moves a request from Running to Cleared and tells whether it was not
-// there before.
+// clear moves a request from Running to Cleared and reports whether it was not there
+// before.
 func (c *Crash) clear(fingerprint string) bool {
 	if slices.Contains(c.Cleared, fingerprint) || len(c.Cleared) >= MaxRunning {
 		return false
@@ -155,8 +155,8 @@
 	return true
 }
 
-// Completed clears a request: it ran to its end somewhere, so it is not the one
-// that crashes every target that runs it. It returns the crashes that changed.
+// Completed clears a request: it ran to completion somewhere, so it is not the one that
+// crashes every target that runs it. It returns the crashes that changed.
 func (s *Suspects) Completed(fingerprint string) []Crash {
 	var changed []Crash
 	for i := range s.crashes {
@@ -166,14 +166,14 @@
 		}
 	}
 	if len(changed) > 0 {
-		s.judge()
+		s.evaluate()
 	}
 	return changed
 }
 
-// Verdict returns what may be done with the request.
+// Verdict returns how the request may be run.
 func (s *Suspects) Verdict(fingerprint string) Verdict {
-	if s.condemned[fingerprint] {
+	if s.quarantined[fingerprint] {
 		return Condemned
 	}
 	targets := map[string]bool{}
@@ -192,14 +192,16 @@
 	}
 }
 
-// VerdictAt is Verdict once others' tellings had a moment to come in. Whoever
-// took part in as many crashes as condemn is Pending while one of them is open.
+// VerdictAt is Verdict once the reports of other daemons had time to arrive. A request
+// that took part in as many crashes as quarantine it is Pending while one of them is
+// open.
 //
-// An entry host first knows only its own requests on a crashed target: an
-// innocent that was alone there of all its requests looks alone altogether. On
-// two targets that was enough to refuse it, until the tellings of the entry host
-// that ran the crasher came. And the crasher would have run a further time in
-// the meantime. Fewer crashes condemn nobody, so everybody else goes on at once.
+// An entry host at first knows only its own requests on a crashed target: a harmless
+// request that was alone there among this host's requests seems to have been alone on the
+// target. On two targets that would be enough to refuse it until the reports of the entry
+// host that ran the crashing request arrived, and the crashing request would run once
+// more in the meantime. Fewer crashes quarantine nothing, so all other requests continue
+// at once.
 func (s *Suspects) VerdictAt(nowMs int64, fingerprint string) Verdict {
 	targets := map[string]bool{}
 	open := false
@@ -208,7 +210,7 @@
 			continue
 		}
 		targets[c.Target] = true
-		since := nowMs - s.heardMs[i]
+		since := nowMs - s.receivedMs[i]
 		open = open || 0 <= since && since < SettleTime.Milliseconds()
 	}
 	if open && len(targets) >= s.limit {
@@ -217,12 +219,12 @@
 	return s.Verdict(fingerprint)
 }
 
-// Expire forgets crashes older than CrashMemory.
+// Expire deletes crashes older than CrashRetention.
 func (s *Suspects) Expire(nowMs int64) {
 	kept := 0
 	for i, c := range s.crashes {
 		if nowMs-c.AtMs <= CrashMemory.Milliseconds() {
-			s.crashes[kept], s.heardMs[kept] = c, s.heardMs[i]
+			s.crashes[kept], s.receivedMs[kept] = c, s.receivedMs[i]
 			kept++
 		}
 	}
@@ -230,11 +232,11 @@
 		return
 	}
 	clear(s.crashes[kept:])
-	s.crashes, s.heardMs = s.crashes[:kept], s.heardMs[:kept]
-	s.judge()
+	s.crashes, s.receivedMs = s.crashes[:kept], s.receivedMs[:kept]
+	s.evaluate()
 }
 
-// Crashes returns a copy of what is known, for a daemon that has just started.
+// Crashes returns a copy of the crashes kept, for a daemon that has just started.
 func (s *Suspects) Crashes() []Crash {
 	out := make([]Crash, len(s.crashes))
 	for i, c := range s.crashes {
@@ -243,53 +245,52 @@
 	return out
 }
 
-// judge works out who is condemned. A request that stays condemned explains
-// its crashes, so that those who only shared them are not counted against them.
-// Only requests that took part in limit crashes can be guilty; that leaves few
-// to weigh even when the memory is full.
-func (s *Suspects) judge() {
-	part := map[string][]int{}
+// evaluate determines which requests are quarantined. A request that stays quarantined
+// explains its crashes, so that they do not count against the requests that only shared
+// them. Only requests that took part in limit crashes can be the cause; that leaves few
+// to check even when MaxCrashes crashes are kept.
+func (s *Suspects) evaluate() {
+	crashesOf := map[string][]int{}
 	for i, c := range s.crashes {
 		for _, f := range c.Running {
-			part[f] = append(part[f], i)
+			crashesOf[f] = append(crashesOf[f], i)
 		}
 	}
-	var names []string
-	for f, crashes := range part {
+	var candidates []string
+	for f, crashes := range crashesOf {
 		if len(crashes) >= s.limit {
-			names = append(names, f)
+			candidates = append(candidates, f)
 		}
 	}
-	previous := s.condemned
-	s.condemned = map[string]bool{}
-	slices.SortFunc(names, func(a, b string) int { return compareGuilt(previous, a, b) })
-	for _, f := range names {
-		if s.guilty(f, part[f]) {
-			s.condemned[f] = true
+	previous := s.quarantined
+	s.quarantined = map[string]bool{}
+	slices.SortFunc(candidates, func(a, b string) int { return compareCandidates(previous, a, b) })
+	for _, f := range candidates {
+		if s.isCause(f, crashesOf[f]) {
+			s.quarantined[f] = true
 		}
 	}
 }
 
-// compareGuilt orders those condemned before first, so that a verdict stands
-// as long as its own evidence does; the rest by name, so that all daemons weigh
-// in the same order.
-func compareGuilt(condemned map[string]bool, a, b string) int {
+// compareCandidates orders requests that are already quarantined first, so that a verdict
+// stands as long as its own evidence does; the rest by name, so that all daemons check
+// them in the same order.
+func compareCandidates(quarantined map[string]bool, a, b string) int {
 	switch {
-	case condemned[a] == condemned[b]:
+	case quarantined[a] == quarantined[b]:
 		return strings.Compare(a, b)
-	case condemned[a]:
+	case quarantined[a]:
 		return -1
 	default:
 		return 1
 	}
 }
 
-// guilty weighs the crashes at different targets (one bad target that crashes
-// over and over counts once) that no condemned request explains. The request
-// is condemned if its shares of the blame, 1/Total each, add up to the limit,
-// or if it took part in limit crashes and is the only one that can have taken
-// part in all of them.
-func (s *Suspects) guilty(fingerprint string, crashes []int) bool {
+// isCause weighs the crashes of different targets (a faulty target that crashes
+// repeatedly counts once) that no other quarantined request explains. The request is
+// quarantined if its shares of the blame, 1/Total each, add up to the limit, or if it
+// took part in limit crashes and is the only one that can have taken part in all of them.
+func (s *Suspects) isCause(fingerprint string, crashes []int) bool {
 	blame, count := 0.0, 0
 	targets := map[string]bool{}
 	var common []string
@@ -330,10 +331,10 @@
 	return both
 }
 
-// explained tells whether another request is condemned that ran there too.
+// explained reports whether another request that ran there is quarantined.
 func (s *Suspects) explained(c Crash, fingerprint string) bool {
 	for _, f := range c.Running {
-		if f != fingerprint && s.condemned[f] {
+		if f != fingerprint && s.quarantined[f] {
 			return true
 		}
 	}
