--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds which target group serves a request: routes by host and
-// path prefix, with what each class of requests needs. It is pure.
+// Package route finds the target group that serves a request: routes by host and path
+// prefix, with the requirements of each class of requests. It is pure.
 package route
 
 import (
@@ -12,7 +12,7 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind determines how a route's requests are answered and whether they may be repeated.
 type Kind int
 
 const (
@@ -23,7 +23,7 @@
 	// Stream requests are answered by a series of numbered events and run at
 	// most once, unless the route is resumable.
 	Stream
-	// Batch routes take jobs of many items that run later.
+	// Batch routes accept jobs of many items that run later.
 	Batch
 )
 
@@ -32,7 +32,7 @@
 	return [...]string{"idempotent", "non_idempotent", "stream", "batch"}[k]
 }
 
-// Share is a target group's part of a route's requests.
+// Share is a target group's share of a route's requests.
 type Share struct {
 	Group  string
 	Weight int
@@ -46,37 +46,37 @@
 	Kind   Kind
 	// Public routes serve callers without a key.
 	Public bool
-	// Priority ranks its requests where the account's own does not; 0 goes first.
+	// Priority ranks the requests of callers without an account; 0 goes first.
 	Priority int
-	// Resumable streams may go on at another target after the last event seen.
+	// Resumable streams may continue at another target after the last event received.
 	Resumable bool
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may wait.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event, that callers
-	// are promised.
+	// Objective is the time to the answer, or to the first event, that callers are
+	// promised.
 	Objective time.Duration
-	// GapObjective is the longest pause between events that keeps the promise.
+	// GapObjective is the longest pause between events that callers are promised.
 	GapObjective time.Duration
-	// MaxAttempts bounds the targets that one request may run on.
+	// MaxAttempts is the maximum number of targets that one request may run on.
 	MaxAttempts int
 	// Groups are the target groups by weight; never empty.
 	Groups []Share
-	// Due is how long after its acceptance a job is to be done.
+	// Due is how long after its acceptance a job must be finished.
 	Due time.Duration
-	// KeepFor is how long after its acceptance an unfinished item is kept trying.
+	// KeepFor is how long after its acceptance an unfinished item is retried.
 	KeepFor time.Duration
-	// TokenCap bounds, for each client account, the tokens of the accepted items that
-	// are not finished; 0 is no bound.
+	// TokenCap limits, for each client account, the tokens of the accepted items that are
+	// not finished; 0 means no limit.
 	TokenCap int64
 }
 
-// Repeatable tells whether a request that may have run may be sent again.
+// Repeatable reports whether a request that may have run may be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Batch || r.Kind == Stream && r.Resumable
 }
 
-// Quota names what the waiting tokens of an account's jobs are added up under; "" is
-// no account.
+// QuotaKey returns the key under which the waiting tokens of an account's jobs are
+// summed; account is "" for none.
 func (r *Route) Quota(account string) string {
 	if account == "" {
 		return r.Host + r.Prefix
@@ -84,7 +84,7 @@
 	return r.Host + r.Prefix + " " + account
 }
 
-// Rank is the priority of an account's requests, 0 first; nil is no account.
+// Rank returns the priority of an account's requests, 0 first; account is nil for none.
 func (r *Route) Rank(account *accounts.Account) int {
 	if account == nil {
 		return r.Priority
@@ -108,28 +108,28 @@
 	return r.Groups[0].Group
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on what a caller may send.
 type Limits struct {
-	// MaxHeaderBytes bounds the names and values of the headers together, 0 is
-	// no bound; MaxBodyBytes bounds the body.
+	// MaxHeaderBytes limits the names and values of the headers together, 0 means no
+	// limit; MaxBodyBytes limits the body.
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
 }
 
-// Table is one version of the routes. It does not change.
+// Table is one version of the routes. It is immutable.
 type Table struct {
 	Version int64
 	Limits  Limits
 	// Accounts are the client accounts; nil if none are configured. It is set before
 	// the table is used.
 	Accounts *accounts.Set
-	// FaultyAccounts names the accounts whose entries could not be used whole.
+	// FaultyAccounts names the accounts whose entries could not be used completely.
 	FaultyAccounts []string
 	hosts          map[string][]*Route
 }
 
-// NewTable returns a table. Of two routes with the same host and prefix the
-// first one counts.
+// NewTable returns a table. Of two routes with the same host and prefix the first one
+// applies.
 func NewTable(version int64, routes []Route, limits Limits) *Table {
 	t := &Table{Version: version, Limits: limits, hosts: map[string][]*Route{}}
 	for i := range routes {
@@ -142,8 +142,8 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix of the path, nil
-// if there is none. A port in host is left out.
+// Match returns the route of the host with the longest prefix of the path, nil if there
+// is none. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range t.hosts[name] {
@@ -154,12 +154,13 @@
 	return nil
 }
 
-// Find is Match for a request. age is how old the last word about the configuration is.
+// Find is Match for a request. age is how long ago the configuration was last confirmed
+// as current.
 //
-// Failure guarded against: a daemon that is cut off from the configuration does not know
-// a route that was added meanwhile. Refused for good, the caller gives up, though any
-// other daemon would serve it. While the daemon can't be sure, it tells the caller to come
-// back.
+// Failure guarded against: a daemon that is cut off from the configuration lacks a route
+// that was added meanwhile. If it refused the request permanently, the caller would give
+// up, though any other daemon would serve it. While the configuration may be outdated,
+// the caller is told to retry.
 func (t *Table) Find(host, path string, age time.Duration) (*Route, *outcome.Refusal) {
 	if r := t.Match(host, path); r != nil {
 		return r, nil
@@ -170,7 +171,7 @@
 	return nil, outcome.Refuse(outcome.NotFound, "no route of version %d", t.Version)
 }
 
-// Used returns the names of the groups that routes send requests to, sorted.
+// UsedGroups returns the names of the groups that routes send requests to, sorted.
 func (t *Table) Used() []string {
 	var names []string
 	for _, list := range t.hosts {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -24,8 +24,9 @@
 		{Name: "other", Host: "b.example", Prefix: "/x/"},
 	}, route.Limits{})
 
-	// A daemon that is cut off from the configuration refuses a new route for good.
-	It("refuses what it does not hold for good only if nothing newer can be in force", func() {
+	// Guards against a daemon that is cut off from the configuration and refuses a new
+	// route permanently.
+	It("refuses an unknown route permanently only if no newer version can be in force", func() {
 		found, refusal := table.Find("b.example", "/x/1", time.Hour)
 		Expect(refusal).To(BeNil())
 		Expect(found.Name).To(Equal("other"))
@@ -56,7 +57,7 @@
 		Entry("no host", "c.example", "/x/", ""),
 	)
 
-	It("deals requests out by weight", func() {
+	It("distributes requests by weight", func() {
 		r := route.Route{Groups: []route.Share{{Group: "a", Weight: 90}, {Group: "none", Weight: 0}, {Group: "b", Weight: 10}}}
 		got := map[string]int{}
 		for i := range 1000 {
@@ -79,6 +80,6 @@
 		Entry("not idempotent", route.Route{Kind: route.NonIdempotent}, false),
 		Entry("a stream", route.Route{Kind: route.Stream}, false),
 		Entry("a resumable stream", route.Route{Kind: route.Stream, Resumable: true}, true),
-		Entry("what is not idempotent is not made so by resuming", route.Route{Kind: route.NonIdempotent, Resumable: true}, false),
+		Entry("not idempotent, though resumable", route.Route{Kind: route.NonIdempotent, Resumable: true}, false),
 	)
 })
