--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -1,23 +1,23 @@
-// Package outcome holds the words with which every layer tells a caller how a
-// request ended: its run state and its refusal. It is pure data.
+// Package outcome defines how every layer reports to a caller how a request ended: its
+// run state and its refusal. It contains only data.
 package outcome
 
 import "fmt"
 
-// RunState says what a caller may assume about a request that did not succeed.
+// RunState is what a caller may assume about a request that did not succeed.
 type RunState string
 
 const (
-	// NotRun is said only where no target received the request.
+	// NotRun is used only where no target received the request.
 	NotRun RunState = "not_run"
-	// MayHaveRun is said where a target may have received the request and the
-	// outcome cannot be known now.
+	// MayHaveRun is used where a target may have received the request and the outcome
+	// cannot be known now.
 	MayHaveRun RunState = "may_have_run"
-	// Ran is said where a target is known to have executed the request.
+	// Ran is used where a target is known to have executed the request.
 	Ran RunState = "ran"
 )
 
-// Code names a refusal for programs. The HTTP status follows from it.
+// Code is the machine-readable reason of a refusal. It determines the HTTP status.
 type Code string
 
 const (
@@ -31,21 +31,22 @@
 	UnknownTarget Code = "unknown_target"
 	// NotFound: no such key, job or item (404).
 	NotFound Code = "not_found"
-	// Conflict: the name is taken by other content (409).
+	// Conflict: the name is in use for other content (409).
 	Conflict Code = "conflict"
-	// VersionConflict: a configuration change lost its race (409).
+	// VersionConflict: another configuration change was made concurrently (409).
 	VersionConflict Code = "version_conflict"
 	// TooLarge: a stated size limit was exceeded (413).
 	TooLarge Code = "too_large"
 	// Unprocessable: the target rejected the content (422).
 	Unprocessable Code = "unprocessable"
-	// Condemned: the request crashed too many targets and is refused (422).
+	// Quarantined: the request crashed too many targets and is refused (422).
 	Condemned Code = "condemned"
 	// CallerLimit: the caller has too many requests in flight or too high a rate (429).
 	CallerLimit Code = "caller_limit"
 	// Overloaded: admission refused because the deadline cannot be met (503).
 	Overloaded Code = "overloaded"
-	// LogUnavailable: the platform's log is out, so nothing can be promised (503).
+	// LogUnavailable: the platform's log is unavailable, so nothing can be guaranteed
+	// (503).
 	LogUnavailable Code = "log_unavailable"
 	// NoOwner: the shard has no reachable owner at the moment (503).
 	NoOwner Code = "no_owner"
@@ -72,13 +73,14 @@
 // Refusal is the typed error that crosses every layer and the net/rpc
 // boundary: all its fields are exported and gob-encodable.
 type Refusal struct {
-	// Code names the reason.
+	// Code is the reason.
 	Code Code
 	// Message explains it to a person, without a trailing period.
 	Message string
-	// Run says what happened at the targets.
+	// Run is what the caller may assume about its execution by targets.
 	Run RunState
-	// RetryAfterMs tells when to come back, in milliseconds; 0 says nothing.
+	// RetryAfterMs is how long the caller should wait before it retries, in milliseconds;
+	// 0 gives no advice.
 	RetryAfterMs int64
 }
 
@@ -92,7 +94,7 @@
 	return &Refusal{Code: code, Message: fmt.Sprintf(format, args...), Run: NotRun}
 }
 
-// After returns a copy of r that tells the caller when to come back.
+// After returns a copy of r that tells the caller to retry after ms milliseconds.
 func (r *Refusal) After(ms int64) *Refusal {
 	c := *r
 	c.RetryAfterMs = ms
