--- a/core/splitmix/splitmix.go
+++ b/core/splitmix/splitmix.go
@@ -1,16 +1,16 @@
-// Package splitmix is the splitmix64 generator and its finalizer. Its values are the same
-// in every version and on every host.
+// Package splitmix implements the splitmix64 generator and its finalizer. Its values are
+// the same in every version and on every host.
 package splitmix
 
-// Mix spreads the bits of x over the whole word. It maps no two values to the same one.
+// Mix spreads the bits of x over all 64 bits. It maps no two values to the same one.
 func Mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// Generator is a seeded source of choices, so that a run can be repeated. Its value is the
-// seed at first.
+// Generator is a seeded generator of pseudorandom numbers, so that a run can be repeated.
+// Its initial value is the seed.
 type Generator uint64
 
 // Next returns the next number.
--- a/core/splitmix/splitmix_test.go
+++ b/core/splitmix/splitmix_test.go
@@ -8,7 +8,7 @@
 	"tarragonhollow.example/tarragonhollow/core/splitmix"
 )
 
-// Guards against daemons of two versions that rank the same names in another order.
+// Guards against daemons of two versions that rank the same names in different orders.
 func TestGeneratorKeepsItsValues(t *testing.T) {
 	g := NewWithT(t)
 	var generator splitmix.Generator
