--- a/core/batch/batch_test.go
+++ b/core/batch/batch_test.go
@@ -14,8 +14,8 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// Jobs were accepted before there were accounts. They stay readable by those who know
-// their IDs; a job that has an account is that account's alone.
+// Jobs that were accepted before client accounts existed stay readable by everyone who
+// knows their IDs; a job with an account belongs to that account alone.
 func TestJobsBelongToTheirAccount(t *testing.T) {
 	type before struct {
 		ID, Host, Path, Quota string
@@ -69,7 +69,7 @@
 	return encode(batch.Result{Item: item, ID: fmt.Sprintf("%s-%d", id, item), State: batch.Succeeded, Output: output})
 }
 
-var _ = Describe("The book", func() {
+var _ = Describe("The job store", func() {
 	var b *batch.Book
 	BeforeEach(func() { b = batch.NewBook() })
 	job := func(key string, value []byte) batch.Change {
@@ -94,8 +94,8 @@
 		Expect(b.Job("j").Open()).To(BeFalse())
 	})
 
-	// Every daemon reads every acceptance. With long lists of items in them, a fleet
-	// that starts again after a loss of power takes the log's whole rate for them.
+	// Every daemon reads every acceptance. If acceptances held long item lists, a fleet
+	// that restarts after a power loss would use the log's entire read rate for them.
 	It("keeps a long list of items out of the acceptance", func() {
 		list := func(n int) *batch.JobRecord {
 			r := &batch.JobRecord{ID: "j", Quota: quota}
@@ -122,9 +122,9 @@
 		Expect(b.Job("j").Items).To(HaveLen(many))
 	})
 
-	// Lists, acceptances and results stand in three partitions, which are read at
-	// different paces, and the list by some daemons only. A wrong sum would refuse
-	// callers for good, or let a caller pass its quota.
+	// Item lists, acceptances and results are in three partitions, which are read at
+	// different speeds, and the lists by some daemons only. A wrong sum would refuse
+	// callers permanently, or let a caller exceed its quota.
 	It("counts the same tokens whichever of acceptance, list and results is read first", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			tokens := rapid.SliceOfN(rapid.Int64Range(0, 50), 1, 6).Draw(t, "tokens")
@@ -165,7 +165,7 @@
 		})
 	})
 
-	It("takes no list that is not its job's", func() {
+	It("rejects an item list that does not match its job", func() {
 		job(batch.AcceptedKey("j"), encode(&batch.JobRecord{ID: "j", Quota: quota, Count: 2, Tokens: 30}))
 		for _, foreign := range []batch.ItemList{
 			{}, {Items: []batch.Item{{ID: "j-0", Tokens: 30}}}, {Items: []batch.Item{{ID: "j-0", Tokens: 10}, {ID: "j-1", Tokens: 10}}},
@@ -178,8 +178,8 @@
 		Expect(b.Waiting(quota)).To(BeEquivalentTo(30))
 	})
 
-	// An item ran at two daemons. The second result must neither change the text
-	// that a caller has read nor take a second position.
+	// An item ran at two daemons. The second result must neither change the output that a
+	// caller has already read nor take a second position.
 	It("keeps the first result of an item at its position", func() {
 		job(batch.AcceptedKey("j"), accepted("j", 1, 1))
 		result("j", 1, "first")
@@ -199,7 +199,7 @@
 		Expect(b.Job("k").Open()).To(BeFalse())
 	})
 
-	It("forgets closed jobs only, and after their time", func() {
+	It("expires only closed jobs, and only after the retention period", func() {
 		job(batch.AcceptedKey("j"), accepted("j", 1))
 		job(batch.AcceptedKey("open"), accepted("open", 1))
 		result("j", 0, "x")
@@ -210,9 +210,9 @@
 		Expect(b.Waiting(quota)).To(BeEquivalentTo(1))
 	})
 
-	// A daemon has not read for a while, and a job was dropped meanwhile. Its tokens must not
-	// wait for ever: jobs that fit would be refused.
-	It("forgets the accepted jobs that the log no longer holds", func() {
+	// A job is removed from the log while a daemon does not read it. Its tokens must not
+	// stay counted as waiting forever: jobs that fit the quota would be refused.
+	It("removes the accepted jobs that the log no longer holds", func() {
 		job(batch.AcceptedKey("j"), accepted("j", 5))
 		job(batch.AcceptedKey("open"), accepted("open", 1))
 		Expect(b.Retain(map[string]bool{"open": true})).To(Equal([]batch.Change{{Job: "j", Forgotten: true}}))
@@ -225,7 +225,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("refuses what it can't read, and changes nothing", func() {
+	It("rejects invalid records without changing the state", func() {
 		_, err := b.ApplyJob("job/x", []byte{0xff})
 		Expect(err).To(HaveOccurred())
 		_, err = b.ApplyJob("what/x", []byte{1})
@@ -235,7 +235,7 @@
 		Expect(b.Len()).To(BeZero())
 	})
 
-	It("reads the keys of bodies back", func() {
+	It("parses the keys of bodies", func() {
 		id, item, chunk, err := batch.ParseBodyKey(batch.BodyKey("a/b", 12, 3))
 		Expect(err).NotTo(HaveOccurred())
 		Expect([]any{id, item, chunk}).To(Equal([]any{"a/b", 12, 3}))
@@ -243,9 +243,9 @@
 		Expect(batch.ItemKey("j", 7) > batch.BodyKey("j", 6, 999)).To(BeTrue())
 	})
 
-	// All hosts lose power. A daemon that starts reads only the newest record of
-	// each key, and must show every result where callers have read it.
-	It("is the same from the newest records as from the whole log", func() {
+	// All hosts lose power. A daemon that restarts reads only the newest record of each
+	// key, and must return every result at the position where callers have read it.
+	It("derives the same state from the newest records as from the whole log", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			type record struct {
 				key    string
@@ -258,7 +258,7 @@
 			steps := rapid.SliceOfN(rapid.IntRange(0, 9), 0, 30).Draw(t, "items")
 			offset := int64(0)
 			for i, item := range steps {
-				// Writers look at the book first, so an item is written once.
+				// Writers look at the store first, so an item is written once.
 				if seen[item] {
 					continue
 				}
--- a/core/batch/book.go
+++ b/core/batch/book.go
@@ -6,36 +6,37 @@
 	"time"
 )
 
-// Job is what is known of a job.
+// Job is the state of one job.
 type Job struct {
 	JobRecord
-	// Accepted is false while only results or the end have been read: the
-	// partitions are read at different paces.
+	// Accepted reports whether the acceptance record was read. It is false while only
+	// results or the end record have been read: the partitions are read at different
+	// speeds.
 	Accepted bool
-	// Ended tells that the caller gave the job up.
+	// Ended reports whether the caller ended the job.
 	Ended bool
 	// Results are in the order of their positions.
 	Results []Result
-	// finished holds the items that have a result, done the sum of their tokens.
-	finished map[int]bool
-	done     int64
+	// finished holds the items that have a result, doneTokens the sum of their tokens.
+	finished   map[int]bool
+	doneTokens int64
 }
 
-// BelongsTo tells whether a client account may read and end the job. One that was handed
-// in when there were no accounts belongs to whoever knows its ID, as it did then.
+// BelongsTo reports whether a client account may read and end the job. A job that was
+// submitted before client accounts existed belongs to everyone who knows its ID.
 func (j *Job) BelongsTo(account string) bool { return j.Account == "" || j.Account == account }
 
-// Listed tells whether the job's items are known. They are not where their list
-// stands apart from the acceptance and was not read.
+// HasItems reports whether the job's items are known. They are not known if their list is
+// stored separately from the acceptance and has not been read.
 func (j *Job) Listed() bool { return len(j.Items) > 0 }
 
-// Finished tells whether the item has a result.
+// Finished reports whether the item has a result.
 func (j *Job) Finished(item int) bool { return j.finished[item] }
 
-// Open tells whether items of the job may still run.
+// Open reports whether items of the job may still run.
 func (j *Job) Open() bool { return j.Accepted && !j.Ended && len(j.Results) < j.Count }
 
-// ItemByID returns the index of an item, -1 if the job has none of that ID.
+// ItemByID returns the index of the item with the ID, or -1 if the job has no such item.
 func (j *Job) ItemByID(id string) int {
 	for i := range j.Items {
 		if j.Items[i].ID == id {
@@ -45,125 +46,124 @@
 	return -1
 }
 
-// owns tells whether the result is one of the job's items.
-func (j *Job) owns(r *Result) bool {
+// matches reports whether the result belongs to one of the job's items.
+func (j *Job) matches(r *Result) bool {
 	return r.Item < j.Count && (!j.Listed() || j.Items[r.Item].ID == r.ID)
 }
 
-// tokensOf is what a result takes off the tokens that wait.
+// tokensOf returns the tokens to subtract from the waiting tokens for a result.
 func (j *Job) tokensOf(r *Result) int64 {
 	if j.Listed() {
 		return j.Items[r.Item].Tokens
 	}
-	return min(r.Tokens, j.Tokens-j.done)
+	return min(r.Tokens, j.Tokens-j.doneTokens)
 }
 
-// dropForeign drops the results that were read before the acceptance or the items and
-// are none of the job's, and counts the others.
-func (j *Job) dropForeign() {
-	j.done = 0
+// dropMismatched removes results that were read before the acceptance or the item list
+// and match none of the job's items, and recomputes doneTokens from the others.
+func (j *Job) dropMismatched() {
+	j.doneTokens = 0
 	j.Results = slices.DeleteFunc(j.Results, func(r Result) bool {
-		foreign := !j.owns(&r)
-		if foreign {
+		mismatched := !j.matches(&r)
+		if mismatched {
 			delete(j.finished, r.Item)
 		} else {
-			j.done += j.tokensOf(&r)
+			j.doneTokens += j.tokensOf(&r)
 		}
-		return foreign
+		return mismatched
 	})
 }
 
-// Change tells what a record changed; empty for records that change nothing.
+// Change describes what a record changed; it is empty for records that change nothing.
 type Change struct {
-	// Job is the job concerned, "" for none.
+	// Job is the ID of the changed job, "" for none.
 	Job string
-	// Forgotten tells that the job is no longer kept.
+	// Removed reports that the job was removed from the store.
 	Forgotten bool
 }
 
-// Book is the state of all jobs.
+// Store is the state of all jobs.
 type Book struct {
 	jobs map[string]*Job
-	// waiting holds, by quota, the tokens of accepted items without a result.
+	// waiting holds, by quota, the sum of the tokens of accepted items without a result.
 	waiting map[string]int64
 }
 
-// NewBook returns an empty book.
+// NewStore returns an empty store.
 func NewBook() *Book {
 	return &Book{jobs: map[string]*Job{}, waiting: map[string]int64{}}
 }
 
-// Job returns a job, nil if no record of it was read. The job must not be
-// changed.
-func (b *Book) Job(id string) *Job { return b.jobs[id] }
+// Job returns a job, or nil if no record of it was read. The caller must not modify it.
+func (s *Book) Job(id string) *Job { return s.jobs[id] }
 
 // Jobs calls visit for every accepted job.
-func (b *Book) Jobs(visit func(*Job)) {
-	for _, j := range b.jobs {
+func (s *Book) Jobs(visit func(*Job)) {
+	for _, j := range s.jobs {
 		if j.Accepted {
 			visit(j)
 		}
 	}
 }
 
-// Len returns how many jobs are kept.
-func (b *Book) Len() int { return len(b.jobs) }
+// Len returns the number of jobs in the store.
+func (s *Book) Len() int { return len(s.jobs) }
 
-// Waiting returns the tokens that count on a quota.
-func (b *Book) Waiting(quota string) int64 { return b.waiting[quota] }
+// WaitingTokens returns the tokens that count towards a quota.
+func (s *Book) Waiting(quota string) int64 { return s.waiting[quota] }
 
-// ApplyJob takes a record of the partition of acceptances and ends, in log
-// order.
-func (b *Book) ApplyJob(key string, value []byte) (Change, error) {
+// ApplyJob applies a record of the partition that holds acceptances and ends. Records must
+// be applied in log order.
+func (s *Book) ApplyJob(key string, value []byte) (Change, error) {
 	if id, ok := strings.CutPrefix(key, endedPrefix); ok {
-		return b.applyEnd(id, value), nil
+		return s.applyEnd(id, value), nil
 	}
 	id, ok := strings.CutPrefix(key, acceptedPrefix)
 	if !ok {
 		return Change{}, ErrRecord.New("unknown key %q", key)
 	}
 	if len(value) == 0 {
-		return b.forget(id), nil
+		return s.remove(id), nil
 	}
 	record, err := decode[JobRecord](key, value)
 	if err != nil {
 		return Change{}, err
 	}
-	record.tally()
+	record.setTotals()
 	if !record.valid(id) {
-		return Change{}, ErrRecord.New("the record %q is no acceptance of its job", key)
+		return Change{}, ErrRecord.New("record %q is not a valid acceptance of the job in its key", key)
 	}
-	return b.accept(record), nil
+	return s.accept(record), nil
 }
 
-// accept takes an acceptance. A repeated one changes nothing: the first in log
-// order is the job.
-func (b *Book) accept(record JobRecord) Change {
-	j := b.job(record.ID)
+// accept applies an acceptance. A repeated one changes nothing: the first in log order
+// defines the job.
+func (s *Book) accept(record JobRecord) Change {
+	j := s.job(record.ID)
 	if j.Accepted {
 		return Change{}
 	}
-	if list := j.Items; len(record.Items) == 0 && record.lists(list) {
-		record.Items = list // it was read first
+	if list := j.Items; len(record.Items) == 0 && record.matchesItems(list) {
+		record.Items = list // the item list was read before the acceptance
 	}
 	j.JobRecord = record
 	j.Accepted = true
-	j.dropForeign()
+	j.dropMismatched()
 	if !j.Ended {
-		b.waiting[j.Quota] += j.waitingTokens()
+		s.waiting[j.Quota] += j.waitingTokens()
 	}
 	return Change{Job: j.ID}
 }
 
-// lists tells whether the items are those of the acceptance.
-func (r *JobRecord) lists(items []Item) bool {
+// matchesItems reports whether the items have the count and the tokens of the acceptance.
+func (r *JobRecord) matchesItems(items []Item) bool {
 	of := JobRecord{Items: items}
-	of.tally()
+	of.setTotals()
 	return of.Count == r.Count && of.Tokens == r.Tokens
 }
 
-// ApplyItems takes a list of items that stands apart from its job's acceptance.
-func (b *Book) ApplyItems(key string, value []byte) (Change, error) {
+// ApplyItems applies an item list that is stored separately from its job's acceptance.
+func (s *Book) ApplyItems(key string, value []byte) (Change, error) {
 	id, ok := ParseItemsKey(key)
 	if !ok || len(value) == 0 {
 		return Change{}, nil
@@ -172,45 +172,45 @@
 	if err != nil {
 		return Change{}, err
 	}
-	j := b.job(id)
-	if !validItems(list.Items) || len(list.Items) > maxItemNumber || j.Accepted && !j.lists(list.Items) {
-		return Change{}, ErrRecord.New("the record %q is no list of its job's items", key)
+	j := s.job(id)
+	if !validItems(list.Items) || len(list.Items) > maxItemNumber || j.Accepted && !j.matchesItems(list.Items) {
+		return Change{}, ErrRecord.New("record %q is not a valid item list of the job in its key", key)
 	}
 	if j.Listed() {
 		return Change{}, nil
 	}
 	counted := j.Accepted && !j.Ended
 	if counted {
-		b.waiting[j.Quota] -= j.waitingTokens()
+		s.waiting[j.Quota] -= j.waitingTokens()
 	}
 	j.Items = list.Items
 	if j.Accepted {
-		j.dropForeign()
+		j.dropMismatched()
 	}
 	if counted {
-		b.waiting[j.Quota] += j.waitingTokens()
+		s.waiting[j.Quota] += j.waitingTokens()
 	}
 	return Change{Job: id}, nil
 }
 
-func (b *Book) applyEnd(id string, value []byte) Change {
+func (s *Book) applyEnd(id string, value []byte) Change {
 	if len(value) == 0 {
 		return Change{}
 	}
-	j := b.job(id)
+	j := s.job(id)
 	if j.Ended {
 		return Change{}
 	}
 	if j.Accepted {
-		b.waiting[j.Quota] -= j.waitingTokens()
+		s.waiting[j.Quota] -= j.waitingTokens()
 	}
 	j.Ended = true
 	return Change{Job: id}
 }
 
-// ApplyResult takes a record of a partition of results, in log order: the
-// order gives the positions, and the first result of an item is its result.
-func (b *Book) ApplyResult(key string, value []byte) (Change, error) {
+// ApplyResult applies a record of a partition of results. Records must be applied in log
+// order: the order determines the positions, and the first result of an item is final.
+func (s *Book) ApplyResult(key string, value []byte) (Change, error) {
 	id, item, err := parseResultKey(key)
 	if err != nil || len(value) == 0 {
 		return Change{}, err
@@ -220,11 +220,11 @@
 		return Change{}, err
 	}
 	if !result.valid(item) {
-		return Change{}, ErrRecord.New("the record %q is no result of its item", key)
+		return Change{}, ErrRecord.New("record %q is not a valid result of the item in its key", key)
 	}
-	j := b.job(id)
-	if j.Accepted && !j.owns(&result) {
-		return Change{}, ErrRecord.New("the job of %q has no such item", key)
+	j := s.job(id)
+	if j.Accepted && !j.matches(&result) {
+		return Change{}, ErrRecord.New("the job in the key %q has no such item", key)
 	}
 	if j.finished[item] {
 		return Change{}, nil
@@ -233,43 +233,43 @@
 	j.Results = append(j.Results, result)
 	if j.Accepted {
 		tokens := j.tokensOf(&result)
-		j.done += tokens
+		j.doneTokens += tokens
 		if !j.Ended {
-			b.waiting[j.Quota] -= tokens
+			s.waiting[j.Quota] -= tokens
 		}
 	}
 	return Change{Job: id}, nil
 }
 
-// forget drops a job.
-func (b *Book) forget(id string) Change {
-	j := b.jobs[id]
+// remove deletes a job.
+func (s *Book) remove(id string) Change {
+	j := s.jobs[id]
 	if j == nil {
 		return Change{}
 	}
 	if j.Accepted && !j.Ended {
-		b.waiting[j.Quota] -= j.waitingTokens()
+		s.waiting[j.Quota] -= j.waitingTokens()
 	}
-	delete(b.jobs, id)
+	delete(s.jobs, id)
 	return Change{Job: id, Forgotten: true}
 }
 
-// Retain forgets the accepted jobs that are not among the kept ones.
-func (b *Book) Retain(kept map[string]bool) []Change {
+// Retain removes the accepted jobs that are not in kept.
+func (s *Book) Retain(kept map[string]bool) []Change {
 	var changes []Change
-	for id, j := range b.jobs {
+	for id, j := range s.jobs {
 		if j.Accepted && !kept[id] {
-			changes = append(changes, b.forget(id))
+			changes = append(changes, s.remove(id))
 		}
 	}
 	return changes
 }
 
-// Forgettable lists the accepted jobs that nobody may ask for any more: closed
-// and accepted longer ago than keep.
-func (b *Book) Forgettable(now time.Time, keep time.Duration) []string {
+// Expired returns the IDs of the accepted jobs whose retention period is over: no item may
+// still run and they were accepted longer than keep ago.
+func (s *Book) Forgettable(now time.Time, keep time.Duration) []string {
 	var ids []string
-	for id, j := range b.jobs {
+	for id, j := range s.jobs {
 		age := now.Sub(time.UnixMilli(j.AcceptedMs))
 		if j.Accepted && !j.Open() && age > keep {
 			ids = append(ids, id)
@@ -278,14 +278,14 @@
 	return ids
 }
 
-func (b *Book) job(id string) *Job {
-	j := b.jobs[id]
+func (s *Book) job(id string) *Job {
+	j := s.jobs[id]
 	if j == nil {
 		j = &Job{JobRecord: JobRecord{ID: id}, finished: map[int]bool{}}
-		b.jobs[id] = j
+		s.jobs[id] = j
 	}
 	return j
 }
 
-// waitingTokens are the tokens of the items without a result.
-func (j *Job) waitingTokens() int64 { return j.Tokens - j.done }
+// waitingTokens returns the tokens of the items without a result.
+func (j *Job) waitingTokens() int64 { return j.Tokens - j.doneTokens }
--- a/core/batch/fuzz_test.go
+++ b/core/batch/fuzz_test.go
@@ -7,8 +7,8 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// FuzzRecords gives whatever records to the book, beside a good job. None may panic,
-// take a place for a number that no item has, or change what is known of the job.
+// FuzzRecords applies arbitrary records to a store that holds a valid job. No record may
+// cause a panic, allocate an entry for a number that no item has, or change the job's state.
 func FuzzRecords(f *testing.F) {
 	encode := func(v any) []byte {
 		data, err := batch.Encode(v)
@@ -42,7 +42,7 @@
 			t.Fatalf("%q names chunk %d of item %d of %s", key, chunk, item, job)
 		}
 		if key == "job/j" || key == "end/j" {
-			return // the job's own records may end or drop it
+			return // the job's own records may end or remove it
 		}
 		j := book.Job("j")
 		if j == nil || !j.Accepted || len(j.Items) != 2 || len(j.Results) > 2 {
--- a/core/batch/order.go
+++ b/core/batch/order.go
@@ -7,32 +7,34 @@
 	"time"
 )
 
-// Work is one unfinished item, as far as the order of items depends on it.
+// Work describes an unfinished item for scheduling.
 type Work struct {
-	// Due is when it is due, from now; negative if that has passed.
+	// Due is the time from now until the item is due; negative if it is overdue.
 	Due time.Duration
-	// Left is how long it still runs, if it runs without a break.
+	// Left is the remaining run time without interruption.
 	Left time.Duration
 }
 
-// OnTime marks the items that are to run first, when on average so many places are had
-// for all of them: as many as can end in time. The others are behind; none is dropped.
+// OnTime reports for each item whether it should run first, given the average number of
+// slots available to all items. It selects the largest number of items that can finish on
+// time. The other items run after them; none is dropped.
 //
-// Load pattern answered: more jobs came than can be run in time. In the order of their
-// due times alone each item waits for those that are late already, and so all end late
-// one after the other.
+// Without this selection, when more jobs arrive than can finish on time, ordering by due
+// time alone makes each item wait for items that are already late, so all of them finish
+// late.
 //
-// Taken in the order of their due times, items are kept while the sum of their work
-// ends before the last of them is due. Where it does not, the one with the most work
-// left goes behind: that leaves the largest number in time.
-func OnTime(works []Work, places float64) []bool {
+// Items are considered in the order of their due times and selected as long as the sum of
+// their remaining run times ends before the latest due time among them. When it does not,
+// the selected item with the longest remaining run time is deferred, which leaves the
+// largest number of items on time (Moore-Hodgson).
+func OnTime(works []Work, slots float64) []bool {
 	order := make([]int, len(works))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(works[a].Due, works[b].Due) })
-	first := make([]bool, len(works))
-	kept := &longest{works: works}
+	onTime := make([]bool, len(works))
+	kept := &maxHeap{works: works}
 	sum := time.Duration(0)
 	for _, i := range order {
 		w := works[i]
@@ -40,111 +42,113 @@
 			continue
 		}
 		heap.Push(kept, i)
-		first[i] = true
+		onTime[i] = true
 		sum += w.Left
-		if float64(sum) > places*float64(w.Due) {
-			out := heap.Pop(kept).(int)
-			first[out] = false
-			sum -= works[out].Left
+		if float64(sum) > slots*float64(w.Due) {
+			deferred := heap.Pop(kept).(int)
+			onTime[deferred] = false
+			sum -= works[deferred].Left
 		}
 	}
-	return first
+	return onTime
 }
 
-// longest is a heap of items, the one with the most work left on top.
-type longest struct {
+// maxHeap is a heap of items with the longest remaining run time on top.
+type maxHeap struct {
 	works []Work
 	items []int
 }
 
 // Len implements heap.Interface.
-func (l *longest) Len() int { return len(l.items) }
+func (h *maxHeap) Len() int { return len(h.items) }
 
 // Less implements heap.Interface.
-func (l *longest) Less(a, b int) bool { return l.works[l.items[a]].Left > l.works[l.items[b]].Left }
+func (h *maxHeap) Less(a, b int) bool { return h.works[h.items[a]].Left > h.works[h.items[b]].Left }
 
 // Swap implements heap.Interface.
-func (l *longest) Swap(a, b int) { l.items[a], l.items[b] = l.items[b], l.items[a] }
+func (h *maxHeap) Swap(a, b int) { h.items[a], h.items[b] = h.items[b], h.items[a] }
 
 // Push implements heap.Interface.
-func (l *longest) Push(i any) { l.items = append(l.items, i.(int)) }
+func (h *maxHeap) Push(i any) { h.items = append(h.items, i.(int)) }
 
 // Pop implements heap.Interface.
-func (l *longest) Pop() any {
-	last := len(l.items) - 1
-	i := l.items[last]
-	l.items = l.items[:last]
+func (h *maxHeap) Pop() any {
+	last := len(h.items) - 1
+	i := h.items[last]
+	h.items = h.items[:last]
 	return i
 }
 
 const (
-	// learnShare is the weight of a new measurement of runs.
-	learnShare = 0.1
-	// placesTime is over how long the places had are averaged: some high and low
-	// seconds of online work.
-	placesTime = 6 * time.Second
-	// leastPlaces keeps one bad moment from putting everything behind.
-	leastPlaces = 1.0
+	// runWeight is the weight of a new run in the moving averages.
+	runWeight = 0.1
+	// slotsWindow is the time over which the number of slots is averaged: long enough to
+	// cover peaks and lows of online work.
+	slotsWindow = 6 * time.Second
+	// minSlots is the lower bound of the average, so that a short shortage of slots does
+	// not defer every item.
+	minSlots = 1.0
 )
 
-// Speed is what was learned of items' runs.
+// Estimator estimates the remaining run time of items from moving averages of past runs.
 type Speed struct {
-	perEvent  time.Duration
-	perToken  float64
-	places    float64
-	placesAt  time.Time
-	placesFor time.Duration
+	perEvent     time.Duration
+	perToken     float64
+	avgSlots     float64
+	slotsAt      time.Time
+	slotsCovered time.Duration
 }
 
-// Ran takes a run that brought so many events.
-func (s *Speed) Ran(events int64, took time.Duration) {
-	if events < leastEvents || took <= 0 {
+// ObserveRun records a run that produced the number of events in the time took. Runs with
+// fewer than minNewEvents events are ignored.
+func (e *Speed) Ran(events int64, took time.Duration) {
+	if events < minNewEvents || took <= 0 {
 		return
 	}
 	each := took / time.Duration(events)
-	if s.perEvent == 0 {
-		s.perEvent = each
+	if e.perEvent == 0 {
+		e.perEvent = each
 		return
 	}
-	s.perEvent += time.Duration(learnShare * float64(each-s.perEvent))
+	e.perEvent += time.Duration(runWeight * float64(each-e.perEvent))
 }
 
-// Finished takes an item that ended with so many events; tokens are those of its
-// prompt and the most that it may make.
-func (s *Speed) Finished(events, tokens int64) {
+// ObserveFinished records the number of events of a finished item. tokens is the sum of
+// its prompt tokens and the maximum number of tokens it may generate.
+func (e *Speed) Finished(events, tokens int64) {
 	if events <= 0 || tokens <= 0 {
 		return
 	}
 	each := float64(events) / float64(tokens)
-	if s.perToken == 0 {
-		s.perToken = each
+	if e.perToken == 0 {
+		e.perToken = each
 		return
 	}
-	s.perToken += learnShare * (each - s.perToken)
+	e.perToken += runWeight * (each - e.perToken)
 }
 
-// Had takes how many places items have now.
-func (s *Speed) Had(now time.Time, places int) {
-	if s.placesAt.IsZero() {
-		s.placesAt = now
+// ObserveSlots records the number of slots that items occupy now.
+func (e *Speed) Had(now time.Time, slots int) {
+	if e.slotsAt.IsZero() {
+		e.slotsAt = now
 		return
 	}
-	passed := now.Sub(s.placesAt)
-	s.placesAt = now
-	s.placesFor += passed
-	weight := min(1, passed.Seconds()/min(placesTime, s.placesFor+time.Millisecond).Seconds())
-	s.places += weight * (float64(places) - s.places)
+	passed := now.Sub(e.slotsAt)
+	e.slotsAt = now
+	e.slotsCovered += passed
+	weight := min(1, passed.Seconds()/min(slotsWindow, e.slotsCovered+time.Millisecond).Seconds())
+	e.avgSlots += weight * (float64(slots) - e.avgSlots)
 }
 
-// Places returns how many places items had on average lately. known is false until the
-// average covers placesTime.
-func (s *Speed) Places() (places float64, known bool) {
-	return max(leastPlaces, s.places), s.placesFor >= placesTime
+// Slots returns the recent average number of slots that items occupied. known is false
+// until the average covers slotsWindow.
+func (e *Speed) Places() (slots float64, known bool) {
+	return max(minSlots, e.avgSlots), e.slotsCovered >= slotsWindow
 }
 
-// Left estimates how long an item still runs of which so many events were had; 0 if
-// nothing was learned yet.
-func (s *Speed) Left(tokens, had int64) time.Duration {
-	events := s.perToken*float64(tokens) - float64(had)
-	return time.Duration(max(0, events) * float64(s.perEvent))
+// Remaining estimates the remaining run time of an item of which received events have
+// arrived; 0 before the first observation.
+func (e *Speed) Left(tokens, received int64) time.Duration {
+	events := e.perToken*float64(tokens) - float64(received)
+	return time.Duration(max(0, events) * float64(e.perEvent))
 }
--- a/core/batch/order_test.go
+++ b/core/batch/order_test.go
@@ -12,8 +12,8 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// replayOverload lets items of many jobs arrive faster than their places can run them
-// and returns how many of them end in time.
+// replayOverload simulates items that arrive faster than the slots can run them and returns
+// how many of them finish on time.
 func replayOverload(choose func(works []batch.Work) int) (inTime, all int) {
 	const places, step, due = 6, 100 * time.Millisecond, 18 * time.Second
 	type item struct{ due, left time.Duration }
@@ -58,8 +58,8 @@
 	return best
 }
 
-// For a minute a third more items come than can be run. By due time alone each of them
-// waits behind those that are late; what can end in time must go first.
+// For a minute, a third more items arrive than can run. Ordered by due time alone, each of
+// them waits behind late ones; the items that can finish on time must run first.
 func TestOrderUnderOverloadAgainstDueTimes(t *testing.T) {
 	naive, all := replayOverload(func(works []batch.Work) int {
 		return earliest(works, func(int) bool { return true })
@@ -76,8 +76,8 @@
 	}
 }
 
-// What is put first ends in time if the places are had, and where everything can, all
-// is put first.
+// All selected items fit the slots and finish on time, and if all items can finish on time,
+// all are selected.
 func TestOnTimeKeepsWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "items")
--- a/core/batch/pace.go
+++ b/core/batch/pace.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Pacer bounds how many items a daemon starts, to its share of the free places
-// in the time that a word between daemons takes.
+// Pacer limits the number of items that a daemon starts to its share of the free slots per
+// load report interval.
 //
-// It answers the load at which batch fills what online work leaves: all daemons
-// see the same few free places at the same moment. If each took all it saw, the
-// target would get several times what fits, and most items would have to give
-// way before they began. With its share each daemon takes on average what is
-// free, once. A share below one is taken by chance: saved up, it would be spent
-// by all daemons at the same moment.
+// When batch work fills the capacity that online work leaves, all daemons see the same few
+// free slots at the same moment. If each daemon took all of them, the target would receive
+// several times what fits, and most items would be preempted before they began. With
+// shares, the daemons together take each free slot once on average. A share below one is
+// rounded up at random: if it were accumulated instead, all daemons would spend it at the
+// same moment.
 type Pacer struct {
-	at time.Time
+	last time.Time
 }
 
-// Allow returns how many items may start now. free are the free places that the
-// daemon sees, fleet the daemons that see them, age how old their words are, and
-// random is in [0,1).
-func (p *Pacer) Allow(now time.Time, free, fleet int, age time.Duration, random float64) int {
-	passed := min(1, now.Sub(p.at).Seconds()/age.Seconds())
-	p.at = now
-	share := float64(free) / float64(max(1, fleet)) * passed
+// Allow returns the number of items that may start now. free is the number of free slots
+// that the daemon sees, daemons the number of daemons that see them, age the age of their
+// load reports, and random is in [0,1).
+func (p *Pacer) Allow(now time.Time, free, daemons int, age time.Duration, random float64) int {
+	passed := min(1, now.Sub(p.last).Seconds()/age.Seconds())
+	p.last = now
+	share := float64(free) / float64(max(1, daemons)) * passed
 	whole := int(share)
 	if random < share-float64(whole) {
 		whole++
--- a/core/batch/pace_test.go
+++ b/core/batch/pace_test.go
@@ -8,9 +8,9 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// replay lets daemons fill a group of engines whose free places they see as they
-// were one word ago, and returns how many starts found no place, and how many
-// places were left empty at the end.
+// replay simulates daemons that fill a group of engines whose free slots they know from the
+// previous load report. It returns the number of starts that found no free slot and the
+// number of slots left empty at the end.
 func replay(daemons, places, steps int, paced bool) (over, empty int) {
 	const age = 40 * time.Millisecond
 	const look = 20 * time.Millisecond
@@ -38,9 +38,9 @@
 	return over, places - taken
 }
 
-// A burst of online requests ends and leaves places at the engines. All daemons
-// see them at once, and each has enough items to take them all. What does not
-// fit is cancelled before it began, and its prompt is read for nothing.
+// A burst of online requests ends and frees slots at the engines. All daemons see them at
+// once, and each has enough items to fill them all. Items that do not fit are cancelled
+// before they begin, and their prompts are processed in vain.
 func TestPacedStartsAgainstNaive(t *testing.T) {
 	for _, load := range []struct{ daemons, places int }{{13, 40}, {13, 4}, {13, 1}, {61, 200}, {1, 30}} {
 		naive, _ := replay(load.daemons, load.places, 100, false)
--- a/core/batch/progress_test.go
+++ b/core/batch/progress_test.go
@@ -8,9 +8,10 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// An item of any length, looked at after any steps, is written often enough that a
-// lost host costs a fifth of it and some events, and never more than five times.
-func TestProgressIsKeptOftenAndInFewBytes(t *testing.T) {
+// Progress of an item of any length, checked at any interval, is saved often enough that a
+// lost host costs at most a fifth of the item or a few events, and the saved events add up
+// to at most five times the item.
+func TestProgressIsSavedOftenInFewBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events, kept, written := int64(0), int64(0), int64(0)
 		for range rapid.IntRange(1, 100).Draw(t, "looks") {
--- a/core/batch/record.go
+++ b/core/batch/record.go
@@ -1,12 +1,10 @@
-// Package batch is the state of batch jobs as it follows from records in a
-// partitioned log. It is pure: every daemon that reads the same records holds
-// the same state.
+// Package batch derives the state of batch jobs from the records of a partitioned log. It
+// is deterministic: every daemon that reads the same records holds the same state.
 //
-// A job's acceptance and its end stand in one partition, so that all daemons
-// see them in one order; the results of a job stand in one partition of
-// another topic, whose order is the order of the result list. A record is
-// written under its key once, so that the newest record of each key is all
-// there ever was.
+// A job's acceptance and its end are in one partition, so that all daemons see them in the
+// same order. The results of a job are in one partition of another topic, whose order is
+// the order of the result list. A record is written only once under its key, so the newest
+// record of each key (all that compaction keeps) is the complete history.
 package batch
 
 import (
@@ -28,53 +26,53 @@
 	Name, Value string
 }
 
-// Item is one request of a job. Its body is kept apart.
+// Item is one request of a job. Its body is stored separately.
 type Item struct {
 	ID      string
 	Path    string
 	Headers []Header
-	// Tokens are the prompt's tokens and the most that may be generated.
+	// Tokens is the sum of the prompt's tokens and the maximum that may be generated.
 	Tokens int64
-	// BodyBytes is the body's length.
+	// BodyBytes is the body's length in bytes.
 	BodyBytes int
 }
 
-// JobRecord is a job's acceptance.
+// JobRecord is the record of a job's acceptance.
 type JobRecord struct {
 	ID string
-	// Account is the client account that handed it in, "" if there were no accounts.
+	// Account is the client account that submitted the job, "" if there were no accounts.
 	Account string
-	// Host and Path are those of the submission; they select the route.
+	// Host and Path are those of the submission request; they select the route.
 	Host, Path string
-	// Quota names what the waiting tokens are added up under.
+	// Quota names the quota that the job's waiting tokens count towards.
 	Quota string
 	// AcceptedMs is the accepting daemon's clock, Unix milliseconds.
 	AcceptedMs int64
-	// Items are the job's items; none in an acceptance whose list stands apart.
+	// Items are the job's items; empty if the item list is stored separately.
 	Items []Item
 	// Count is the number of items, Tokens the sum of their tokens.
 	Count  int
 	Tokens int64
 }
 
-// ItemList is the list of a job's items where it stands apart from the acceptance.
+// ItemList is the list of a job's items if it is stored separately from the acceptance.
 type ItemList struct {
 	Items []Item
 }
 
-// inlineBytes is the size of an encoded list up to which it stays in the acceptance.
+// inlineBytes is the maximum size of an encoded item list that stays in the acceptance.
 const inlineBytes = 512
 
-// Split returns the acceptance as it is written, and the encoded list of the items
-// where that stands apart, nil where it doesn't.
+// Split returns the acceptance to write and, if the item list is stored separately, the
+// encoded list; otherwise list is nil.
 //
-// Failure guarded against: every daemon reads every acceptance. With the items in
-// them, hundreds of daemons that start again after a loss of power take all that the
-// log gives, and none of them learns the routes meanwhile. A list is read by the daemon
-// that runs its items.
+// Failure guarded against: every daemon reads every acceptance. If acceptances held long
+// item lists, hundreds of daemons that restart after a power loss would use the log's
+// entire read rate, and none of them would receive the routes meanwhile. A separate list
+// is read only by the daemon that runs its items.
 func (r *JobRecord) Split() (acceptance JobRecord, list []byte, err error) {
 	acceptance = *r
-	acceptance.tally()
+	acceptance.setTotals()
 	list, err = Encode(ItemList{r.Items})
 	if err != nil || len(list) <= inlineBytes {
 		return acceptance, nil, err
@@ -83,8 +81,8 @@
 	return acceptance, list, nil
 }
 
-// tally works out Count and Tokens where the items are here.
-func (r *JobRecord) tally() {
+// setTotals sets Count and Tokens from the items, if the record has them.
+func (r *JobRecord) setTotals() {
 	if len(r.Items) == 0 {
 		return
 	}
@@ -94,13 +92,13 @@
 	}
 }
 
-// State is how an item ended.
+// State is the final state of an item.
 type State int8
 
 const (
-	// Succeeded items have their whole output.
+	// Succeeded items have their complete output.
 	Succeeded State = iota + 1
-	// Errored items can never be done, or were given up.
+	// Errored items can never succeed, or were abandoned.
 	Errored
 )
 
@@ -111,7 +109,7 @@
 	// ID is the item's ID.
 	ID    string
 	State State
-	// Tokens are those of the item.
+	// Tokens is the item's Tokens.
 	Tokens int64
 	// Output is the data of all events, joined by line feeds.
 	Output string
@@ -122,40 +120,41 @@
 	endedPrefix    = "end/"
 )
 
-// AcceptedKey is the key of a job's acceptance.
+// AcceptedKey returns the key of a job's acceptance.
 func AcceptedKey(job string) string { return acceptedPrefix + job }
 
-// ParseAcceptedKey returns the job of an acceptance's key.
+// ParseAcceptedKey returns the job ID in the key of an acceptance. ok is false if key is not
+// the key of an acceptance.
 func ParseAcceptedKey(key string) (job string, ok bool) {
 	return strings.CutPrefix(key, acceptedPrefix)
 }
 
-// EndedKey is the key of a job's end.
+// EndedKey returns the key of a job's end.
 func EndedKey(job string) string { return endedPrefix + job }
 
-// ResultKey is the key of an item's result.
+// ResultKey returns the key of an item's result.
 func ResultKey(job string, item int) string { return fmt.Sprintf("%s/%05d", job, item) }
 
-// BodyKey is the key of one chunk of an item's body. Keys sort by item and
-// chunk.
+// BodyKey returns the key of one chunk of an item's body. Keys sort by item and chunk.
 func BodyKey(job string, item, chunk int) string {
 	return fmt.Sprintf("%s/%05d/%03d", job, item, chunk)
 }
 
-// ItemKey sorts directly before the keys of the item's chunks.
+// ItemKey returns a key that sorts directly before the keys of the item's chunks.
 func ItemKey(job string, item int) string { return ResultKey(job, item) }
 
-// itemsSuffix ends the key of a job's list of items. It sorts behind the keys of the
-// job's bodies, among which the list stands.
+// itemsSuffix is the suffix of the key of a job's item list. The list is in the same
+// partition as the job's bodies, and its key sorts after theirs.
 const itemsSuffix = "/items"
 
-// ItemsKey is the key of a job's list of items.
+// ItemsKey returns the key of a job's item list.
 func ItemsKey(job string) string { return job + itemsSuffix }
 
-// BeforeItemsKey sorts directly before ItemsKey among the keys of the job.
+// BeforeItemsKey returns a key that sorts directly before ItemsKey among the job's keys.
 func BeforeItemsKey(job string) string { return BodyKey(job, maxItemNumber, maxChunkNumber) }
 
-// ParseItemsKey returns the job whose list stands under the key.
+// ParseItemsKey returns the job ID in the key of an item list. ok is false if key is not the
+// key of an item list.
 func ParseItemsKey(key string) (job string, ok bool) {
 	job, ok = strings.CutSuffix(key, itemsSuffix)
 	return job, ok && job != ""
@@ -165,29 +164,29 @@
 func ParseBodyKey(key string) (job string, item, chunk int, err error) {
 	head, last, _ := cutLast(key)
 	job, middle, ok := cutLast(head)
-	item, itemOK := number(middle, maxItemNumber)
-	chunk, chunkOK := number(last, maxChunkNumber)
+	item, itemOK := parseNumber(middle, maxItemNumber)
+	chunk, chunkOK := parseNumber(last, maxChunkNumber)
 	if !ok || !itemOK || !chunkOK {
 		return "", 0, 0, ErrRecord.New("bad body key %q", key)
 	}
 	return job, item, chunk, nil
 }
 
-// The largest numbers that keys hold. A reader keeps a place for each number up to
-// the one it reads, so a foreign key with a huge one would take all memory.
+// The largest numbers allowed in keys. A reader allocates an entry for each number up to
+// the one it reads, so an invalid key with a huge number would exhaust the memory.
 const (
 	maxItemNumber  = 99_999
 	maxChunkNumber = 999
 )
 
-func number(text string, most int) (int, bool) {
+func parseNumber(text string, limit int) (int, bool) {
 	n, err := strconv.Atoi(text)
-	return n, err == nil && n >= 0 && n <= most
+	return n, err == nil && n >= 0 && n <= limit
 }
 
 func parseResultKey(key string) (job string, item int, err error) {
 	job, last, ok := cutLast(key)
-	item, known := number(last, maxItemNumber)
+	item, known := parseNumber(last, maxItemNumber)
 	if !ok || !known {
 		return "", 0, ErrRecord.New("bad result key %q", key)
 	}
@@ -202,7 +201,7 @@
 	return key[:at], key[at+1:], true
 }
 
-// valid tells whether an acceptance is one of the job that its key names.
+// valid reports whether the acceptance is valid and belongs to the job in its key.
 func (r *JobRecord) valid(id string) bool {
 	return id != "" && r.ID == id && r.Count > 0 && r.Count <= maxItemNumber && r.Tokens >= 0 && validItems(r.Items)
 }
@@ -216,12 +215,12 @@
 	return true
 }
 
-// valid tells whether a result is one of the item that its key names.
+// valid reports whether the result is valid and belongs to the item in its key.
 func (r *Result) valid(item int) bool {
 	return r.Item == item && (r.State == Succeeded || r.State == Errored) && r.Tokens >= 0
 }
 
-// Encode returns the value of an acceptance or a result.
+// Encode returns the encoded value of an acceptance, an item list, a result or progress.
 func Encode(v any) ([]byte, error) {
 	data, err := msgpack.Marshal(v)
 	if err != nil {
@@ -233,7 +232,7 @@
 func decode[T any](key string, data []byte) (T, error) {
 	var v T
 	if err := msgpack.Unmarshal(data, &v); err != nil {
-		return v, ErrRecord.Wrap(err, "cannot decode the record %q", key)
+		return v, ErrRecord.Wrap(err, "cannot decode record %q", key)
 	}
 	return v, nil
 }
--- a/core/batch/ways.go
+++ b/core/batch/ways.go
@@ -2,54 +2,56 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// Ways adds up what is told of one job that is handed in by several ways at once: to
-// the log directly and through other daemons. Whichever way accepts it, it is
-// accepted, once; it is refused only when every way has ended.
+// Attempts combines the outcomes of concurrent attempts to submit one job: to the log
+// directly and through other daemons. The job is accepted once, as soon as any attempt is
+// accepted; it is refused only after every attempt has ended.
 type Ways struct {
-	open     int
-	accepted bool
-	refusal  *outcome.Refusal
-	// mayHaveRun tells that a way ended without knowing what it did. It stays: a
-	// later refusal by another way does not undo it.
+	inProgress int
+	accepted   bool
+	refusal    *outcome.Refusal
+	// mayHaveRun reports whether an attempt ended with an unknown outcome. It is never
+	// reset: a later refusal of another attempt does not resolve that outcome.
 	mayHaveRun bool
 }
 
-// Begin counts a way that the job goes now.
-func (w *Ways) Begin() { w.open++ }
+// Begin records the start of an attempt.
+func (a *Ways) Begin() { a.inProgress++ }
 
-// End takes how a way ended; nil is an acceptance.
-func (w *Ways) End(refusal *outcome.Refusal) {
-	w.open--
+// End records the end of an attempt; a nil refusal means that the job was accepted.
+func (a *Ways) End(refusal *outcome.Refusal) {
+	a.inProgress--
 	if refusal == nil {
-		w.accepted = true
+		a.accepted = true
 		return
 	}
 	if refusal.Run != outcome.NotRun {
-		w.mayHaveRun = true
+		a.mayHaveRun = true
 	}
-	// A refusal by the quota says more than one by a log that is out.
-	if w.refusal == nil || w.refusal.Code == outcome.LogUnavailable {
-		w.refusal = refusal
+	// A refusal because of the quota is more specific than one because the log is
+	// unavailable.
+	if a.refusal == nil || a.refusal.Code == outcome.LogUnavailable {
+		a.refusal = refusal
 	}
 }
 
-// Accepted tells whether a way has accepted the job.
-func (w *Ways) Accepted() bool { return w.accepted }
+// Accepted reports whether an attempt was accepted.
+func (a *Ways) Accepted() bool { return a.accepted }
 
-// Open tells whether a way has not ended yet.
-func (w *Ways) Open() bool { return w.open > 0 }
+// Open reports whether an attempt is still in progress.
+func (a *Ways) Open() bool { return a.inProgress > 0 }
 
-// Final tells whether another way could not do better: the job was refused for what
-// it is, and not because the log was out.
-func (w *Ways) Final() bool { return w.refusal != nil && w.refusal.Code != outcome.LogUnavailable }
+// Final reports whether another attempt could not succeed: the job itself was refused, not
+// the attempt because the log was unavailable.
+func (a *Ways) Final() bool { return a.refusal != nil && a.refusal.Code != outcome.LogUnavailable }
 
-// Refusal returns the answer once all ways have ended, nil for an acceptance.
-func (w *Ways) Refusal() *outcome.Refusal {
-	if w.accepted {
+// Refusal returns the combined refusal after all attempts have ended, nil if the job was
+// accepted.
+func (a *Ways) Refusal() *outcome.Refusal {
+	if a.accepted {
 		return nil
 	}
-	if w.mayHaveRun && w.refusal != nil {
-		return w.refusal.WithRun(outcome.MayHaveRun)
+	if a.mayHaveRun && a.refusal != nil {
+		return a.refusal.WithRun(outcome.MayHaveRun)
 	}
-	return w.refusal
+	return a.refusal
 }
--- a/core/batch/ways_test.go
+++ b/core/batch/ways_test.go
@@ -9,9 +9,9 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// A job goes to the log and through two other daemons. Its caller may be told that it
-// does not run only if every way has ended and each of them knows that.
-func TestWaysNeverDenyWhatMayRun(t *testing.T) {
+// A job is submitted to the log and through two other daemons. Its caller may be told that
+// it does not run only if every attempt has ended and is known not to have run it.
+func TestAttemptsNeverDenyWhatMayRun(t *testing.T) {
 	refusals := []*outcome.Refusal{
 		nil,
 		outcome.Refuse(outcome.LogUnavailable, "out"),
