--- a/core/membership/fleet_test.go
+++ b/core/membership/fleet_test.go
@@ -13,7 +13,7 @@
 	hosts []string
 	nodes map[string]*membership.Machine
 	down  map[string]bool
-	// loses tells whether one message from a to b gets lost.
+	// loses reports whether one message from a to b is lost.
 	loses func(a, b string) bool
 }
 
@@ -37,7 +37,7 @@
 	})
 }
 
-// run lets the fleet live for a number of probe intervals.
+// run advances the fleet by a number of probe intervals.
 func (f *fleet) run(ticks int) {
 	for range ticks {
 		f.now = f.now.Add(membership.DefaultProbeEvery)
@@ -98,7 +98,7 @@
 	return middle.FinishVia(f.now, &reply)
 }
 
-// states returns what observer holds of each member that is not dead.
+// states returns the states of the members that are not dead in the observer's view.
 func (f *fleet) states(observer string) map[string]membership.State {
 	out := map[string]membership.State{}
 	for _, member := range f.nodes[observer].Snapshot().Members() {
@@ -107,7 +107,7 @@
 	return out
 }
 
-// agreed tells whether all running hosts see exactly the running ones, live.
+// agreed returns nil if every running host sees exactly the running hosts, all live.
 func (f *fleet) agreed() error {
 	for _, observer := range f.hosts {
 		if f.down[observer] {
--- a/core/membership/hostlist.go
+++ b/core/membership/hostlist.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// HostList is one version of the platform's host list, as far as membership
-// reads it.
+// HostList is one version of the platform's host list, reduced to what membership needs.
 type HostList struct {
 	// Version rises with each change.
 	Version int64
-	// Daemons are the hosts of this system.
+	// Daemons are the hosts that run a daemon.
 	Daemons []ListedDaemon
 	// Targets are the hosts that run targets.
 	Targets []ListedTarget
@@ -31,7 +30,7 @@
 	Leaving bool
 }
 
-// hostList is what is kept of the last list.
+// hostList is the index of the last host list.
 type hostList struct {
 	version         int64
 	known           bool
@@ -41,26 +40,26 @@
 	targets         map[string]bool
 }
 
-// targetEntry is the newest word about a target that leaves or left.
+// targetEntry is the newest notice about a target that is leaving or has left.
 type targetEntry struct {
 	notice TargetNotice
-	// unlistedSince is when the own list first lacked the target; zero while it
-	// is listed.
+	// unlistedSince is when the target was first missing from the local host list; zero
+	// while it is listed.
 	unlistedSince time.Time
 }
 
-// HostListVersion returns the version of the last list stepped in, 0 if none.
+// HostListVersion returns the version of the last applied host list, 0 if none.
 func (m *Machine) HostListVersion() int64 { return m.list.version }
 
-// SetHostList steps in a host list. Older versions than the last are ignored:
-// the platform's answers may come from copies that lag.
+// SetHostList applies a host list. Versions that are not newer than the last one are
+// ignored: the platform may answer from replicas that lag.
 func (m *Machine) SetHostList(now time.Time, l HostList) {
 	if m.list.known && l.Version <= m.list.version {
 		return
 	}
-	m.list = digestList(l)
+	m.list = indexHostList(l)
 	m.version++
-	m.decideLeaving()
+	m.updateLeaving()
 	for _, t := range l.Targets {
 		m.mergeTarget(now, TargetNotice{Address: t.Address, Leaving: t.Leaving, ListVersion: l.Version}, true)
 	}
@@ -71,7 +70,7 @@
 	}
 }
 
-func digestList(l HostList) hostList {
+func indexHostList(l HostList) hostList {
 	d := hostList{
 		version:      l.Version,
 		known:        true,
@@ -98,9 +97,9 @@
 	}
 }
 
-// mergeTarget applies one notice: the word of the higher list version wins, so a
-// daemon whose list lags learns from the others, and a target that is live again
-// is so for all. Of targets that never left nothing is kept.
+// mergeTarget applies one notice. The notice with the higher list version wins, so a daemon
+// whose list lags learns from its peers, and a target that is live again becomes live
+// everywhere. Targets that never left have no entry.
 func (m *Machine) mergeTarget(now time.Time, n TargetNotice, listed bool) {
 	t := m.targets[n.Address]
 	if t == nil {
@@ -126,15 +125,15 @@
 
 func (m *Machine) targetChanged(address string) {
 	m.version++
-	m.spread.addTarget(address)
+	m.queue.addTarget(address)
 }
 
-// forgetTargets drops targets that are long gone from the own list, if that list
-// is at least as new as the word about them.
+// forgetTargets removes targets that have been missing from the local host list for
+// ForgetAfter, if that list is at least as new as the notice about them.
 func (m *Machine) forgetTargets(now time.Time) {
 	for address, t := range m.targets {
-		gone := !t.unlistedSince.IsZero() && t.notice.ListVersion <= m.list.version
-		if gone && now.Sub(t.unlistedSince) >= m.opt.ForgetAfter {
+		removable := !t.unlistedSince.IsZero() && t.notice.ListVersion <= m.list.version
+		if removable && now.Sub(t.unlistedSince) >= m.opt.ForgetAfter {
 			delete(m.targets, address)
 			m.version++
 		}
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// verifyPerTick bounds the suspects that are probed in one tick besides the
-	// regular probe, so that the loss of a whole zone is verified in a few ticks.
+	// verifyPerTick is the maximum number of suspects probed in one tick in addition to
+	// the regular probe; it lets the loss of a whole zone be verified in a few ticks.
 	verifyPerTick = 4
-	// indirectProbes is how many others are asked when a direct probe fails.
+	// indirectProbes is the number of members that probe on behalf of this daemon after a
+	// direct probe fails.
 	indirectProbes = 2
-	// contactEvery is the number of ticks between probes of dead members and of
-	// listed hosts that are not members: they heal partitions and find joiners.
+	// contactEvery is the number of ticks between probes of dead members and of listed
+	// hosts that are not members. These probes heal partitions and find joining daemons.
 	contactEvery = 4
-	// ringEvery is the number of ticks between probes of the ring's neighbour.
+	// ringEvery is the number of ticks between probes of the neighbour on the ring.
 	ringEvery = 2
-	// wakeTicks is how many probe intervals without any input mean that this
-	// process itself was paused.
-	wakeTicks = 4
+	// pauseTicks is the number of probe intervals without any input after which this
+	// process is taken to have been paused.
+	pauseTicks = 4
 )
 
-// Options configure a Machine; zero durations take the defaults.
+// Options configures a Machine; zero durations take the defaults.
 type Options struct {
 	// Self is this daemon's own entry: host, zone, addresses and incarnation.
 	Self Member
@@ -31,10 +32,10 @@
 	Seeds []string
 	// ProbeEvery is the interval between ticks; default 300 ms.
 	ProbeEvery time.Duration
-	// SuspectAfter is how long a suspect may refute; default 1.2 s.
+	// SuspectAfter is how long a suspect has to refute the suspicion; default 1.2 s.
 	SuspectAfter time.Duration
-	// ForgetAfter is how long a dead member that is not on the host list, or a
-	// target that left it, is remembered; default 5 minutes.
+	// ForgetAfter is how long a dead member that is not on the host list, or a target
+	// that was removed from it, is kept; default 5 minutes.
 	ForgetAfter time.Duration
 	// Seed makes the random choices repeatable.
 	Seed uint64
@@ -47,51 +48,52 @@
 	DefaultForgetAfter  = 5 * time.Minute
 )
 
-// Machine holds one daemon's view. It is not safe for concurrent use.
+// Machine is the membership state machine of one daemon. It is not safe for concurrent use.
 type Machine struct {
-	opt     Options
-	random  splitmix.Generator
-	self    Member
-	members map[string]*entry
-	order   []string // hosts still to be probed in this round, shuffled
-	ticks   uint64
-	synced  bool
-
-	rounds map[string]*round
-	epoch  uint64
-	seen   time.Time // the last input's time
-
-	spread  spreader
-	list    hostList
-	targets map[string]*targetEntry
-	contact int
-
-	version      uint64
-	requested    bool // Leave was called
-	declaredDead uint64
-	superseded   bool
+	opt        Options
+	random     splitmix.Generator
+	self       Member
+	members    map[string]*entry
+	probeOrder []string // hosts still to be probed in this round, shuffled
+	ticks      uint64
+	synced     bool
+
+	rounds    map[string]*round
+	epoch     uint64
+	lastInput time.Time // the last input's time
+
+	queue        gossipQueue
+	list         hostList
+	targets      map[string]*targetEntry
+	contactIndex int
+
+	version        uint64
+	leaveRequested bool // Leave was called
+	declaredDead   uint64
+	superseded     bool
 }
 
 // entry is a member other than this daemon.
 type entry struct {
 	member Member
-	hash   uint64 // of the host, its place on the ring
-	// since is when the member's state last changed here, or when it last gave a
-	// sign of life while suspect.
+	hash   uint64 // of the host, its position on the ring
+	// since is when the member's state last changed in this view, or when the member last
+	// answered while it was suspect.
 	since time.Time
-	// missed says that this daemon's own direct and indirect probes failed since
-	// the suspicion began.
+	// missed reports whether this daemon's own direct and indirect probes have failed
+	// since the suspicion began.
 	missed bool
-	// probedAt is the tick of the last verification, doubtedAt that of the last
-	// probe out of turn.
-	probedAt, doubtedAt uint64
+	// probedAt is the tick of the last direct probe, 0 if there was none since a peer
+	// last reported a newer entry or a suspicion. callFailedAt is the tick of the last
+	// probe because of a failed call.
+	probedAt, callFailedAt uint64
 }
 
 func (e *entry) claim() Claim {
 	return Claim{Host: e.member.Host, Incarnation: e.member.Incarnation, FactsVersion: e.member.FactsVersion, State: e.member.State}
 }
 
-// New returns a machine that knows only itself.
+// New returns a machine whose only member is this daemon.
 func New(o Options) *Machine {
 	if o.ProbeEvery <= 0 {
 		o.ProbeEvery = DefaultProbeEvery
@@ -110,28 +112,28 @@
 		self:    o.Self,
 		members: make(map[string]*entry),
 		rounds:  make(map[string]*round),
-		spread:  newSpreader(),
+		queue:   newGossipQueue(),
 		targets: make(map[string]*targetEntry),
 		version: 1,
 	}
 }
 
-// Version rises with every change that a Snapshot would show.
+// Version returns a number that rises with every change that is visible in a Snapshot.
 func (m *Machine) Version() uint64 { return m.version }
 
 // Self returns this daemon's own entry.
 func (m *Machine) Self() Member { return m.self }
 
-// DeclaredDead counts how often this daemon learnt that others held it dead:
-// after a pause, what it owned may have been taken over.
+// DeclaredDead returns how often this daemon learned that peers had declared it dead. After
+// that, peers may have taken over the shards that it held.
 func (m *Machine) DeclaredDead() uint64 { return m.declaredDead }
 
-// Superseded tells whether a later incarnation of this host was heard of: this
-// process has been replaced and can't refute that.
+// Superseded reports whether a later incarnation of this host is known: this process has
+// been replaced and can't refute that.
 func (m *Machine) Superseded() bool { return m.superseded }
 
-// SetFacts changes the facts this daemon tells about itself. Name, incarnation,
-// facts version and state stay as they are.
+// SetFacts changes the facts that this daemon publishes about itself. Host, incarnation,
+// facts version and state can't be changed by it.
 func (m *Machine) SetFacts(change func(*Member)) {
 	next := m.self
 	next.Shards = slices.Clone(m.self.Shards)
@@ -142,41 +144,41 @@
 		return
 	}
 	m.self = next
-	m.raise()
+	m.bumpVersion()
 }
 
-// Leave makes this daemon known as leaving.
+// Leave publishes this daemon's state as Leaving.
 func (m *Machine) Leave() {
-	m.requested = true
-	m.decideLeaving()
+	m.leaveRequested = true
+	m.updateLeaving()
 }
 
-// decideLeaving sets the own state from the operator's wish and the host list.
-func (m *Machine) decideLeaving() {
+// updateLeaving sets this daemon's state from a call of Leave and the host list.
+func (m *Machine) updateLeaving() {
 	state := Live
-	if m.requested || m.list.leavingHosts[m.self.Host] {
+	if m.leaveRequested || m.list.leavingHosts[m.self.Host] {
 		state = Leaving
 	}
 	if state == m.self.State {
 		return
 	}
 	m.self.State = state
-	m.raise()
+	m.bumpVersion()
 }
 
-// raise publishes the own entry anew. It needs no place in the spreading queue:
-// the own entry rides on every message.
-func (m *Machine) raise() {
+// bumpVersion raises the version of this daemon's own entry. The entry isn't queued for
+// gossip, because every message carries it.
+func (m *Machine) bumpVersion() {
 	m.self.FactsVersion++
 	m.version++
 }
 
-// Tick lets time pass: suspects run out, and the next probes are returned. It is
-// to be called every ProbeEvery.
+// Tick declares expired suspects dead, removes expired entries and returns the probes to
+// send now. Call it every ProbeEvery.
 func (m *Machine) Tick(now time.Time) []Probe {
 	m.observe(now)
 	m.ticks++
-	m.buryExpired(now)
+	m.expireSuspects(now)
 	m.forget(now)
 	probes := m.verifySuspects()
 	if p, ok := m.regularProbe(); ok {
@@ -188,15 +190,15 @@
 	return probes
 }
 
-// observe guards against this process's own pause (a stopped process, a frozen
-// host). It shows as a long time without any input, in which all suspicions run
-// out and all probes miss, though the others may be well. So a pause restarts
-// the suspicions and voids the probes that were under way: nobody is declared
-// dead from evidence gathered asleep.
+// observe records the time of an input and detects a pause of this process (a stopped
+// process, a frozen host). During a pause no input arrives, so all suspicions time out and
+// all probes miss although the other members may be healthy. A detected pause therefore
+// restarts the suspicions and invalidates the probes in flight, so that no member is
+// declared dead because of it.
 func (m *Machine) observe(now time.Time) {
-	paused := !m.seen.IsZero() && now.Sub(m.seen) > wakeTicks*m.opt.ProbeEvery
-	if now.After(m.seen) {
-		m.seen = now
+	paused := !m.lastInput.IsZero() && now.Sub(m.lastInput) > pauseTicks*m.opt.ProbeEvery
+	if now.After(m.lastInput) {
+		m.lastInput = now
 	}
 	if !paused {
 		return
@@ -210,10 +212,10 @@
 	}
 }
 
-// buryExpired declares dead the suspects whose time to refute is over, but only
-// those that this daemon's own probes missed, direct and through others: a
-// daemon whose own link is cut one way must not make others bury the healthy.
-func (m *Machine) buryExpired(now time.Time) {
+// expireSuspects declares suspects dead that did not refute in time, but only if this
+// daemon's own direct and indirect probes missed too: a daemon whose link is cut in one
+// direction must not make others declare healthy members dead.
+func (m *Machine) expireSuspects(now time.Time) {
 	expired := m.hosts(func(e *entry) bool {
 		return e.member.State == Suspect && e.missed && now.Sub(e.since) >= m.opt.SuspectAfter
 	})
@@ -226,24 +228,24 @@
 	e.member.State = s
 	e.since = now
 	m.version++
-	m.spread.addMember(e.member.Host)
+	m.queue.addMember(e.member.Host)
 }
 
-// forget drops the dead that the host list doesn't hold any more. A dead member
-// on the list is kept: it is probed now and then in case it returns.
+// forget removes members that have been dead for ForgetAfter and are not on the host list.
+// A dead member on the list is kept and probed periodically in case it returns.
 func (m *Machine) forget(now time.Time) {
 	for host, e := range m.members {
-		gone := e.member.State == Dead && !m.list.daemons[host]
-		if gone && now.Sub(e.since) >= m.opt.ForgetAfter {
+		removable := e.member.State == Dead && !m.list.daemons[host]
+		if removable && now.Sub(e.since) >= m.opt.ForgetAfter {
 			delete(m.members, host)
 			delete(m.rounds, host)
-			m.spread.dropMember(host)
+			m.queue.dropMember(host)
 		}
 	}
 	m.forgetTargets(now)
 }
 
-// alone tells whether no other member is known to be there.
+// alone reports whether every other known member is dead.
 func (m *Machine) alone() bool {
 	for _, e := range m.members {
 		if e.member.State != Dead {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -25,9 +25,9 @@
 	RunSpecs(t, "membership")
 }
 
-// A fleet loses up to a tenth of its messages while hosts die and come back. No
-// view may lose a host that runs throughout, and once it is quiet all views must
-// hold exactly the running hosts.
+// A fleet loses up to a tenth of its messages while hosts die and return. No view may lose
+// a host that runs throughout, and after the faults end all views must contain exactly the
+// running hosts.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 16).Draw(t, "hosts"))
@@ -74,9 +74,9 @@
 }
 
 var _ = Describe("Machine", func() {
-	// A host is lost. Within nine probe intervals (2.7 s) every other daemon must
-	// hold it dead, whatever the fleet's size and the moment of the loss.
-	DescribeTable("finds a dead host", func(n int) {
+	// A host is lost. Within nine probe intervals (2.7 s) every other daemon must declare
+	// it dead, independent of the fleet's size and the time of the loss.
+	DescribeTable("detects a dead host", func(n int) {
 		for moment := range 10 {
 			f := newFleet(n)
 			f.run(40 + moment)
@@ -90,10 +90,11 @@
 		}
 	}, Entry("of 3", 3), Entry("of 12", 12), Entry("of 48", 48))
 
-	// A process is stopped for long and wakes. The others buried it; it must not
-	// bury them from timers that ran out asleep, must learn of its own burial, and
-	// must be back in all views as the same incarnation.
-	It("brings a frozen daemon back by refutation", func() {
+	// A process is paused for a long time and resumes after its peers have declared it
+	// dead. It must not declare them dead because of timers that expired during the pause,
+	// must learn that it was declared dead, and must return to all views as the same
+	// incarnation.
+	It("restores a paused daemon after it refutes", func() {
 		f := newFleet(5)
 		f.run(20)
 		f.down["host-03"] = true
@@ -110,10 +111,10 @@
 		Expect(frozen.Self().Incarnation).To(Equal(uint64(1)))
 	})
 
-	// A daemon suspects another one and is stopped at that moment; meanwhile the
-	// suspect recovers. Its time to refute ran out only in the sleeper's clock, so
-	// the sleeper must not bury it on waking.
-	It("voids suspicions that ran out during a pause", func() {
+	// A daemon suspects another one and is paused at that moment; meanwhile the suspect
+	// recovers. The time to refute expired only by the paused daemon's clock, so it must
+	// not declare the suspect dead when it resumes.
+	It("restarts suspicions that expired during a pause", func() {
 		f := newFleet(5)
 		f.run(20)
 		f.down["host-04"] = true
@@ -131,10 +132,10 @@
 		}
 	})
 
-	// A daemon whose link is cut one way hears nobody and spreads that all others
-	// are dead. Those who hear it must not believe it before their own probes have
+	// A daemon whose link is cut in one direction receives nothing and reports all others
+	// dead. Daemons that receive the report must not apply it before their own probes have
 	// missed, however long that takes.
-	It("does not bury a member on hearsay", func() {
+	It("does not declare a member dead on a peer's report alone", func() {
 		m := membership.New(membership.Options{Self: membership.Member{Host: "self", Incarnation: 1}})
 		now := time.UnixMilli(0)
 		deaf := membership.Member{Host: "deaf", PeerAddress: "d", Incarnation: 1, FactsVersion: 1}
@@ -159,7 +160,7 @@
 			}
 			Expect(m.Snapshot().LiveID("told#1")).To(BeTrue())
 		}
-		// Its own requests still come in, but that does not make it reachable.
+		// The member's own requests still arrive, but that does not prove it reachable.
 		told.State = membership.Live
 		m.AnswerProbe(now, membership.ProbeRequest{From: told})
 		for _, p := range m.Missed(now, direct) {
@@ -170,10 +171,10 @@
 	})
 
 	// A process is killed and its callers wait for a successor. Its host refuses
-	// connections, which a paused or slow process's never does, so its peers need
-	// not wait for it to refute. But one daemon's word alone is not enough: its own
-	// way out may be closed.
-	It("buries a refusing member at once when another confirms it", func() {
+	// connections, which the host of a paused or slow process never does, so its peers
+	// need not wait for it to refute. But one daemon's result alone is not enough: its own
+	// outgoing link may be blocked.
+	It("declares a member that refuses connections dead at once when another daemon confirms it", func() {
 		now := time.UnixMilli(0)
 		ask := func(deny func(*membership.Machine, membership.Probe) []membership.Probe, witness bool) bool {
 			m := membership.New(membership.Options{Self: membership.Member{Host: "self", Incarnation: 1}})
@@ -203,9 +204,9 @@
 		Expect(ask(silent, true)).To(BeTrue(), "it may be paused")
 	})
 
-	// The link between two zones is cut for one pair of hosts only, or one host can
-	// send but hears nothing. Neither may make the others bury a healthy host.
-	It("keeps the healthy through a cut pair and a deaf host", func() {
+	// The link between one pair of hosts is cut, and one host can send but receives
+	// nothing. Neither may make the others declare a healthy host dead.
+	It("keeps healthy hosts when one link is cut and one host receives nothing", func() {
 		f := newFleet(6)
 		f.run(20)
 		f.loses = func(a, b string) bool {
@@ -223,10 +224,10 @@
 		Expect(f.states("host-00")).NotTo(HaveKey("host-05"))
 	})
 
-	// The whole fleet splits and each half buries the other. When the link is
-	// back nobody is probed as a member any more, so the dead must be tried now
-	// and then.
-	It("heals a split", func() {
+	// The whole fleet splits and each half declares the other dead. When the link is
+	// restored, dead hosts are no longer probed as members, so they must be contacted
+	// periodically.
+	It("heals a network partition", func() {
 		f := newFleet(6)
 		f.run(20)
 		f.loses = func(a, b string) bool { return (a < "host-03") != (b < "host-03") }
@@ -237,7 +238,7 @@
 		Expect(f.agreed()).To(Succeed())
 	})
 
-	It("spreads facts, and the host list's word about targets to a daemon whose list is old", func() {
+	It("spreads facts, and the host list's target states to a daemon whose list is old", func() {
 		f := newFleet(6)
 		f.run(20)
 		f.nodes["host-02"].SetFacts(func(m *membership.Member) {
@@ -255,7 +256,7 @@
 		Expect(holder.Host).To(Equal("host-02"))
 		Expect(holder.ConfigVersion).To(Equal(uint64(9)))
 		Expect(view.TargetLeaving("t:1")).To(BeTrue())
-		// One that was out of reach while the word spread learns it afterwards.
+		// A daemon that was unreachable while the notice spread receives it afterwards.
 		f.down["host-04"] = true
 		list.Version, list.Targets[0].Address = 6, "t:2"
 		f.nodes["host-01"].SetHostList(f.now, list)
@@ -269,7 +270,7 @@
 		Expect(f.nodes["host-05"].Snapshot().TargetLeaving("t:1")).To(BeFalse())
 	})
 
-	It("takes the restarted incarnation for another one", func() {
+	It("distinguishes the incarnations of a restarted daemon", func() {
 		f := newFleet(4)
 		f.run(20)
 		f.start("host-02", 2)
@@ -280,7 +281,7 @@
 		Expect(view.LiveID(membership.IncarnationID("host-02", 1))).To(BeFalse())
 	})
 
-	It("marks a host that the list calls leaving", func() {
+	It("marks a host as leaving if the host list says so", func() {
 		f := newFleet(3)
 		f.run(20)
 		leaving := membership.HostList{Version: 1, Daemons: []membership.ListedDaemon{{Host: "host-01", Leaving: true}}}
@@ -292,7 +293,7 @@
 })
 
 var _ = Describe("Rank", func() {
-	It("moves only what the lost host came first for, and agrees with Successors", func() {
+	It("moves only the keys of a lost host, and agrees with Successors", func() {
 		f := newFleet(5)
 		f.run(20)
 		view := f.nodes["host-00"].Snapshot()
@@ -310,10 +311,10 @@
 		}
 	})
 
-	// The platform's log is out. Nobody can claim a shard, but each target must
-	// keep its steward: without one its batch would be stopped, and every daemon
+	// The platform's log is unavailable. No daemon can claim a shard, but each target must
+	// keep its batch dispatcher: without one its batch work would stop, and every daemon
 	// would lose its arbiter of caller limits.
-	It("keeps the first member of a key while the log is out", func() {
+	It("keeps the first member of a key while the log is unavailable", func() {
 		f := newFleet(5)
 		f.run(20)
 		before, _ := f.nodes["host-00"].Snapshot().First("steward/10.0.0.1:1")
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -7,20 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AnswerProbe steps in a probe request and returns the reply.
+// AnswerProbe handles a probe request and returns the reply.
 func (m *Machine) AnswerProbe(now time.Time, req ProbeRequest) ProbeReply {
 	m.observe(now)
-	m.heardFrom(now, req.From, req.About)
+	m.mergeSender(now, req.From, req.About)
 	m.mergeGossip(now, req.Gossip)
-	return ProbeReply{From: m.self, About: m.about(req.From.Host), Gossip: m.gossip()}
+	return ProbeReply{From: m.self, About: m.claimAbout(req.From.Host), Gossip: m.gossip()}
 }
 
-// AnswerSync steps in a joining request and returns all that is known.
+// AnswerSync handles the request of a joining daemon and returns all members that are not
+// dead and all leaving targets.
 func (m *Machine) AnswerSync(now time.Time, req ProbeRequest) SyncReply {
 	m.observe(now)
-	m.heardFrom(now, req.From, req.About)
+	m.mergeSender(now, req.From, req.About)
 	m.mergeGossip(now, req.Gossip)
-	reply := SyncReply{From: m.self, About: m.about(req.From.Host)}
+	reply := SyncReply{From: m.self, About: m.claimAbout(req.From.Host)}
 	for _, host := range m.hosts(func(e *entry) bool { return e.member.State != Dead }) {
 		reply.Members = append(reply.Members, m.members[host].member)
 	}
@@ -28,36 +29,36 @@
 	return reply
 }
 
-// StartVia steps in a request to probe another daemon for the sender and returns
-// the request to send there.
+// StartVia handles a request to probe another daemon on behalf of the sender and returns
+// the request to send to that daemon.
 func (m *Machine) StartVia(now time.Time, req ViaRequest) ProbeRequest {
 	m.observe(now)
-	m.heardFrom(now, req.Probe.From, req.Probe.About)
+	m.mergeSender(now, req.Probe.From, req.Probe.About)
 	m.mergeGossip(now, req.Probe.Gossip)
 	return m.RequestTo(req.Host)
 }
 
-// FinishVia steps in the probed daemon's reply, nil if it gave none, and returns
-// the answer for the one who asked.
+// FinishVia handles the reply of the probed daemon, nil if there was none, and returns the
+// reply to the daemon that requested the indirect probe.
 func (m *Machine) FinishVia(now time.Time, reply *ProbeReply) ViaReply {
 	m.observe(now)
 	if reply == nil {
 		return ViaReply{Gossip: m.gossip()}
 	}
-	m.answeredBy(now, reply.From, reply.About)
+	m.mergeResponder(now, reply.From, reply.About)
 	m.mergeGossip(now, reply.Gossip)
 	return ViaReply{Acked: true, Target: reply.From, Gossip: m.gossip()}
 }
 
-// about returns the claim held about a host; zero if it isn't known.
-func (m *Machine) about(host string) Claim {
+// claimAbout returns the local claim about a host; zero if the host isn't known.
+func (m *Machine) claimAbout(host string) Claim {
 	if e := m.members[host]; e != nil {
 		return e.claim()
 	}
 	return Claim{}
 }
 
-func (m *Machine) aboutAddress(address string) Claim {
+func (m *Machine) claimAboutAddress(address string) Claim {
 	for _, e := range m.members {
 		if e.member.PeerAddress == address {
 			return e.claim()
@@ -66,11 +67,10 @@
 	return Claim{}
 }
 
-// heardFrom merges the entry of a daemon that spoke itself, and looks whether
-// that daemon's claim about this one must be refuted. A request is no answer to
-// a probe: a daemon that sends but can't be reached must not stay a member on
-// the strength of its own requests.
-func (m *Machine) heardFrom(now time.Time, from Member, about Claim) {
+// mergeSender merges the sender's own entry and refutes the sender's claim about this daemon
+// if necessary. Receiving a request does not prove that the sender can be reached: a daemon
+// that sends but can't be reached must not stay a member because of its own requests.
+func (m *Machine) mergeSender(now time.Time, from Member, about Claim) {
 	m.refute(about)
 	if from.Host == m.self.Host {
 		m.mergeSelf(from)
@@ -79,18 +79,18 @@
 	m.merge(now, from)
 }
 
-// answeredBy is heardFrom for an answer to a probe, which proves that the member
-// can be reached.
-func (m *Machine) answeredBy(now time.Time, from Member, about Claim) {
-	m.heardFrom(now, from, about)
+// mergeResponder is mergeSender for the reply to a probe, which proves that the member can
+// be reached.
+func (m *Machine) mergeResponder(now time.Time, from Member, about Claim) {
+	m.mergeSender(now, from, about)
 	e := m.members[from.Host]
 	if e == nil || e.member.Incarnation != from.Incarnation {
 		return
 	}
 	delete(m.rounds, from.Host)
 	if e.member.State == Suspect {
-		// The member lives, but only its own higher version may say so to all; it
-		// gets its time to refute anew.
+		// The member is alive, but peers accept that only from its own entry with a
+		// higher version, so its time to refute restarts.
 		e.since, e.missed = now, false
 	}
 }
@@ -108,10 +108,10 @@
 
 // merge applies one entry about another host. The rules:
 //   - the higher (Incarnation, FactsVersion) wins, because only the owner raises
-//     them: what it said last is true about it, and it said it while alive;
-//   - at equal versions a suspicion wins, so that it isn't undone by an echo of
-//     the older word and the owner must refute it by a higher version;
-//   - Dead heard from others counts only as a suspicion until this daemon's own
+//     them: its latest entry is authoritative and was sent while it was alive;
+//   - at equal versions a suspicion wins, so that a delayed copy of the earlier
+//     entry can't undo it and the owner must refute it with a higher version;
+//   - Dead received from peers counts only as a suspicion until this daemon's own
 //     probes have missed too.
 func (m *Machine) merge(now time.Time, u Member) {
 	e := m.members[u.Host]
@@ -124,27 +124,27 @@
 		return
 	case order > 0:
 		m.replace(now, e, u)
-	case gravity(u.State) > gravity(e.member.State):
-		m.worsen(now, e, u.State)
+	case severity(u.State) > severity(e.member.State):
+		m.escalate(now, e, u.State)
 	}
 }
 
-// add takes in a member not known yet. A dead one is not worth knowing, and so
-// a forgotten one isn't brought back by those who still remember.
+// add adds an unknown member. Dead members are not added, so that a removed member isn't
+// restored by peers that have not removed it yet.
 func (m *Machine) add(now time.Time, u Member) {
 	if u.State == Dead || u.Host == "" {
 		return
 	}
 	m.members[u.Host] = &entry{member: u, hash: xxhash.Sum64String(u.Host), since: now}
 	m.version++
-	m.spread.addMember(u.Host)
-	// A random place in the running order: a joiner waits half a round on average
-	// for its first probe instead of a whole one.
-	m.order = slices.Insert(m.order, m.random.Below(len(m.order)+1), u.Host)
+	m.queue.addMember(u.Host)
+	// A random position in the probe order: a joining member waits half a round on
+	// average for its first probe instead of a whole one.
+	m.probeOrder = slices.Insert(m.probeOrder, m.random.Below(len(m.probeOrder)+1), u.Host)
 }
 
-// replace takes newer word about a known member. It is a sign of life later than
-// any probe that missed before, so the evidence gathered so far is void.
+// replace applies a newer entry of a known member. The entry proves that the member was
+// alive after any earlier missed probe, so the results of earlier probes are discarded.
 func (m *Machine) replace(now time.Time, e *entry, u Member) {
 	if u.State == Dead {
 		u.State = Suspect
@@ -152,11 +152,11 @@
 	e.member = u
 	e.since, e.missed, e.probedAt = now, false, 0
 	m.version++
-	m.spread.addMember(u.Host)
+	m.queue.addMember(u.Host)
 }
 
-// worsen takes a graver state heard from others at the same version.
-func (m *Machine) worsen(now time.Time, e *entry, s State) {
+// escalate applies a more severe state that peers report at the same version.
+func (m *Machine) escalate(now time.Time, e *entry, s State) {
 	switch {
 	case e.member.State != Suspect:
 		e.missed, e.probedAt = false, 0
@@ -166,8 +166,8 @@
 	}
 }
 
-// refute answers a claim that this incarnation is suspect or dead by raising the
-// own version above the claim's: nobody else can, so it ends the matter.
+// refute answers a claim that this incarnation is suspect or dead by raising this daemon's
+// facts version above the claim's. Only the owner can raise it, so all peers accept it.
 func (m *Machine) refute(c Claim) {
 	if c.Host != m.self.Host {
 		return
@@ -184,7 +184,7 @@
 		m.declaredDead++
 	}
 	m.self.FactsVersion = c.FactsVersion
-	m.raise()
+	m.bumpVersion()
 }
 
 func (m *Machine) mergeSelf(u Member) {
@@ -209,9 +209,9 @@
 	return -1
 }
 
-// gravity orders the states at one version. Live and leaving are the owner's own
-// word, which changes only with the version, so they weigh the same.
-func gravity(s State) int {
+// severity orders the states at one version. Live and Leaving are set by the owner, which
+// changes them only with a new version, so they are equal.
+func severity(s State) int {
 	switch s {
 	case Suspect:
 		return 1
--- a/core/membership/message.go
+++ b/core/membership/message.go
@@ -1,6 +1,6 @@
 package membership
 
-// Claim is what a daemon holds about a member: enough for the member to see
+// Claim is a daemon's view of a member, with the fields that the member needs to decide
 // whether it must refute it.
 type Claim struct {
 	Host         string
@@ -9,18 +9,18 @@
 	State        State
 }
 
-// TargetNotice is the host list's word about a target, as of a list version.
+// TargetNotice is a target's state on the host list as of a list version.
 type TargetNotice struct {
 	// Address is the target's IP:PORT.
 	Address string
-	// Leaving says whether the target must get no new work.
+	// Leaving reports whether the target must not get new work.
 	Leaving bool
-	// ListVersion is the host list's version that said so; the highest wins.
+	// ListVersion is the version of the host list; the notice with the highest wins.
 	ListVersion int64
 }
 
-// Gossip is what rides on every message: a bounded number of entries, whatever
-// the fleet's size.
+// Gossip is the part that every message carries: a number of entries that is bounded
+// independently of the fleet's size.
 type Gossip struct {
 	Members []Member
 	Targets []TargetNotice
@@ -28,7 +28,7 @@
 	ListVersion int64
 }
 
-// ProbeRequest asks a daemon whether it answers.
+// ProbeRequest is a liveness probe.
 type ProbeRequest struct {
 	// From is the sender's own entry.
 	From Member
@@ -41,12 +41,13 @@
 type ProbeReply struct {
 	// From is the answering daemon's own entry.
 	From Member
-	// About is its view of the asking daemon.
+	// About is its view of the requesting daemon.
 	About  Claim
 	Gossip Gossip
 }
 
-// ViaRequest asks a daemon to probe another one for the sender.
+// ViaRequest requests an indirect probe: the receiver probes another daemon on behalf of
+// the sender.
 type ViaRequest struct {
 	Probe ProbeRequest
 	// Host and Address name the daemon to probe.
@@ -56,13 +57,14 @@
 
 // ViaReply answers a ViaRequest.
 type ViaReply struct {
-	// Acked says whether Host answered; Target is then its own entry.
+	// Acked reports whether the probed daemon answered; Target is then its own entry.
 	Acked  bool
 	Target Member
 	Gossip Gossip
 }
 
-// SyncReply answers a ProbeRequest sent for joining: all that the sender knows.
+// SyncReply answers a ProbeRequest of a joining daemon with the sender's whole view: all
+// members that are not dead and all leaving targets.
 type SyncReply struct {
 	From    Member
 	About   Claim
@@ -70,33 +72,33 @@
 	Targets []TargetNotice
 }
 
-// ProbeKind tells how a probe is carried out.
+// ProbeKind is the way a probe is sent.
 type ProbeKind int
 
 const (
-	// ProbeDirect asks the member itself (ProbeRequest, ProbeReply).
+	// ProbeDirect goes to the member itself (ProbeRequest, ProbeReply).
 	ProbeDirect ProbeKind = iota
-	// ProbeIndirect asks through another member (ViaRequest, ViaReply).
+	// ProbeIndirect goes through another member (ViaRequest, ViaReply).
 	ProbeIndirect
-	// ProbeContact asks an address that is not a member, or a dead one.
+	// ProbeContact goes to an address that is not a member's, or is a dead member's.
 	ProbeContact
-	// ProbeSync is a contact that joins (ProbeRequest, SyncReply).
+	// ProbeSync is a contact that requests the whole view (ProbeRequest, SyncReply).
 	ProbeSync
 )
 
-// Probe is an order to the caller: send Request to Address and step the result
-// back in.
+// Probe is a probe to send: the caller sends Request to Address and passes the result back
+// to the Machine.
 type Probe struct {
 	Kind ProbeKind
-	// Host is the probed member; empty for contacts whose name is not known.
+	// Host is the probed member; empty for contacts, whose host name is not known.
 	Host string
 	// Address is where to send the request.
 	Address string
 	// Request goes to Address for all kinds but ProbeIndirect.
 	Request ProbeRequest
-	// Via is the request of ProbeIndirect; Address is the middle one's.
+	// Via is the request of ProbeIndirect; Address is then that of the intermediate daemon.
 	Via ViaRequest
 
-	claim Claim // the entry when the probing began
+	claim Claim // the claim about the member when the probe round began
 	epoch uint64
 }
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -7,31 +7,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// round is the probing of one member: a direct probe and, if that misses, some
-// indirect ones.
+// round is a probe round of one member: a direct probe and, if it misses, indirect probes.
 type round struct {
 	claim       Claim
 	outstanding int
-	// refused tells that the member's host answered the direct probe: nobody
-	// listens there. witnessed tells that another daemon answered and could not
-	// reach the member either.
-	refused, witnessed bool
-	// asked tells that others were asked.
-	asked bool
+	// refused reports whether the member's host refused the connection of the direct
+	// probe because no process listens there. confirmed reports whether another daemon
+	// answered that it could not reach the member either.
+	refused, confirmed bool
+	// indirect reports whether indirect probes were sent.
+	indirect bool
 }
 
-// gone tells whether the member's process has certainly ended, as far as probes
-// can tell: its host refused the connection, and if there is another daemon, one
-// has confirmed that the member can't be reached. A paused or slow process still
-// has its listener, so it isn't refused; and a daemon whose own way out is closed
-// gets no witness.
-func (r *round) gone() bool { return r.refused && (r.witnessed || !r.asked) }
+// ended reports whether the probes show that the member's process has ended: its host
+// refused the connection and, if there are other daemons, one of them confirmed that the
+// member can't be reached. A paused or slow process still has its listener, so its host
+// does not refuse, and a daemon whose own outgoing link is blocked gets no confirmation.
+func (r *round) ended() bool { return r.refused && (r.confirmed || !r.indirect) }
 
-// regularProbe picks the one member probed in this tick, so that the cost of a
-// daemon doesn't depend on the fleet's size. Every other tick it is the next one
-// on the ring: each member has one prober that comes back every two ticks, which
-// bounds the time until a loss is noticed. In between it is the next of a
-// shuffled order, which finds losses of neighbours on the ring and carries
+// regularProbe selects the one member to probe in this tick, so that a daemon's cost
+// doesn't depend on the fleet's size. Every other tick it selects the next member on the
+// ring: each member is thus probed by its ring predecessor every two ticks, which bounds
+// the time until its loss is detected. In the other ticks it selects the next member of a
+// shuffled order, which detects the loss of adjacent members on the ring and spreads
 // changes across it.
 func (m *Machine) regularProbe() (Probe, bool) {
 	if m.ticks%ringEvery == 0 {
@@ -39,13 +37,13 @@
 			return m.directProbe(e), true
 		}
 	}
-	if len(m.order) == 0 {
-		m.order = m.hosts(func(e *entry) bool { return e.member.State != Dead })
-		shuffle(&m.random, m.order)
+	if len(m.probeOrder) == 0 {
+		m.probeOrder = m.hosts(func(e *entry) bool { return e.member.State != Dead })
+		shuffle(&m.random, m.probeOrder)
 	}
-	for len(m.order) > 0 {
-		host := m.order[len(m.order)-1]
-		m.order = m.order[:len(m.order)-1]
+	for len(m.probeOrder) > 0 {
+		host := m.probeOrder[len(m.probeOrder)-1]
+		m.probeOrder = m.probeOrder[:len(m.probeOrder)-1]
 		e := m.members[host]
 		if e != nil && e.member.State != Dead && m.rounds[host] == nil {
 			return m.directProbe(e), true
@@ -54,9 +52,9 @@
 	return Probe{}, false
 }
 
-// ringNeighbour returns the member that follows this daemon on the ring of the
-// hosts' hashes, nil if there is no other member. A suspect does not count: it
-// is verified anyway, and the one behind it must not go unwatched meanwhile.
+// ringNeighbour returns the member that follows this daemon on the ring of the hosts'
+// hashes, nil if there is none. Suspects are skipped: they are verified anyway, and the
+// member after a suspect must still be probed meanwhile.
 func (m *Machine) ringNeighbour() *entry {
 	own := xxhash.Sum64String(m.self.Host)
 	var best *entry
@@ -65,7 +63,7 @@
 		if e.member.State == Dead || e.member.State == Suspect {
 			continue
 		}
-		// The subtraction wraps round, as the ring does.
+		// The subtraction wraps around like the ring.
 		if d := e.hash - own; best == nil || d < distance {
 			best, distance = e, d
 		}
@@ -73,9 +71,9 @@
 	return best
 }
 
-// verifySuspects probes suspects out of turn: those this daemon knows only from
-// others, and those whose last probe is two ticks ago, so that a wrongly
-// suspected member hears of it in time to refute.
+// verifySuspects returns additional probes of suspects: of those that this daemon has not
+// probed since the suspicion began, and of those whose last probe was at least two ticks
+// ago, so that a wrongly suspected member is notified in time to refute.
 func (m *Machine) verifySuspects() []Probe {
 	due := m.hosts(func(e *entry) bool {
 		return e.member.State == Suspect && m.rounds[e.member.Host] == nil && (e.probedAt == 0 || m.ticks-e.probedAt >= 2)
@@ -103,31 +101,31 @@
 	}
 }
 
-// RequestTo builds a probe request to a host; a middle daemon uses it to probe
-// for another one.
+// RequestTo returns a probe request to a host, for direct probes and for those on behalf of
+// another daemon.
 func (m *Machine) RequestTo(host string) ProbeRequest {
-	return ProbeRequest{From: m.self, About: m.about(host), Gossip: m.gossip()}
+	return ProbeRequest{From: m.self, About: m.claimAbout(host), Gossip: m.gossip()}
 }
 
-// appendContact adds a probe of an address outside the membership. The first
-// answered contact brings everything the other side knows.
+// appendContact appends a probe of an address outside the membership. Until the first sync
+// succeeds, and while no other member is known to be alive, it requests the whole view.
 func (m *Machine) appendContact(probes []Probe) []Probe {
 	addresses := m.contactAddresses()
 	if len(addresses) == 0 {
 		return probes
 	}
-	m.contact++
+	m.contactIndex++
 	kind := ProbeContact
 	if !m.synced || m.alone() {
 		kind = ProbeSync
 	}
-	address := addresses[m.contact%len(addresses)]
-	request := ProbeRequest{From: m.self, About: m.aboutAddress(address), Gossip: m.gossip()}
+	address := addresses[m.contactIndex%len(addresses)]
+	request := ProbeRequest{From: m.self, About: m.claimAboutAddress(address), Gossip: m.gossip()}
 	return append(probes, Probe{Kind: kind, Address: address, Request: request, epoch: m.epoch})
 }
 
-// contactAddresses lists the seeds, the listed daemons and the dead, less the
-// members and this daemon itself, sorted.
+// contactAddresses returns the sorted addresses of the seeds, the listed daemons and the
+// dead members, without those of this daemon and of members that are not dead.
 func (m *Machine) contactAddresses() []string {
 	taken := map[string]bool{m.self.PeerAddress: true, "": true}
 	for _, e := range m.members {
@@ -155,44 +153,44 @@
 	return out
 }
 
-// Answered steps in the reply to a direct or contact probe and returns what is
-// to be probed next, if anything.
+// Answered handles the reply to a direct or contact probe and returns the probes to send
+// next, if any.
 func (m *Machine) Answered(now time.Time, p Probe, reply ProbeReply) []Probe {
 	m.observe(now)
-	m.answeredBy(now, reply.From, reply.About)
+	m.mergeResponder(now, reply.From, reply.About)
 	m.mergeGossip(now, reply.Gossip)
 	if p.Kind == ProbeDirect && reply.From.Host != p.Host {
-		// Another daemon took over the address: the probed one did not answer.
+		// Another daemon has taken over the address: the probed one did not answer.
 		return m.Missed(now, p)
 	}
 	return nil
 }
 
-// AnsweredVia steps in the reply to an indirect probe.
+// AnsweredVia handles the reply to an indirect probe.
 func (m *Machine) AnsweredVia(now time.Time, p Probe, reply ViaReply) {
 	m.observe(now)
 	m.mergeGossip(now, reply.Gossip)
 	if !reply.Acked || reply.Target.Host != p.Host {
 		if r := m.rounds[p.Host]; r != nil && p.epoch == m.epoch && r.claim == p.claim {
-			r.witnessed = true
+			r.confirmed = true
 		}
 		m.Missed(now, p)
 		return
 	}
-	m.answeredBy(now, reply.Target, Claim{})
+	m.mergeResponder(now, reply.Target, Claim{})
 }
 
-// AnsweredSync steps in the reply to a joining contact.
+// AnsweredSync handles the reply to a ProbeSync.
 func (m *Machine) AnsweredSync(now time.Time, reply SyncReply) {
 	m.observe(now)
-	m.answeredBy(now, reply.From, reply.About)
+	m.mergeResponder(now, reply.From, reply.About)
 	m.mergeGossip(now, Gossip{Members: reply.Members, Targets: reply.Targets})
 	m.synced = true
 }
 
-// Missed steps in that a probe got no answer in time. After a direct miss it
-// returns indirect probes: if the two hosts alone can't reach each other, others
-// can, and nobody is suspected.
+// Missed handles a probe that was not answered in time. After a direct probe it returns
+// indirect probes: if only the link between the two hosts has failed, other daemons still
+// reach the member and it does not become suspect.
 func (m *Machine) Missed(now time.Time, p Probe) []Probe {
 	m.observe(now)
 	r := m.rounds[p.Host]
@@ -201,21 +199,21 @@
 	}
 	if p.Kind == ProbeDirect {
 		if probes := m.indirect(p); len(probes) > 0 {
-			r.outstanding, r.asked = len(probes), true
+			r.outstanding, r.indirect = len(probes), true
 			return probes
 		}
 	} else if r.outstanding--; r.outstanding > 0 {
 		return nil
 	}
 	delete(m.rounds, p.Host)
-	m.accuse(now, p, r.gone())
+	m.markMissed(now, p, r.ended())
 	return nil
 }
 
-// Refused steps in that a direct probe was refused: the member's host is there
-// and nobody listens at the address. It goes on as after a miss, but if others
-// confirm it, the member isn't given the time to refute: a process that has
-// ended can't.
+// Refused handles a direct probe whose connection was refused: the member's host is up and
+// no process listens at the address. It continues like Missed, but if another daemon
+// confirms the failure, the member is declared dead without time to refute, because a
+// process that has ended can't refute.
 func (m *Machine) Refused(now time.Time, p Probe) []Probe {
 	if r := m.rounds[p.Host]; r != nil && p.Kind == ProbeDirect && p.epoch == m.epoch && r.claim == p.claim {
 		r.refused = true
@@ -223,19 +221,19 @@
 	return m.Missed(now, p)
 }
 
-// Doubt steps in that a call to the member at the address failed, and returns a
-// probe out of turn, at most one a tick. Calls fail at once when a process ends,
-// the next probe in turn may be some intervals away.
+// CallFailed handles a failed call to the member at the address and returns an additional
+// probe of it, at most one per tick. Calls fail as soon as a process ends, while its next
+// regular probe may be several intervals away.
 func (m *Machine) Doubt(now time.Time, address string) []Probe {
 	m.observe(now)
 	for _, e := range m.members {
 		if e.member.PeerAddress != address || e.member.State == Dead {
 			continue
 		}
-		if e.doubtedAt == m.ticks || m.rounds[e.member.Host] != nil {
+		if e.callFailedAt == m.ticks || m.rounds[e.member.Host] != nil {
 			return nil
 		}
-		e.doubtedAt = m.ticks
+		e.callFailedAt = m.ticks
 		return []Probe{m.directProbe(e)}
 	}
 	return nil
@@ -255,10 +253,9 @@
 	return probes
 }
 
-// accuse makes a member suspect after direct and indirect probes missed, or dead
-// if it is gone, unless the member has given a newer sign of life since the
-// probing began.
-func (m *Machine) accuse(now time.Time, p Probe, gone bool) {
+// markMissed makes a member suspect after its direct and indirect probes missed, or dead if
+// its process has ended, unless the member's version has changed since the round began.
+func (m *Machine) markMissed(now time.Time, p Probe, ended bool) {
 	e := m.members[p.Host]
 	if e == nil || e.member.Incarnation != p.claim.Incarnation || e.member.FactsVersion != p.claim.FactsVersion {
 		return
@@ -270,12 +267,12 @@
 	case Suspect:
 		e.missed = true
 	}
-	if gone && e.member.State == Suspect {
+	if ended && e.member.State == Suspect {
 		m.setState(e, Dead, now)
 	}
 }
 
-// hosts returns the sorted names of the members that keep wants.
+// hosts returns the sorted host names of the members for which keep returns true.
 func (m *Machine) hosts(keep func(*entry) bool) []string {
 	out := make([]string, 0, len(m.members))
 	for host, e := range m.members {
--- a/core/membership/rank.go
+++ b/core/membership/rank.go
@@ -9,9 +9,9 @@
 	"tarragonhollow.example/tarragonhollow/core/splitmix"
 )
 
-// Rank returns hosts in rendezvous order for the key, best first. All daemons
-// that know the same hosts get the same order, and the loss of a host moves
-// only what that host came first for. The input is left as it is.
+// Rank returns hosts in rendezvous order for the key, best first. All daemons that know the
+// same hosts get the same order, and the loss of a host moves only the keys for which it
+// ranked first. The input is not modified.
 func Rank(key string, hosts []string) []string {
 	keyHash := xxhash.Sum64String(key)
 	ranked := make([]scored, len(hosts))
@@ -26,14 +26,14 @@
 	return out
 }
 
-// scored is one host's place in the making.
+// scored is the score of the host at an index.
 type scored struct {
 	score uint64
 	index int
 }
 
-// score mixes two hashes by the finalizer of splitmix64, so that a host's hash
-// is computed once for all keys.
+// score combines two hashes with the finalizer of splitmix64, so that a host's hash has to
+// be computed only once for all keys.
 func score(keyHash, hostHash uint64) uint64 { return splitmix.Mix(keyHash ^ splitmix.Mix(hostHash)) }
 
 func sortScored(s []scored, host func(i int) string) {
--- a/core/membership/shuffle.go
+++ b/core/membership/shuffle.go
@@ -2,7 +2,7 @@
 
 import "tarragonhollow.example/tarragonhollow/core/splitmix"
 
-// shuffle brings the names into a random order.
+// shuffle puts the names into a random order.
 func shuffle(random *splitmix.Generator, names []string) {
 	for i := len(names) - 1; i > 0; i-- {
 		j := random.Below(i + 1)
--- a/core/membership/snapshot.go
+++ b/core/membership/snapshot.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Snapshot is an immutable picture of a Machine. Its methods are those of View
-// and are safe for concurrent use. The Shards slices it hands out are shared and
-// must not be changed.
+// Snapshot is an immutable copy of a Machine's view. It implements View and is safe for
+// concurrent use. The Shards slices in the members that it returns are shared and must not
+// be modified.
 type Snapshot struct {
 	self    Member
 	members []Member // not dead, self included, sorted by host
@@ -20,7 +20,7 @@
 	version uint64
 }
 
-// Snapshot returns the picture of now.
+// Snapshot returns a snapshot of the current view.
 func (m *Machine) Snapshot() *Snapshot {
 	s := &Snapshot{
 		self:    m.self,
@@ -63,7 +63,7 @@
 	}
 }
 
-// Version is the Machine's Version the picture was taken at.
+// Version returns the Machine's Version at the time of the snapshot.
 func (s *Snapshot) Version() uint64 { return s.version }
 
 // Self implements View.
@@ -72,8 +72,8 @@
 // Members implements View.
 func (s *Snapshot) Members() []Member { return slices.Clone(s.members) }
 
-// Holder implements View. Of several members that claim the shard, as a paused
-// one does until it reads the log again, the highest term is the true holder's.
+// Holder implements View. If several members claim the shard, as a paused member does until
+// it reads the log again, the one with the highest term is the actual holder.
 func (s *Snapshot) Holder(shard int) (Member, bool) {
 	i, ok := s.holders[shard]
 	if !ok {
@@ -111,8 +111,8 @@
 	return out
 }
 
-// First implements View. It looks at each host's score once: it is asked for
-// every target several times a second.
+// First implements View. It computes each host's score once and does not sort, because it
+// is called for every target several times a second.
 func (s *Snapshot) First(key string) (Member, bool) {
 	keyHash := xxhash.Sum64String(key)
 	best := -1
@@ -121,8 +121,7 @@
 		if s.members[i].State != Live {
 			continue
 		}
-		// Members are sorted by host, so of equal scores the first one stands, as
-		// in Rank.
+		// Members are sorted by host, so of equal scores the first one wins, as in Rank.
 		if v := score(keyHash, s.hashes[i]); best < 0 || v > bestScore {
 			best, bestScore = i, v
 		}
--- a/core/membership/spread.go
+++ b/core/membership/spread.go
@@ -7,82 +7,82 @@
 )
 
 const (
-	// piggyback bounds the changed entries on one message.
-	piggyback = 6
-	// retransmit times the logarithm of the fleet's size is how often a change is
-	// sent on by each daemon that learnt it.
-	retransmit = 3
+	// maxPiggyback is the maximum number of changed entries in one message.
+	maxPiggyback = 6
+	// retransmitMult times the binary logarithm of the fleet's size is how often each
+	// daemon that learned a change sends it on.
+	retransmitMult = 3
 )
 
-// spreader is the queue of changes to be sent on. It holds names only: what is
-// sent is the entry as it is then, so an outdated change never leaves.
-type spreader struct {
-	items map[spreadKey]*spreadItem
+// gossipQueue is the queue of changes to send on. It holds only names: the entry is read
+// when it is sent, so an outdated change is never sent.
+type gossipQueue struct {
+	items map[gossipKey]*gossipItem
 	seq   uint64
-	// lastMember and lastTarget are where the refreshing in turn stands.
+	// lastMember and lastTarget are the entries that were last refreshed round-robin.
 	lastMember, lastTarget string
 }
 
-// spreadKey names a member's host or a target's address.
-type spreadKey struct {
+// gossipKey is a member's host or a target's address.
+type gossipKey struct {
 	target bool
 	name   string
 }
 
-type spreadItem struct {
-	key  spreadKey
+type gossipItem struct {
+	key  gossipKey
 	sent int
 	seq  uint64
 }
 
-func newSpreader() spreader { return spreader{items: make(map[spreadKey]*spreadItem)} }
+func newGossipQueue() gossipQueue { return gossipQueue{items: make(map[gossipKey]*gossipItem)} }
 
-func (s *spreader) addMember(host string)    { s.add(spreadKey{name: host}) }
-func (s *spreader) addTarget(address string) { s.add(spreadKey{target: true, name: address}) }
-func (s *spreader) dropMember(host string)   { delete(s.items, spreadKey{name: host}) }
+func (q *gossipQueue) addMember(host string)    { q.add(gossipKey{name: host}) }
+func (q *gossipQueue) addTarget(address string) { q.add(gossipKey{target: true, name: address}) }
+func (q *gossipQueue) dropMember(host string)   { delete(q.items, gossipKey{name: host}) }
 
-func (s *spreader) add(key spreadKey) {
-	s.seq++
-	s.items[key] = &spreadItem{key: key, seq: s.seq}
+func (q *gossipQueue) add(key gossipKey) {
+	q.seq++
+	q.items[key] = &gossipItem{key: key, seq: q.seq}
 }
 
-// take returns the least often sent changes, newest first, and forgets those
-// sent often enough for a fleet of n.
-func (s *spreader) take(n int) []spreadKey {
-	queue := make([]*spreadItem, 0, len(s.items))
-	for _, item := range s.items {
+// take returns up to maxPiggyback changes, those sent least often and then the newest
+// first, and removes changes that were sent often enough for a fleet of n other daemons.
+func (q *gossipQueue) take(n int) []gossipKey {
+	queue := make([]*gossipItem, 0, len(q.items))
+	for _, item := range q.items {
 		queue = append(queue, item)
 	}
-	slices.SortFunc(queue, func(a, b *spreadItem) int {
+	slices.SortFunc(queue, func(a, b *gossipItem) int {
 		if c := cmp.Compare(a.sent, b.sent); c != 0 {
 			return c
 		}
 		return cmp.Compare(b.seq, a.seq)
 	})
-	limit := retransmit * bits.Len(uint(n+1))
-	keys := make([]spreadKey, 0, piggyback)
-	for _, item := range queue[:min(len(queue), piggyback)] {
+	limit := retransmitMult * bits.Len(uint(n+1))
+	keys := make([]gossipKey, 0, maxPiggyback)
+	for _, item := range queue[:min(len(queue), maxPiggyback)] {
 		keys = append(keys, item.key)
 		if item.sent++; item.sent >= limit {
-			delete(s.items, item.key)
+			delete(q.items, item.key)
 		}
 	}
 	return keys
 }
 
-// gossip collects what rides on the next message.
+// gossip returns the gossip for the next message.
 func (m *Machine) gossip() Gossip {
 	g := Gossip{ListVersion: m.list.version}
-	for _, key := range m.spread.take(len(m.members)) {
+	for _, key := range m.queue.take(len(m.members)) {
 		m.appendEntry(&g, key)
 	}
-	if len(g.Members)+len(g.Targets) < piggyback {
+	if len(g.Members)+len(g.Targets) < maxPiggyback {
 		m.appendRefresh(&g)
 	}
 	return g
 }
 
-func (m *Machine) appendEntry(g *Gossip, key spreadKey) {
+func (m *Machine) appendEntry(g *Gossip, key gossipKey) {
 	if key.target {
 		if t := m.targets[key.name]; t != nil {
 			g.Targets = append(g.Targets, t.notice)
@@ -96,17 +96,18 @@
 
 func (m *Machine) appendRefresh(g *Gossip) {
 	hosts := m.hosts(func(*entry) bool { return true })
-	if host, ok := after(hosts, m.spread.lastMember); ok {
-		m.spread.lastMember = host
+	if host, ok := after(hosts, m.queue.lastMember); ok {
+		m.queue.lastMember = host
 		g.Members = append(g.Members, m.members[host].member)
 	}
-	if address, ok := after(m.leavingAddresses(), m.spread.lastTarget); ok {
-		m.spread.lastTarget = address
+	if address, ok := after(m.leavingAddresses(), m.queue.lastTarget); ok {
+		m.queue.lastTarget = address
 		g.Targets = append(g.Targets, m.targets[address].notice)
 	}
 }
 
-// after returns the first name above last, or the first of all.
+// after returns the first name greater than last, or the first name if there is none. ok is
+// false if sorted is empty.
 func after(sorted []string, last string) (string, bool) {
 	if len(sorted) == 0 {
 		return "", false
--- a/core/membership/types.go
+++ b/core/membership/types.go
@@ -1,19 +1,20 @@
-// Package membership is the pure state machine that keeps each daemon's view
-// of the other daemons: who is live, suspect, leaving or dead, and the small
-// facts each member tells about itself.
+// Package membership is the state machine of a daemon's view of the other daemons: which of
+// them are live, suspect, leaving or dead, and the facts that each publishes about itself.
+// It does no I/O.
 package membership
 
-// State is a member's condition in the local view.
+// State is a member's state in the local view.
 type State int
 
 const (
 	// Live members answer probes.
 	Live State = iota
-	// Suspect members missed probes and may still refute it.
+	// Suspect members missed probes and may still refute the suspicion.
 	Suspect
-	// Leaving members answer but take no new work.
+	// Leaving members answer but accept no new work.
 	Leaving
-	// Dead members are out of the view; a higher incarnation brings them back.
+	// Dead members are not in the view; they return with a higher version, for example
+	// that of a new incarnation.
 	Dead
 )
 
@@ -23,8 +24,8 @@
 	Term  uint64
 }
 
-// Member is one daemon as seen in the local view. The owner of the facts is the
-// member itself: they spread with a version that only it raises.
+// Member is one daemon in the local view. Its facts are owned by the member itself: they
+// spread with a version that only the member raises.
 type Member struct {
 	// Host is the daemon's unique name.
 	Host string
@@ -34,26 +35,26 @@
 	PeerAddress string
 	// HTTPAddress is the IP:PORT of its HTTP listener.
 	HTTPAddress string
-	// Incarnation is drawn at start and differs at every restart; later starts are higher.
+	// Incarnation identifies one start of the daemon; each later start has a higher one.
 	Incarnation uint64
 	// FactsVersion orders the facts below within one incarnation.
 	FactsVersion uint64
-	// ConfigVersion is the configuration version in force there.
+	// ConfigVersion is the version of the configuration that the member uses.
 	ConfigVersion uint64
-	// Shards lists the shards it holds.
+	// Shards lists the shards that the member holds.
 	Shards []ShardHold
-	// LogOK says whether it has reached the platform's log lately.
+	// LogOK reports whether the member has reached the platform's log recently.
 	LogOK bool
-	// Ready says whether it serves callers.
+	// Ready reports whether the member serves callers.
 	Ready bool
-	// State is the local view's verdict.
+	// State is the member's state in the local view.
 	State State
 }
 
-// ID names one incarnation of a host, e.g. for records on the log.
+// ID returns the ID of the member's incarnation, as used in records on the log.
 func (m Member) ID() string { return IncarnationID(m.Host, m.Incarnation) }
 
-// View is what the rest of the daemon reads of the membership. Implementations
+// View is the read interface of the membership for the rest of the daemon. Implementations
 // are safe for concurrent use and return copies.
 type View interface {
 	// Self returns this daemon's own entry.
@@ -62,16 +63,16 @@
 	Members() []Member
 	// Holder returns the live member that holds the shard with the highest term.
 	Holder(shard int) (Member, bool)
-	// LiveID tells whether the incarnation named by id is live, suspect or leaving.
+	// LiveID reports whether the incarnation with the id is live, suspect or leaving.
 	LiveID(id string) bool
 	// Successors returns the usable members (live, log reachable, ready or not)
 	// in rendezvous order for the key, best first.
 	Successors(key string) []Member
-	// First returns the live member that comes first for the key, whether or not
-	// it reaches the log: duties that need no log stay where they are while the
-	// log is out.
+	// First returns the live member that ranks first for the key, whether or not it
+	// reaches the log: roles that do not need the log don't move while the log is
+	// unavailable.
 	First(key string) (Member, bool)
-	// TargetLeaving tells whether any daemon has heard the host list say that
-	// the target at this address leaves.
+	// TargetLeaving reports whether the target at the address is leaving according to the
+	// newest host list that any daemon has read.
 	TargetLeaving(address string) bool
 }
