--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -1,28 +1,29 @@
-// Package orders decides which targets are told to load which version of a
-// model, and when. It is pure: observations step in, orders come out. One
-// daemon at a time decides for a model; who that is, is folded from the orders
-// stream (see Claims).
+// Package orders decides which targets are ordered to load which version of a model, and
+// when. It does no I/O: it maps observations to orders. One daemon at a time is the issuer
+// of a model's orders; the orders stream determines which one (see Claims).
 package orders
 
-// Options bound a Planner. Durations are in milliseconds.
+// Options configures a Planner. Durations are in milliseconds.
 type Options struct {
-	// LoadingShare is the share of a group's targets that may load at once; one
-	// target may always.
+	// LoadingShare is the share of a group's targets that may load at once; at least one
+	// target may always load.
 	LoadingShare float64
-	// ServingShare is the share that must go on serving while others load; in a
-	// group of two or more at least one must.
+	// ServingShare is the share of a group's targets that must keep serving while others
+	// load; in a group of two or more, at least one must.
 	ServingShare float64
-	// SpacingMs is the least time between two orders: each load reads the
-	// weights from a store with a rate limit.
+	// SpacingMs is the minimum time between two orders: each load reads the weights from
+	// a store with a rate limit.
 	SpacingMs int64
-	// LoadTimeoutMs is how long a target may take to show what it was ordered.
+	// LoadTimeoutMs is how long a target may take to serve the version that it was
+	// ordered to load.
 	LoadTimeoutMs int64
-	// BackoffMs and MaxBackoffMs bound the wait after a failure; it doubles.
+	// BackoffMs is the wait after the first failure. It doubles with each further failure
+	// up to MaxBackoffMs.
 	BackoffMs    int64
 	MaxBackoffMs int64
 }
 
-// DefaultOptions returns the bounds in use.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	return Options{
 		LoadingShare:  0.25,
@@ -34,40 +35,41 @@
 	}
 }
 
-// State is a target's condition as last observed.
+// State is a target's state as last observed.
 type State int
 
 const (
-	// Unknown: it did not answer, or has not been asked.
+	// Unknown: the target did not answer, or was not queried.
 	Unknown State = iota
-	// Serving: it answered a request for the model.
+	// Serving: the target answered a request for the model.
 	Serving
-	// Loading: it answered that it loads.
+	// Loading: the target answered that it is loading.
 	Loading
 )
 
-// Observation is what is known of one target.
+// Observation is the observed state of one target.
 type Observation struct {
 	// Address is IP:PORT.
 	Address string
 	// Leaving targets get no orders.
 	Leaving bool
-	// Reported tells that Model and Version come from a load report of now.
+	// Reported reports whether Model and Version come from a current load report.
 	Reported bool
 	Model    string
 	Version  string
 	State    State
 }
 
-// Goal is what the configuration wants of one group.
+// Goal is the configured model and version of one group, with the observations of its
+// targets.
 type Goal struct {
 	Model   string
 	Version string
 	Targets []Observation
 }
 
-// Changing tells whether a target that could be ordered has something else
-// loaded than what is wanted.
+// Changing reports whether a target that could receive an order has another model or
+// version loaded than the goal's.
 func (g *Goal) Changing() bool {
 	for i := range g.Targets {
 		o := &g.Targets[i]
@@ -78,10 +80,10 @@
 	return false
 }
 
-// Order is one decision.
+// Order is the decision to send one load order.
 type Order struct {
 	Address string
-	// Cause says why, for the log.
+	// Cause is the reason for the order, for the log.
 	Cause string
 }
 
@@ -89,28 +91,28 @@
 type Plan struct {
 	// Orders are to be sent now, in this order.
 	Orders []Order
-	// Pending counts the targets that do not serve the wanted version yet.
+	// Pending is the number of targets that do not have the wanted version yet.
 	Pending int
-	// Loading counts those that load.
+	// Loading is the number of targets that are loading.
 	Loading int
-	// Withheld says why pending targets get no order now, "" if none waits.
+	// Withheld is the reason why pending targets get no order now, "" if there is none.
 	Withheld string
 }
 
-// Outcome tells how an order ended.
+// Outcome is the result of sending an order.
 type Outcome int
 
 const (
-	// Accepted: the target said yes.
+	// Accepted: the target accepted the order.
 	Accepted Outcome = iota
-	// Lost: the target may or may not have received it. It counts as loading,
-	// or a group whose answers get lost could be loading as a whole.
+	// Lost: the target may or may not have received the order. It counts as loading;
+	// otherwise a whole group could load at once if its answers were lost.
 	Lost
-	// Refused: the target certainly does not load.
+	// Refused: the target is known not to load.
 	Refused
 )
 
-// StoreAnswer is the weight store's word about the wanted version.
+// StoreAnswer is the weight store's answer about the wanted version.
 type StoreAnswer int
 
 const (
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -19,8 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// Fences order the same way as the records they come from, and within a record
-// as the orders were given; beyond the bounds there is none.
+// Fences are ordered by their tenure records, and within a record by the sequence of the
+// orders; beyond the bounds there is no fence.
 func TestFenceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offset := func(name string) int64 { return rapid.Int64Range(-1, orders.MaxOffset+1).Draw(t, name) }
@@ -37,8 +37,8 @@
 	})
 }
 
-// A claim is valid if no record before it has a higher term and the first of
-// its own term is its writer's: looked up in the whole history each time.
+// A claim is valid if no record before it has a higher term and the first record of its
+// term is its writer's. The naive model searches the whole history each time.
 func TestClaimsAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		claims, history := orders.NewClaims(), []orders.Claim{}
@@ -65,20 +65,20 @@
 	})
 }
 
-// engine is what a target really does; the planner sees it late or not at all.
+// engine is the actual state of a target; the planner sees it late or not at all.
 type engine struct {
 	version, reported string
 	loadsUntil        int64
 	leaving, silent   bool
-	// down engines serve nobody; silent ones may, but did not answer now.
+	// down engines serve no requests; silent ones may serve, but did not answer now.
 	down bool
 }
 
 func (e *engine) loading(now int64) bool { return now < e.loadsUntil }
 
-// The simulation keeps the truth beside the planner's view. Whatever gets lost,
-// lags or fails, at most the allowed share loads, the floor goes on serving, no
-// leaving or silent target is ordered, and once faults end all get there.
+// The simulation tracks the actual state next to the planner's view. With any losses, lags
+// and failures, at most the allowed share loads, the minimum share keeps serving, no leaving
+// or silent target gets an order, and after the faults end all targets get the version.
 func TestPlannerKeepsTheGroupServing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		opt := orders.DefaultOptions()
--- a/core/orders/planner.go
+++ b/core/orders/planner.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Reasons for which a plan withholds orders.
+// Reasons for withholding orders.
 const (
 	WithheldWeights = "the weight store has not confirmed the version"
-	WithheldLoading = "as many targets load as may at once"
-	WithheldServing = "too few targets would go on serving"
-	WithheldBackoff = "waits after a failure"
-	WithheldSpacing = "waits for the next turn at the weight store"
+	WithheldLoading = "the target or the maximum number of targets is already loading"
+	WithheldServing = "too few targets would keep serving"
+	WithheldBackoff = "backing off after a failure"
+	WithheldSpacing = "the minimum time between two orders has not passed"
 	WithheldUnseen  = "the target does not report or is leaving"
 )
 
-// Planner decides the orders for one model in one tenure of its issuer.
+// Planner plans the orders for one model during one tenure of its issuer.
 type Planner struct {
-	opt     Options
-	model   string
-	version string
-	targets map[string]*tracked
-	store   storeState
-	lastMs  int64
-	ordered bool
+	opt         Options
+	model       string
+	version     string
+	targets     map[string]*orderState
+	store       storeState
+	lastOrderMs int64
+	hasOrdered  bool
 }
 
-// tracked is what was done with one target.
-type tracked struct {
-	// loading is set from an order until the target serves what it ordered.
+// orderState is the state of the orders to one target.
+type orderState struct {
+	// loading is true from an order until the target serves the ordered version.
 	loading   bool
 	orderedMs int64
 	version   string
@@ -34,44 +34,44 @@
 }
 
 type storeState struct {
-	has       bool
+	confirmed bool
 	failures  int
 	waitUntil int64
 }
 
-// NewPlanner returns a planner that knows of no order.
+// NewPlanner returns a planner that has issued no orders.
 func NewPlanner(o Options) *Planner {
-	return &Planner{opt: o, targets: make(map[string]*tracked)}
+	return &Planner{opt: o, targets: make(map[string]*orderState)}
 }
 
-// Step decides on the observations of now. Each order is to be sent at once and
-// its end reported with Sent.
+// Step returns the plan for the current observations. The caller must send each order at
+// once and report its outcome with Sent.
 func (p *Planner) Step(nowMs int64, g Goal) Plan {
-	p.follow(g)
+	p.setGoal(g)
 	for i := range g.Targets {
 		p.observe(nowMs, &g.Targets[i])
 	}
-	c := p.count(&g)
-	plan := Plan{Pending: len(c.pending), Loading: c.loading}
-	for _, o := range c.pending {
-		cause := p.withheld(nowMs, o, &c)
+	group := p.count(&g)
+	plan := Plan{Pending: len(group.pending), Loading: group.loading}
+	for _, o := range group.pending {
+		cause := p.withheld(nowMs, o, &group)
 		if cause != "" {
 			plan.Withheld = cause
 			continue
 		}
 		plan.Orders = append(plan.Orders, Order{Address: o.Address, Cause: p.cause(o)})
-		p.note(nowMs, o, &c)
+		p.recordOrder(nowMs, o, &group)
 	}
 	if len(plan.Orders) > 0 {
 		plan.Withheld = ""
 	}
-	plan.Loading = c.loading
+	plan.Loading = group.loading
 	return plan
 }
 
-// follow takes a changed goal up. A target that still loads the version wanted
-// before is left to end that first.
-func (p *Planner) follow(g Goal) {
+// setGoal applies a changed goal. A target that is still loading the previously wanted
+// version finishes that first.
+func (p *Planner) setGoal(g Goal) {
 	if p.model != g.Model || p.version != g.Version {
 		p.model, p.version = g.Model, g.Version
 		p.store = storeState{}
@@ -90,18 +90,18 @@
 	}
 }
 
-// observe ends the loading of a target that serves what it was ordered, and
-// counts a failure for one that did not come to it in time.
+// observe ends the loading state of a target that serves the ordered version, and records a
+// failure for a target that does not serve it within LoadTimeoutMs.
 //
-// An order counts as loading until a request is answered, not until the load
-// report names the version: an engine names it from the moment it begins.
+// A target counts as loading until it answers a request, not until its load report names
+// the version: an engine reports the version as soon as it begins to load it.
 func (p *Planner) observe(nowMs int64, o *Observation) {
 	t := p.targets[o.Address]
 	if t == nil || !t.loading {
 		return
 	}
 	if o.State == Serving && o.Reported && o.Model == p.model && o.Version == t.version {
-		*t = tracked{}
+		*t = orderState{}
 		return
 	}
 	if nowMs-t.orderedMs >= p.opt.LoadTimeoutMs {
@@ -109,14 +109,15 @@
 	}
 }
 
-// failed ends a loading that came to nothing.
-func (p *Planner) failed(nowMs int64, t *tracked) {
+// failed records that a load failed and sets the backoff.
+func (p *Planner) failed(nowMs int64, t *orderState) {
 	t.loading = false
 	t.waitUntil = nowMs + p.backoff(t.failures)
 	t.failures++
 }
 
-// backoff doubles with each failure.
+// backoff returns the wait in milliseconds after the number of failures; it doubles with
+// each failure.
 func (p *Planner) backoff(failures int) int64 {
 	wait := p.opt.BackoffMs
 	for range failures {
@@ -125,33 +126,33 @@
 	return wait
 }
 
-// census is the group's condition, kept up while a step gives orders.
-type census struct {
+// groupState is the state of a group; a step updates it as it plans orders.
+type groupState struct {
 	pending []*Observation
 	// usable counts the targets that are not leaving.
 	usable, loading, serving int
 }
 
-func (p *Planner) count(g *Goal) census {
-	var c census
+func (p *Planner) count(g *Goal) groupState {
+	var group groupState
 	for i := range g.Targets {
 		o := &g.Targets[i]
 		if p.isLoading(o) {
-			c.loading++
+			group.loading++
 		}
 		if o.Leaving {
 			continue
 		}
-		c.usable++
+		group.usable++
 		if o.State == Serving && !p.isLoading(o) {
-			c.serving++
+			group.serving++
 		}
 		if o.Model != p.model || o.Version != p.version || !o.Reported {
-			c.pending = append(c.pending, o)
+			group.pending = append(group.pending, o)
 		}
 	}
-	slices.SortFunc(c.pending, p.before)
-	return c
+	slices.SortFunc(group.pending, p.compare)
+	return group
 }
 
 func (p *Planner) isLoading(o *Observation) bool {
@@ -159,10 +160,10 @@
 	return o.State == Loading || t != nil && t.loading
 }
 
-// before orders targets that serve nothing of the model first, for they cost
-// the callers nothing, and then by address: two issuers that overlap for a
-// moment choose the same target and not two.
-func (p *Planner) before(a, b *Observation) int {
+// compare sorts targets that do not serve the model first, because loading on them does not
+// affect callers, and then by address, so that two issuers that overlap for a moment choose
+// the same target and not two.
+func (p *Planner) compare(a, b *Observation) int {
 	if p.mayServe(a) != p.mayServe(b) {
 		if p.mayServe(b) {
 			return -1
@@ -175,51 +176,50 @@
 	return 1
 }
 
-// mayServe tells whether an order would take a target away from the callers.
-// An engine that reports no model serves any.
+// mayServe reports whether an order could remove a serving target from the callers. An
+// engine that reports no model is taken to serve any model.
 func (p *Planner) mayServe(o *Observation) bool {
 	return o.State == Serving || o.Reported && (o.Model == p.model || o.Model == "")
 }
 
-// withheld says why a target gets no order now, "" if it gets one.
+// withheld returns the reason why a target gets no order now, "" if it gets one.
 //
-// Failure guarded against: a change of version that takes the whole group away
-// at once, which callers see as 503 for as long as a load takes. Orders with an
-// unknown end count as loading, only targets that have answered a request count
-// as serving, and one daemon alone decides for a model; so at the moment of
-// each order at least the serving floor remains.
-func (p *Planner) withheld(nowMs int64, o *Observation, c *census) string {
+// Failure guarded against: a version change that makes the whole group load at once, so
+// that callers get 503 for as long as a load takes. Orders with an unknown outcome count as
+// loading, only targets that have answered a request count as serving, and only one daemon
+// issues a model's orders; so at each order at least minServing targets keep serving.
+func (p *Planner) withheld(nowMs int64, o *Observation, group *groupState) string {
 	t := p.targets[o.Address]
 	switch {
 	case !o.Reported:
 		return WithheldUnseen
-	case p.isLoading(o), c.loading >= p.maxLoading(c.usable):
+	case p.isLoading(o), group.loading >= p.maxLoading(group.usable):
 		return WithheldLoading
 	case t != nil && nowMs < t.waitUntil:
 		return WithheldBackoff
-	case !p.store.has:
+	case !p.store.confirmed:
 		return WithheldWeights
-	case p.mayServe(o) && p.servingWithout(o, c) < p.minServing(c.usable):
+	case p.mayServe(o) && p.servingWithout(o, group) < p.minServing(group.usable):
 		return WithheldServing
-	case p.ordered && nowMs-p.lastMs < p.opt.SpacingMs:
+	case p.hasOrdered && nowMs-p.lastOrderMs < p.opt.SpacingMs:
 		return WithheldSpacing
 	}
 	return ""
 }
 
-func (p *Planner) servingWithout(o *Observation, c *census) int {
+func (p *Planner) servingWithout(o *Observation, group *groupState) int {
 	if o.State == Serving {
-		return c.serving - 1
+		return group.serving - 1
 	}
-	return c.serving
+	return group.serving
 }
 
 func (p *Planner) maxLoading(usable int) int {
 	return max(1, int(p.opt.LoadingShare*float64(usable)))
 }
 
-// minServing is 0 for a group of one: its operators accept the gap, for without
-// it a new version could never be loaded.
+// minServing returns the minimum number of targets that must keep serving. It is 0 for a
+// group of one: a new version could not be loaded there without an interruption.
 func (p *Planner) minServing(usable int) int {
 	if usable <= 1 {
 		return 0
@@ -234,23 +234,23 @@
 	return "another version is loaded"
 }
 
-// note takes an order as on its way. Until Sent says otherwise it may have
-// reached the target.
-func (p *Planner) note(nowMs int64, o *Observation, c *census) {
+// recordOrder records an order as sent. Until Sent reports another outcome, the order may
+// have reached the target.
+func (p *Planner) recordOrder(nowMs int64, o *Observation, group *groupState) {
 	t := p.targets[o.Address]
 	if t == nil {
-		t = &tracked{}
+		t = &orderState{}
 		p.targets[o.Address] = t
 	}
 	t.loading, t.orderedMs, t.version = true, nowMs, p.version
-	p.ordered, p.lastMs = true, nowMs
-	c.loading++
+	p.hasOrdered, p.lastOrderMs = true, nowMs
+	group.loading++
 	if o.State == Serving {
-		c.serving--
+		group.serving--
 	}
 }
 
-// Busy tells whether an ordered target has not come to serve yet.
+// Busy reports whether a target that was sent an order does not serve yet.
 func (p *Planner) Busy() bool {
 	for _, t := range p.targets {
 		if t.loading {
@@ -260,7 +260,7 @@
 	return false
 }
 
-// Sent reports how an order ended.
+// Sent records the outcome of an order.
 func (p *Planner) Sent(nowMs int64, address string, out Outcome) {
 	t := p.targets[address]
 	if t == nil || out != Refused {
@@ -269,21 +269,21 @@
 	p.failed(nowMs, t)
 }
 
-// NeedsStore tells whether the weight store should be asked for the goal's
-// version now.
+// NeedsStore reports whether the weight store should be queried for the goal's version now.
 func (p *Planner) NeedsStore(nowMs int64, g Goal) bool {
-	p.follow(g)
-	return !p.store.has && nowMs >= p.store.waitUntil
+	p.setGoal(g)
+	return !p.store.confirmed && nowMs >= p.store.waitUntil
 }
 
-// StoreReady tells whether the store has confirmed the version: before that no
-// order is given.
-func (p *Planner) StoreReady() bool { return p.store.has }
+// StoreReady reports whether the store has confirmed the version. No orders are planned
+// before that.
+func (p *Planner) StoreReady() bool { return p.store.confirmed }
 
-// StoreSaid reports the store's answer; retryAfterMs is its wish, 0 if none.
+// StoreAnswered records the weight store's answer. retryAfterMs is the delay that the store
+// requested before the next query, 0 if none.
 func (p *Planner) StoreSaid(nowMs int64, a StoreAnswer, retryAfterMs int64) {
 	if a == StoreHas {
-		p.store = storeState{has: true}
+		p.store = storeState{confirmed: true}
 		return
 	}
 	p.store.waitUntil = nowMs + max(retryAfterMs, p.backoff(p.store.failures))
