--- a/core/config/docs_test.go
+++ b/core/config/docs_test.go
@@ -10,7 +10,7 @@
 	"tarragonhollow.example/tarragonhollow/core/config"
 )
 
-// knownKeys returns the keys of a section, as an unknown key's refusal lists them.
+// knownKeys returns the keys of a section, as listed in the error for an unknown key.
 func knownKeys(header string) []string {
 	_, err := config.Parse(header + "\nunknown_key = 1\n")
 	_, list, found := strings.Cut(err.Error(), "unknown key; allowed: ")
--- a/core/config/fuzz_test.go
+++ b/core/config/fuzz_test.go
@@ -6,8 +6,8 @@
 	"tarragonhollow.example/tarragonhollow/core/config"
 )
 
-// FuzzParse checks that no text crashes the parser and that what it accepts
-// keeps the promises which the rest of the daemon builds on.
+// FuzzParse checks that no text crashes the parser and that every accepted configuration
+// has the invariants that the rest of the daemon relies on.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{online + engines, "[profile ]", "[profile a b]\nurgency=online", online + "[limits]\nretry_share=NaN",
 		online + "[target-group g]\nkind=service\naddresses=,@", "[profile p]\nurgency=batch\ndue=1s\ndeadline=1s"} {
--- a/core/config/group.go
+++ b/core/config/group.go
@@ -15,7 +15,7 @@
 	// DefaultServiceSlots is how many requests a service target runs at once.
 	DefaultServiceSlots = 64
 
-	// DefaultBatchHeadroom leaves a slot for the first request of a burst.
+	// DefaultBatchHeadroom leaves one slot free for the first request of a burst.
 	DefaultBatchHeadroom = 1
 	// DefaultBatchCoolDown is short, since idle capacity lasts only seconds.
 	DefaultBatchCoolDown = 200 * time.Millisecond
@@ -35,19 +35,19 @@
 	for _, s := range sections {
 		g := parseGroup(s)
 		c.Groups[s.Label] = g
-		checkModelOnce(s, g, servedBy)
-		checkAddressesOnce(s, g, usedBy)
+		checkModelUnique(s, g, servedBy)
+		checkAddressesUnique(s, g, usedBy)
 	}
 }
 
-// parseGroup reads one section.
+// parseGroup reads one [target-group NAME] section.
 func parseGroup(s *inifile.Section) *TargetGroup {
 	s.Require("kind", "engine, service")
 	g := &TargetGroup{Name: s.Label}
 	g.Kind = Kind(s.Enum("kind", string(KindEngine), string(KindEngine), string(KindService)))
 	g.Model = s.Ident("model", "")
-	// Targets are taken not to check orders unless the operators say so: then
-	// the old holder's time must have run out before a new order is sent.
+	// By default, targets are assumed not to check orders: a new order is then sent only
+	// after the old holder's lease has expired.
 	g.ChecksOrders = s.Bool("checks_orders", false)
 	g.Slots = s.Int("slots", defaultSlots(g.Kind), 1, maxSlots)
 	g.Batch = parseBatchAdmission(s, defaultFill(g))
@@ -60,8 +60,8 @@
 	if g.Kind == KindEngine {
 		s.Require("model", "the name of the model that the engines serve")
 	} else {
-		refuseGiven(s, "model", "means nothing for a service")
-		refuseGiven(s, "checks_orders", "means nothing for a service")
+		rejectIfSet(s, "model", "means nothing for a service")
+		rejectIfSet(s, "checks_orders", "means nothing for a service")
 	}
 	return g
 }
@@ -79,10 +79,11 @@
 	}
 }
 
-// defaultFill is three quarters of an engine's slots: an engine steps as slowly
-// as that in a burst of online requests alone, so batch up to there hardly shows
-// in the online tail (docs/design/0009-batch-policy.md). Nothing is known of how
-// a plain service slows down, so there batch stays out of online work's way.
+// defaultFill returns the default of batch_fill. For an engine it is three quarters of the
+// slots: a burst of online requests alone slows an engine down as much, so batch work up to
+// that level hardly affects the online tail latency (docs/design/0009-batch-policy.md). It
+// is 0 for a plain service, whose slowdown under load is not known, so that batch work does
+// not run beside online work there.
 func defaultFill(g *TargetGroup) int {
 	if g.Kind == KindService {
 		return 0
@@ -111,9 +112,9 @@
 	return targets
 }
 
-// checkModelOnce refuses a second group for a model: GroupForModel could not
-// tell which of them a request should go to.
-func checkModelOnce(s *inifile.Section, g *TargetGroup, servedBy map[string]string) {
+// checkModelUnique rejects a second group for a model: GroupForModel could not decide
+// between them.
+func checkModelUnique(s *inifile.Section, g *TargetGroup, servedBy map[string]string) {
 	if g.Model == "" {
 		return
 	}
@@ -124,9 +125,9 @@
 	servedBy[g.Model] = s.Name
 }
 
-// checkAddressesOnce refuses an address given twice: its slots would be
-// counted twice and it would get two stewards.
-func checkAddressesOnce(s *inifile.Section, g *TargetGroup, usedBy map[string]string) {
+// checkAddressesUnique rejects an address that is given twice: its slots would be counted
+// twice and it would get two batch dispatchers.
+func checkAddressesUnique(s *inifile.Section, g *TargetGroup, usedBy map[string]string) {
 	for _, t := range g.Targets {
 		if other, ok := usedBy[t.Address]; ok {
 			s.Failf("addresses", "%s is given twice, first in [%s]", t.Address, other)
--- a/core/config/item.go
+++ b/core/config/item.go
@@ -7,9 +7,9 @@
 	"tarragonhollow.example/tarragonhollow/jobline"
 )
 
-// GroupForItem names the target group that serves a batch item, by its URL and,
-// for a chat completion, the model in its body. ok is false if none does; a
-// service's name is returned all the same.
+// GroupForItem returns the name of the target group that serves a batch item, selected by
+// the item's URL or, for a chat completion, by the model in its body. ok is false if no
+// group serves the item; for a service URL, name is still the service's name then.
 func (c *Config) GroupForItem(url string, body []byte) (name string, ok bool) {
 	if rest, isService := strings.CutPrefix(url, jobline.ServicePrefix); isService {
 		name, _, _ := strings.Cut(rest, "/")
--- a/core/config/limits.go
+++ b/core/config/limits.go
@@ -12,13 +12,13 @@
 	gib = int64(1) << 30
 )
 
-// DefaultLimits returns the limits in force where [limits] says nothing.
+// DefaultLimits returns the values of the limits that are not set in [limits].
 func DefaultLimits() Limits {
 	return Limits{
 		BodyBytes:         1 * mib,
 		JobBytes:          1 * gib,
 		LineBytes:         int(256 * kib),
-		ItemsPerJob:       300_000, // the largest job of today has 290,000
+		ItemsPerJob:       300_000, // the largest known job has 290,000 items
 		InFlightPerCaller: 256,
 		InFlight:          4096,
 		RetryShare:        0.1,
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -4,28 +4,28 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// TextName stands for the operators' configuration in messages when the text
-// did not come from a file.
+// TextName replaces the file name in error messages if the configuration text did not come
+// from a file.
 const TextName = "configuration"
 
-// InvalidError tells every fault of a text that Parse refused.
+// InvalidError lists every problem of a text that Parse rejected.
 type InvalidError struct {
-	// Problems names section, key, value and what is allowed.
+	// Problems holds the section, key, value and allowed values of each problem.
 	Problems inifile.Problems
 }
 
-// Error implements error with one line for each problem.
+// Error implements error with one line per problem.
 func (e *InvalidError) Error() string { return e.Problems.Error() }
 
 // Unwrap returns the problems.
 func (e *InvalidError) Unwrap() error { return e.Problems }
 
-// Parse reads the operators' configuration. It is a pure function of the text:
-// Text is set, Version is left 0 for the log to decide. A refused text gives
-// *InvalidError.
+// Parse parses the operators' configuration. It is a pure function of the text. It sets
+// Text and leaves Version 0, because the log determines the version. If the text is
+// invalid, the error is an *InvalidError.
 func Parse(text string) (*Config, error) { return ParseFile(TextName, text) }
 
-// ParseFile is Parse for a text with a file name to tell in messages.
+// ParseFile is like Parse, with a file name for error messages.
 func ParseFile(name, text string) (*Config, error) {
 	d := inifile.NewDecoder(inifile.Parse(name, text))
 	c := &Config{
@@ -42,7 +42,7 @@
 	parseModels(c, d.Named("model"))
 	c.Limits = parseLimits(d.Section("limits"))
 	if len(profiles) == 0 {
-		// Publishing an empty file by mistake would refuse every caller at once.
+		// If an empty file were published by mistake, every request would be refused.
 		d.Failf("no [profile NAME] section: every request would be refused")
 	}
 	if problems := d.Problems(); len(problems) > 0 {
--- a/core/config/parse_test.go
+++ b/core/config/parse_test.go
@@ -39,7 +39,7 @@
 		Expect(c.Models["m"].Version).To(Equal("v1"))
 	})
 
-	DescribeTable("refuses with the whole reason", func(text, want string) {
+	DescribeTable("rejects invalid text with the complete reason", func(text, want string) {
 		_, err := config.Parse(text)
 		Expect(err).To(MatchError(want))
 		Expect(err).To(BeAssignableToTypeOf(&config.InvalidError{}))
--- a/core/config/profile.go
+++ b/core/config/profile.go
@@ -8,13 +8,13 @@
 
 // Defaults and bounds of a profile.
 const (
-	// DefaultOnlineDeadline bounds an online request of a profile without a deadline.
+	// DefaultOnlineDeadline is the deadline of an online profile that sets none.
 	DefaultOnlineDeadline = 30 * time.Second
-	// DefaultBatchDeadline bounds one attempt at a batch item of a profile without a deadline.
+	// DefaultBatchDeadline is the deadline of a batch profile that sets none.
 	DefaultBatchDeadline = 10 * time.Minute
 	// DefaultRetries is the number of attempts after the first.
 	DefaultRetries = 2
-	// DefaultBatchWeight leans neither to the online tail nor to throughput.
+	// DefaultBatchWeight favours neither online tail latency nor batch throughput.
 	DefaultBatchWeight = 0.5
 
 	minDeadline = 10 * time.Millisecond
@@ -33,8 +33,8 @@
 	s.Require("urgency", "online, batch")
 	p := &Profile{Name: s.Label}
 	p.Urgency = Urgency(s.Enum("urgency", string(Online), string(Online), string(Batch)))
-	// A profile that does not say so is not repeatable: running a request
-	// twice by a forgotten key is worse than not retrying it.
+	// Requests are not repeatable by default: running a request twice because the key was
+	// forgotten is worse than not retrying it.
 	p.Repeatable = s.Bool("repeatable", false)
 	p.Deadline = s.Duration("deadline", defaultDeadline(p.Urgency), minDeadline, maxDeadline)
 	p.Due = s.Duration("due", 0, minDue, maxDue)
@@ -73,17 +73,17 @@
 	}
 }
 
-// checkUrgency refuses the keys that mean nothing for the profile's urgency,
-// so that no operator believes in a promise that is not kept.
+// checkUrgency rejects keys that have no effect for the profile's urgency, so that no
+// operator relies on a setting that is ignored.
 func checkUrgency(s *inifile.Section, p *Profile) {
 	if p.Urgency == Online {
 		for _, key := range []string{"due", "batch_weight", "slo_due_share"} {
-			refuseGiven(s, key, "means nothing for an online profile")
+			rejectIfSet(s, key, "means nothing for an online profile")
 		}
 		return
 	}
 	for _, key := range []string{"slo_first_token", "slo_between_tokens", "slo_latency_share"} {
-		refuseGiven(s, key, "means nothing for a batch profile")
+		rejectIfSet(s, key, "means nothing for a batch profile")
 	}
 	if s.Require("due", "duration from "+inifile.FormatDuration(minDue)+" to "+inifile.FormatDuration(maxDue)) &&
 		p.Due != 0 && p.Deadline > p.Due && s.Has("deadline") {
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkSLO refuses a latency share without a bound and a bound without a share:
-// either alone sets no objective.
+// checkSLO rejects a latency share without a bound and a bound without a share: either one
+// alone sets no objective.
 func checkSLO(s *inifile.Section, p *Profile) {
 	if p.Urgency == Batch {
 		return
@@ -104,12 +104,12 @@
 	if bounded {
 		s.Require("slo_latency_share", "a share above 0 and below 1, like 0.99")
 	} else {
-		refuseGiven(s, "slo_latency_share", "needs slo_first_token or slo_between_tokens")
+		rejectIfSet(s, "slo_latency_share", "needs slo_first_token or slo_between_tokens")
 	}
 }
 
-// refuseGiven tells a fault if the key is given.
-func refuseGiven(s *inifile.Section, key, reason string) {
+// rejectIfSet reports a problem if the key is set.
+func rejectIfSet(s *inifile.Section, key, reason string) {
 	if s.Has(key) {
 		s.Fail(key, reason, "")
 	}
