--- a/core/configlog/configlog_test.go
+++ b/core/configlog/configlog_test.go
@@ -18,8 +18,8 @@
 	os.Exit(m.Run())
 }
 
-// world is a stream that never forgets, folded naively, and readers of a stream
-// that does.
+// world is a stream without expiry, evaluated by the naive model, and readers of the same
+// stream with expiry.
 type world struct {
 	records []configlog.Record
 	states  []configlog.State // after each record
@@ -36,7 +36,7 @@
 	return data
 }
 
-// append adds a record and folds it the naive way.
+// append adds a record and applies it to the naive model.
 func (w *world) append(r configlog.Record) {
 	offset := int64(len(w.records))
 	s := configlog.State{Through: -1}
@@ -57,7 +57,7 @@
 	w.records, w.states = append(w.records, r), append(w.states, s)
 }
 
-// read gives a reader at most n records that are still kept.
+// read passes at most n records that have not expired to a reader.
 func (w *world) read(t *rapid.T, f *configlog.Folder, n int) {
 	var page []configlog.Input
 	for offset := max(f.Next(), w.first); offset < int64(len(w.records)) && len(page) < n; offset++ {
@@ -80,10 +80,10 @@
 	}
 }
 
-// Operators race, answers get lost, records expire, daemons restart, fall behind
-// and learn from each other. Every reader's state must be the naive fold of a
-// prefix of the whole stream, and no reader's version may fall.
-func TestFolderAgreesWithNaiveFold(t *testing.T) {
+// Operators publish concurrently, answers are lost, records expire, daemons restart, fall
+// behind and fetch states from each other. Every reader's state must be that of the naive
+// model after a prefix of the whole stream, and no reader's version may fall.
+func TestReplayerAgreesWithNaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{}
 		for range 3 {
@@ -130,8 +130,8 @@
 	})
 }
 
-// checkEnd reads everything: a reader must be anchored exactly when the stream
-// gives it a way to be.
+// checkEnd reads the whole stream: a reader's state must be complete exactly if the
+// remaining records allow it.
 func (w *world) checkEnd(t *rapid.T) {
 	for _, f := range w.readers {
 		before := f.State().Version
@@ -157,8 +157,8 @@
 	w.check(t, fresh)
 }
 
-// Two operators publish from the same version and one answer is lost; each must
-// be told the truth, whatever order the records took.
+// Two operators publish from the same version and one answer is lost. Each must get the
+// actual verdict, independent of the order of the records.
 func TestJudge(t *testing.T) {
 	a := configlog.Change{ID: "a", Base: 0, Text: "A", Author: "thu"}
 	b := configlog.Change{ID: "b", Base: 0, Text: "B", Author: "minh"}
@@ -181,8 +181,8 @@
 	step(configlog.Record{Change: &b})
 	judged(a, configlog.Accepted, "a")
 	judged(b, configlog.Lost, "a")
-	// The append of "late" has no answer: the withdrawal voids it for good, though
-	// it arrives afterwards.
+	// The append of "late" was not answered. The withdrawal makes the change void
+	// permanently, even though it arrives afterwards.
 	step(configlog.Record{Withdraw: &configlog.Withdraw{Epoch: 0}})
 	judged(late, configlog.Void, "")
 	step(configlog.Record{Change: &late})
--- a/core/configlog/folder.go
+++ b/core/configlog/folder.go
@@ -10,81 +10,82 @@
 	Data []byte
 }
 
-// Folder folds the stream for one reader. Its version never falls:
+// Replayer applies the stream for one reader. Its version never falls:
 //
-//   - Folding accepts only Base+1, or for a forced change the offset plus one.
-//     Every version took a record of its own, so a version never exceeds its
-//     record's offset plus one, and a forced change is above all before it.
-//   - A reader that starts at, or falls behind, the earliest kept offset has a
-//     gap: records it will never see may have changed the state. It holds later
-//     records back until a state taken at or after the gap's end arrives, from a
-//     Restate or from a peer, and folds from there. A state taken before the gap's
-//     end can't anchor it: changes inside the gap would be missed, and what is
-//     folded after could reuse a version number for another text.
-//   - States are folds of a prefix of the same stream, so of two states the one
-//     with the higher Through has the higher or equal version. Replacing the
-//     state only by one with a higher Through thus never lowers the version.
+//   - A change is accepted only as version Base+1, or, if forced, as its offset plus one.
+//     Each version has a record of its own, so a version never exceeds its record's offset
+//     plus one, and a forced change has a higher version than all changes before it.
+//   - A reader that starts at the earliest kept offset, or falls behind it, has a gap:
+//     expired records that it can't read may have changed the state. It buffers later
+//     records until it gets a state as of the gap's end or later, from a Restate or from a
+//     peer, and continues from there. A state as of an earlier offset does not close the
+//     gap: changes inside the gap would be missed, and changes applied afterwards could
+//     reuse a version number for another text.
+//   - Each state is the result of a prefix of the same stream, so of two states the one
+//     with the higher Through has the higher or equal version. The state is only replaced
+//     by one with a higher Through, which never lowers the version.
 type Folder struct {
 	state State
-	// from is the offset where the held-back records begin; equal to
-	// state.Through+1 when there is no gap.
-	from    int64
-	pending []Input
-	// next is the offset to be read next.
+	// from is the offset where the buffered records begin; it equals state.Through+1 if
+	// there is no gap.
+	pendingFrom int64
+	pending     []Input
+	// next is the offset to read next.
 	next int64
-	// restatedMs is when the newest state that can anchor a reader was written:
-	// the newest Restate, or the stream's first record.
+	// restatedMs is when the newest record from which a new reader can start was
+	// written: the newest Restate, or the stream's first record.
 	restatedMs int64
 	malformed  uint64
 	regressed  uint64
 }
 
-// NewFolder returns a folder that has read nothing.
+// NewReplayer returns a replayer that has read nothing.
 func NewFolder() *Folder { return &Folder{state: State{Through: -1}} }
 
-// State returns the newest known state; the history must not be changed.
+// State returns the newest known state; the caller must not modify its history.
 func (f *Folder) State() State { return f.state }
 
 // Next returns the offset to read next.
 func (f *Folder) Next() int64 { return f.next }
 
-// Anchored tells whether the state is that of everything read: there is no gap.
-func (f *Folder) Anchored() bool { return f.from == f.state.Through+1 }
+// Complete reports whether the state includes every record read, that is, there is no gap.
+func (f *Folder) Anchored() bool { return f.pendingFrom == f.state.Through+1 }
 
-// RestatedMs returns when the newest record that can anchor a reader was
-// written, by the log's clock in Unix milliseconds; 0 if none is known.
+// RestatedMs returns when the newest record from which a new reader can start was written,
+// by the log's clock in Unix milliseconds; 0 if none is known.
 func (f *Folder) RestatedMs() int64 { return f.restatedMs }
 
-// Malformed counts records that are none of this package's; they have no effect.
+// Malformed returns the number of records that could not be decoded; they have no effect.
 func (f *Folder) Malformed() uint64 { return f.malformed }
 
-// Regressed counts states refused because they claim to be newer and have a
-// lower version: by the rules above only a corrupted state can.
+// Regressed returns the number of states that were rejected because they have a higher
+// Through and a lower version. By the rules above, only corrupted states do.
 func (f *Folder) Regressed() uint64 { return f.regressed }
 
-// Step folds a page of the stream: first is the earliest kept offset, inputs
-// continue at max(Next, first).
+// Apply applies a page of the stream: first is the earliest kept offset, and inputs continue
+// at max(Next, first).
 func (f *Folder) Step(first int64, inputs []Input) {
 	if first > f.next {
 		f.openGap(first)
 	}
 	for _, in := range inputs {
 		if in.Offset != f.next {
-			continue // already folded by way of an adopted state
+			continue // already part of an adopted state
 		}
 		f.next++
-		f.take(in)
+		f.applyInput(in)
 	}
 }
 
-// openGap notes that the records from next to first are lost to this reader.
+// openGap records that the records from next up to first have expired before this reader
+// read them.
 func (f *Folder) openGap(first int64) {
-	f.from, f.next = first, first
+	f.pendingFrom, f.next = first, first
 	f.pending = nil
 	f.restatedMs = 0
 }
 
-func (f *Folder) take(in Input) {
+func (f *Folder) applyInput(in Input) {
 	record, err := Decode(in.Data)
 	if err != nil {
 		f.malformed++
@@ -96,15 +97,15 @@
 		f.restatedMs = in.AtMs
 	}
 	if f.Anchored() {
-		f.fold(in, record)
+		f.applyRecord(in, record)
 		return
 	}
 	if record.Change != nil && record.Change.Forced {
-		// A forced change tells the whole state by itself.
+		// A forced change defines the whole state.
 		f.pending = nil
-		f.from = in.Offset
+		f.pendingFrom = in.Offset
 		f.state.Through = in.Offset - 1
-		f.fold(in, record)
+		f.applyRecord(in, record)
 		return
 	}
 	f.pending = append(f.pending, in)
@@ -113,8 +114,8 @@
 	}
 }
 
-// Adopt takes a state that another daemon folded. It tells whether the state was
-// newer than the own one and is now in its place.
+// Adopt replaces the state with one from another daemon or a Restate if that is newer. It
+// reports whether it replaced the state.
 func (f *Folder) Adopt(s State) bool {
 	if s.Through <= f.state.Through {
 		return false
@@ -125,45 +126,45 @@
 	}
 	f.state = s
 	f.state.History = slices.Clone(s.History)
-	f.settle()
+	f.applyPending()
 	return true
 }
 
-// settle folds the held-back records if the state reaches up to them.
-func (f *Folder) settle() {
-	if f.state.Through+1 < f.from {
+// applyPending applies the buffered records if the state includes every record before them.
+func (f *Folder) applyPending() {
+	if f.state.Through+1 < f.pendingFrom {
 		return
 	}
-	f.from = f.state.Through + 1
-	f.next = max(f.next, f.from)
-	held := f.pending
+	f.pendingFrom = f.state.Through + 1
+	f.next = max(f.next, f.pendingFrom)
+	pending := f.pending
 	f.pending = nil
-	for _, in := range held {
+	for _, in := range pending {
 		if in.Offset > f.state.Through {
 			record, _ := Decode(in.Data)
-			f.fold(in, record)
+			f.applyRecord(in, record)
 		}
 	}
 }
 
-// fold applies the record that follows the state. A Restate has no effect here:
-// it repeats what this reader has folded itself.
-func (f *Folder) fold(in Input, r Record) {
+// applyRecord applies the record that follows the state. A Restate has no effect here: it
+// repeats a state that this reader already includes.
+func (f *Folder) applyRecord(in Input, r Record) {
 	f.state.Through = in.Offset
-	f.from = in.Offset + 1
+	f.pendingFrom = in.Offset + 1
 	switch {
 	case r.Change != nil:
-		f.foldChange(in, r.Change)
+		f.applyChange(in, r.Change)
 	case r.Withdraw != nil && r.Withdraw.Epoch == f.state.Epoch:
 		f.state.Epoch++
 	}
 }
 
-func (f *Folder) foldChange(in Input, c *Change) {
+func (f *Folder) applyChange(in Input, c *Change) {
 	switch {
 	case c.Forced:
-		// The epoch follows from the offset too, so that readers with and without
-		// the earlier records agree on it, and changes from before are void.
+		// The epoch is derived from the offset too, so that readers with and without the
+		// earlier records agree on it, and changes proposed before are void.
 		f.state.Version = uint64(in.Offset) + 1
 		f.state.Epoch = uint64(in.Offset) + 1
 		f.state.History = nil
--- a/core/configlog/record.go
+++ b/core/configlog/record.go
@@ -1,6 +1,7 @@
-// Package configlog folds the stream of configuration records into the version
-// in force. The log's order decides races between operators; the fold is a pure
-// function of the records, so all daemons that folded the same offset agree.
+// Package configlog derives the current configuration version from the stream of
+// configuration records. The log's order decides between concurrent changes of operators.
+// The state is a pure function of the records, so all daemons that have applied the stream
+// up to the same offset agree.
 package configlog
 
 import (
@@ -13,26 +14,26 @@
 type Change struct {
 	// ID is unique for each proposal.
 	ID string `json:"id"`
-	// Base is the version the text was made from.
+	// Base is the version that the text is based on.
 	Base uint64 `json:"base"`
-	// Epoch is the epoch the proposer saw; see Withdraw.
+	// Epoch is the epoch that the proposer knew; see Withdraw.
 	Epoch uint64 `json:"epoch"`
-	// Forced marks the change that begins anew after every record that could tell
-	// the state has expired; see Folder for the rule.
+	// Forced marks a change that starts over after every record from which the state
+	// could be derived has expired; see Replayer for the rule.
 	Forced bool `json:"forced,omitempty"`
 	// Text is the INI source.
 	Text string `json:"text"`
 	// Author names the operator.
 	Author string `json:"author"`
-	// AtMs is the proposer's clock, Unix milliseconds; nothing is decided by it.
+	// AtMs is the proposer's clock in Unix milliseconds; it has no effect on the state.
 	AtMs int64 `json:"at_ms"`
 }
 
-// Withdraw ends an epoch: it raises the epoch by one if Epoch is the current
-// one, so that no change proposed in that epoch can be accepted any more. A
-// proposer appends it when the answer to its append was lost and the change is
-// not on the stream: without it, the change might still arrive after the
-// operator was told that it did not. Repeating a withdrawal has no effect.
+// Withdraw ends an epoch: it raises the epoch by one if Epoch is the current one, so that
+// no change proposed in that epoch can be accepted any more. A proposer appends it if the
+// answer to its append was lost and the change is not on the stream: otherwise the change
+// could still arrive after a failure was reported to the operator. Repeating a withdrawal
+// has no effect.
 type Withdraw struct {
 	Epoch uint64 `json:"epoch"`
 }
@@ -41,14 +42,14 @@
 type Entry struct {
 	Version uint64 `json:"version"`
 	Author  string `json:"author"`
-	// AtMs is the publisher's time, Unix milliseconds.
+	// AtMs is the log's clock at the append of the change, in Unix milliseconds.
 	AtMs int64  `json:"at_ms"`
 	ID   string `json:"id"`
 }
 
-// State is the fold of all records up to and including the offset Through.
+// State is the result of all records up to and including the offset Through.
 type State struct {
-	// Through is the last folded offset, -1 before the first.
+	// Through is the last applied offset, -1 before the first.
 	Through int64 `json:"through"`
 	// Version is the current version, 0 if there is none yet.
 	Version uint64 `json:"version"`
@@ -56,29 +57,29 @@
 	Epoch uint64 `json:"epoch"`
 	// Text is the current version's text.
 	Text string `json:"text"`
-	// History holds the last accepted changes, oldest first, HistoryLimit at most.
+	// History holds the last accepted changes, oldest first, at most HistoryLimit.
 	History []Entry `json:"history"`
 }
 
-// HistoryLimit bounds a State's history.
+// HistoryLimit is the maximum number of entries in a State's history.
 const HistoryLimit = 50
 
-// Record is one record of the stream; exactly one field is set. A Restate
-// repeats the state as of an earlier offset, for readers that come after the
-// records before it have expired.
+// Record is one record of the stream; exactly one field is set. A Restate is a snapshot of
+// the state as of an earlier offset, for readers that start after the records before it
+// have expired.
 type Record struct {
 	Change   *Change   `json:"change,omitempty"`
 	Withdraw *Withdraw `json:"withdraw,omitempty"`
 	Restate  *State    `json:"restate,omitempty"`
 }
 
-// errMalformed says that a record is none of this package's.
+// errMalformed means that the data is not a valid record of the stream.
 var errMalformed = errors.New("not a configuration record")
 
-// Encode returns the record's form on the stream.
+// Encode returns the encoding of the record on the stream.
 func (r Record) Encode() ([]byte, error) { return json.Marshal(r) }
 
-// Decode reads a record from the stream.
+// Decode decodes a record of the stream.
 func Decode(data []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/core/configlog/verdict.go
+++ b/core/configlog/verdict.go
@@ -1,24 +1,24 @@
 package configlog
 
-// Verdict is what became of a proposed change.
+// Verdict is the outcome of a proposed change.
 type Verdict int
 
 const (
-	// Unknown: the state does not tell; its history is too short.
+	// Unknown: the state does not show the outcome, because its history is too short.
 	Unknown Verdict = iota
-	// Accepted: the change is the version it wanted to be.
+	// Accepted: the change was accepted.
 	Accepted
-	// Lost: another change took the version.
+	// Lost: another change got the version.
 	Lost
-	// Void: the change has no effect and its base is still current; it can be
-	// proposed anew in the current epoch.
+	// Void: the change has no effect and its base is still current; it can be proposed
+	// again in the current epoch.
 	Void
 )
 
-// Judge tells from a state that includes the change's offset, or a withdrawal of
-// its epoch, what became of the change. Only the version after the base can be
-// the change's, so the history's entry of that version decides it, even for a
-// reader that took the state from another daemon and never saw the record.
+// Judge returns the verdict on a change and the entry that decides it, from a state that
+// includes the change's offset or a withdrawal of its epoch. The change can only have the
+// version after its base, so the history's entry of that version decides, even for a reader
+// that adopted the state from another daemon and never read the change's record.
 func Judge(s State, c Change) (Verdict, Entry) {
 	for _, entry := range s.History {
 		if entry.ID == c.ID {
@@ -45,8 +45,8 @@
 	return s.History[len(s.History)-1]
 }
 
-// reaches tells whether the history goes back to the version. A forced change
-// empties it, but then nothing proposed before can be accepted after.
+// reaches reports whether the history reaches back to the version. A forced change clears
+// the history, but changes proposed before it can't be accepted after it.
 func reaches(s State, version uint64) bool {
 	return len(s.History) > 0 && s.History[0].Version <= version
 }
