--- a/core/limits/arbiter.go
+++ b/core/limits/arbiter.go
@@ -2,98 +2,98 @@
 
 import "time"
 
-// Arbiter shares limits out. It is not safe for concurrent use.
+// Arbiter divides limits into shares for the daemons. It is not safe for concurrent use.
 type Arbiter struct {
-	keys map[Key]map[string]*place
+	keys map[Key]map[string]*allocation
 }
 
-// place is one daemon's part of one limit.
-type place struct {
+// allocation is one daemon's share of one limit, with the demand it was granted for.
+type allocation struct {
 	grant Grant
 	ask   Ask
 	at    time.Time
 }
 
-// NewArbiter returns an arbiter that has given nothing out.
-func NewArbiter() *Arbiter { return &Arbiter{keys: map[Key]map[string]*place{}} }
+// NewArbiter returns an arbiter that has granted no shares.
+func NewArbiter() *Arbiter { return &Arbiter{keys: map[Key]map[string]*allocation{}} }
 
-// Ask takes a daemon's demand and returns its share.
+// Allocate records a daemon's demand and returns its share.
 func (a *Arbiter) Ask(now time.Time, daemon string, ask Ask) Grant {
-	places := a.keys[ask.Key]
-	if places == nil {
-		places = map[string]*place{}
-		a.keys[ask.Key] = places
+	allocations := a.keys[ask.Key]
+	if allocations == nil {
+		allocations = map[string]*allocation{}
+		a.keys[ask.Key] = allocations
 	}
-	expire(places, now)
+	expire(allocations, now)
 	if ask.Wanted == 0 && ask.InFlight == 0 {
-		delete(places, daemon)
-		if len(places) == 0 {
+		delete(allocations, daemon)
+		if len(allocations) == 0 {
 			delete(a.keys, ask.Key)
 		}
 		return Grant{Key: ask.Key}
 	}
-	p := &place{ask: ask, at: now}
-	places[daemon] = p
-	p.grant = Grant{
+	alloc := &allocation{ask: ask, at: now}
+	allocations[daemon] = alloc
+	alloc.grant = Grant{
 		Key:      ask.Key,
-		InFlight: shareInFlight(places, daemon, ask.Limit.InFlight),
-		Rate:     shareRate(places, daemon, ask.Limit.Rate),
+		InFlight: shareInFlight(allocations, daemon, ask.Limit.InFlight),
+		Rate:     shareRate(allocations, daemon, ask.Limit.Rate),
 	}
-	return p.grant
+	return alloc.grant
 }
 
-// Expire forgets daemons that have not asked for GrantLife. Call it now and
-// then: keys that nobody asks for are only found here.
+// Expire removes the shares of daemons that have not asked for GrantLife. Call it
+// periodically: keys that no daemon asks for any more are removed only here.
 func (a *Arbiter) Expire(now time.Time) {
-	for key, places := range a.keys {
-		expire(places, now)
-		if len(places) == 0 {
+	for key, allocations := range a.keys {
+		expire(allocations, now)
+		if len(allocations) == 0 {
 			delete(a.keys, key)
 		}
 	}
 }
 
-func expire(places map[string]*place, now time.Time) {
-	for daemon, p := range places {
-		if now.Sub(p.at) > GrantLife {
-			delete(places, daemon)
+func expire(allocations map[string]*allocation, now time.Time) {
+	for daemon, alloc := range allocations {
+		if now.Sub(alloc.at) > GrantLife {
+			delete(allocations, daemon)
 		}
 	}
 }
 
-// shareInFlight gives the daemon its part by demand, at least one, as far as
-// the other daemons leave room. Others that hold more than their part give it
-// back at their own next ask.
-func shareInFlight(places map[string]*place, daemon string, limit int) int {
+// shareInFlight returns the daemon's share in proportion to its demand, at least one, but no
+// more than the other daemons' shares and running requests leave of the limit. Daemons that
+// hold more than their proportional share get a smaller one at their next ask.
+func shareInFlight(allocations map[string]*allocation, daemon string, limit int) int {
 	if limit <= 0 {
 		return 0
 	}
 	held, wanted := 0, 0
-	for name, p := range places {
-		wanted += max(1, p.ask.Wanted)
+	for name, alloc := range allocations {
+		wanted += max(1, alloc.ask.Wanted)
 		if name != daemon {
-			held += max(p.grant.InFlight, p.ask.InFlight)
+			held += max(alloc.grant.InFlight, alloc.ask.InFlight)
 		}
 	}
-	fair := max(1, limit*max(1, places[daemon].ask.Wanted)/wanted)
+	fair := max(1, limit*max(1, allocations[daemon].ask.Wanted)/wanted)
 	return max(0, min(fair, limit-held))
 }
 
 // shareRate is shareInFlight for rates.
-func shareRate(places map[string]*place, daemon string, limit float64) float64 {
+func shareRate(allocations map[string]*allocation, daemon string, limit float64) float64 {
 	if limit <= 0 {
 		return 0
 	}
 	held, rate := 0.0, 0.0
-	for name, p := range places {
-		rate += p.ask.Rate
+	for name, alloc := range allocations {
+		rate += alloc.ask.Rate
 		if name != daemon {
-			held += p.grant.Rate
+			held += alloc.grant.Rate
 		}
 	}
-	fair := limit / float64(len(places))
+	fair := limit / float64(len(allocations))
 	if rate > 0 {
-		fair = limit * places[daemon].ask.Rate / rate
+		fair = limit * allocations[daemon].ask.Rate / rate
 	}
 	return max(0, min(fair, limit-held))
 }
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -21,27 +21,28 @@
 	key   = Key{Profile: "orders", Caller: "hotel"}
 )
 
-// fleet is n daemons and one arbiter; the naive model is the plain count.
+// fleet is n daemons and one arbiter. running is the naive model: the number of running
+// requests per daemon.
 type fleet struct {
 	locals  []*Local
 	arbiter *Arbiter
 	running []int
-	heard   []time.Time
+	lastAsk []time.Time
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{arbiter: NewArbiter(), running: make([]int, n), heard: make([]time.Time, n)}
+	f := &fleet{arbiter: NewArbiter(), running: make([]int, n), lastAsk: make([]time.Time, n)}
 	for range n {
 		f.locals = append(f.locals, NewLocal())
 	}
 	return f
 }
 
-// ask sends daemon i's asks; lost drops the answer on its way back.
+// ask sends daemon i's asks; if lost is true, the answer is dropped.
 func (f *fleet) ask(now time.Time, i int, lost bool) {
 	for _, a := range f.locals[i].Asks(now) {
 		g := f.arbiter.Ask(now, fmt.Sprint(i), a)
-		f.heard[i] = now
+		f.lastAsk[i] = now
 		if !lost {
 			f.locals[i].Granted(now, g)
 		}
@@ -56,9 +57,9 @@
 	return n
 }
 
-// A caller spreads its requests over all daemons, at any moments, while asks
-// and their answers get lost. The count of all must stay in the stated bound:
-// L plus each daemon's base, as long as the arbiter hears of each daemon within
+// A caller sends requests to all daemons at arbitrary times while asks and their answers
+// are lost. The total number of running requests must stay within the stated bound: L plus
+// each daemon's base, as long as the arbiter receives an ask of each daemon within
 // GrantLife.
 func TestInFlightStaysInTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -85,7 +86,7 @@
 			case "lose":
 				f.ask(now, i, true)
 			}
-			f.hearAll(now, rapid.Bool().Draw(t, "answer lost"))
+			f.renewAll(now, rapid.Bool().Draw(t, "answer lost"))
 			if bound := limit.InFlight + n*max(1, limit.InFlight/(2*n)); f.total() > bound {
 				t.Fatalf("%d run, the bound is %d: %v", f.total(), bound, f.running)
 			}
@@ -101,17 +102,17 @@
 	}
 }
 
-// hearAll lets the daemons ask that are close to being forgotten.
-func (f *fleet) hearAll(now time.Time, lost bool) {
+// renewAll lets the daemons ask whose shares are close to expiring.
+func (f *fleet) renewAll(now time.Time, lost bool) {
 	for i := range f.locals {
-		if now.Sub(f.heard[i]) > GrantLife-500*time.Millisecond {
+		if now.Sub(f.lastAsk[i]) > GrantLife-500*time.Millisecond {
 			f.ask(now, i, lost)
 		}
 	}
 }
 
-// A caller that is at its limit at one daemon and then moves to another must
-// get its whole limit there soon, though never more than it in all.
+// A caller that is at its limit at one daemon and then moves to another must soon get its
+// whole limit there, but never more than the limit in total.
 func TestSharesFollowTheDemand(t *testing.T) {
 	f := newFleet(2)
 	limit := Limit{InFlight: 10}
@@ -134,10 +135,10 @@
 	}
 }
 
-// A caller's requests fill its limit through one daemon and run long; now it
-// asks at another. What still runs must not be given out a second time, though
-// the first daemon's share has been lowered meanwhile.
-func TestWhatStillRunsIsNotGivenTwice(t *testing.T) {
+// A caller's long requests fill its limit through one daemon; then it sends requests to
+// another. The capacity that the running requests use must not be granted a second time,
+// although the first daemon's share has been lowered meanwhile.
+func TestRunningRequestsAreNotGrantedTwice(t *testing.T) {
 	f := newFleet(2)
 	limit := Limit{InFlight: 10}
 	f.flood(epoch, 0, limit)
@@ -163,8 +164,8 @@
 	return admitted
 }
 
-// A rate holds over the fleet: with all daemons flooded for a while no more
-// than rate x time passes, plus each bucket's start and burst.
+// A rate limit holds over the fleet: with all daemons flooded, no more than rate x time
+// requests are admitted, plus each bucket's initial token and burst.
 func TestRateStaysInTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "daemons")
--- a/core/limits/local.go
+++ b/core/limits/local.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Verdict is Local's word on one request.
+// Verdict is Local's decision on one request.
 type Verdict int
 
 const (
-	// Admitted: the request is counted; call Release at its end.
+	// Admitted: the request is counted; call Release when it ends.
 	Admitted Verdict = iota
-	// AskFirst: the share is missing or too old to refuse by; ask the arbiter,
-	// then try once more with last set.
+	// ShareNeeded: the share is missing or too old for a refusal. Ask the arbiter for a
+	// share, then call Acquire once more with final set.
 	AskFirst
 	// Refused: the caller is over its limit.
 	Refused
@@ -17,16 +17,16 @@
 
 // Local enforces one daemon's shares. It is not safe for concurrent use.
 type Local struct {
-	keys map[Key]*account
+	keys map[Key]*keyState
 }
 
-type account struct {
+type keyState struct {
 	limit    Limit
 	inFlight int
-	// peak is the highest concurrency asked for since the last ask; denied counts
-	// the requests that had to wait or were refused since then.
+	// peak is the highest concurrency requested since the last ask; denied is the number
+	// of requests that had to wait or were refused since then.
 	peak, denied int
-	// arrivals counts the requests since the last ask.
+	// arrivals is the number of requests since the last ask.
 	arrivals int
 	askedAt  time.Time
 	rate     float64
@@ -39,34 +39,34 @@
 }
 
 // NewLocal returns a Local without shares.
-func NewLocal() *Local { return &Local{keys: map[Key]*account{}} }
-
-// Acquire decides on one request. daemons is the number of live daemons; last
-// asks for a final word.
-func (l *Local) Acquire(now time.Time, key Key, limit Limit, daemons int, last bool) Verdict {
-	a := l.account(now, key)
-	a.limit = limit
-	a.usedAt = now
-	if !last {
-		a.arrivals++
+func NewLocal() *Local { return &Local{keys: map[Key]*keyState{}} }
+
+// Acquire decides on one request. daemons is the number of live daemons. If final is set,
+// Acquire never returns ShareNeeded.
+func (l *Local) Acquire(now time.Time, key Key, limit Limit, daemons int, final bool) Verdict {
+	s := l.state(now, key)
+	s.limit = limit
+	s.usedAt = now
+	if !final {
+		s.arrivals++
 	}
-	inFlight, rate := a.allowed(now, max(1, daemons))
-	a.fill(now, rate)
-	over := limit.InFlight > 0 && a.inFlight >= inFlight
-	fast := limit.Rate > 0 && a.tokens < 1
+	inFlight, rate := s.allowed(now, max(1, daemons))
+	s.refill(now, rate)
+	over := limit.InFlight > 0 && s.inFlight >= inFlight
+	fast := limit.Rate > 0 && s.tokens < 1
 	if !over && !fast {
-		a.inFlight++
-		a.peak = max(a.peak, a.inFlight)
+		s.inFlight++
+		s.peak = max(s.peak, s.inFlight)
 		if limit.Rate > 0 {
-			a.tokens--
+			s.tokens--
 		}
 		return Admitted
 	}
-	if !last {
-		a.denied++
+	if !final {
+		s.denied++
 	}
-	a.peak = max(a.peak, a.inFlight+a.denied)
-	if !last && !a.fresh(now) {
+	s.peak = max(s.peak, s.inFlight+s.denied)
+	if !final && !s.fresh(now) {
 		return AskFirst
 	}
 	return Refused
@@ -74,54 +74,54 @@
 
 // Release ends a request that was admitted.
 func (l *Local) Release(now time.Time, key Key) {
-	if a := l.keys[key]; a != nil {
-		a.inFlight = max(0, a.inFlight-1)
-		a.usedAt = now
+	if s := l.keys[key]; s != nil {
+		s.inFlight = max(0, s.inFlight-1)
+		s.usedAt = now
 	}
 }
 
-func (l *Local) account(now time.Time, key Key) *account {
-	a := l.keys[key]
-	if a == nil {
-		a = &account{askedAt: now, filledAt: now, tokens: 1}
-		l.keys[key] = a
+func (l *Local) state(now time.Time, key Key) *keyState {
+	s := l.keys[key]
+	if s == nil {
+		s = &keyState{askedAt: now, filledAt: now, tokens: 1}
+		l.keys[key] = s
 	}
-	return a
+	return s
 }
 
-// allowed is the share if it still counts, else the base.
-func (a *account) allowed(now time.Time, daemons int) (inFlight int, rate float64) {
-	if a.granted && now.Sub(a.grantAt) < GrantLife {
-		return a.grant.InFlight, a.grant.Rate
+// allowed returns the share if it is still valid, else the base.
+func (s *keyState) allowed(now time.Time, daemons int) (inFlight int, rate float64) {
+	if s.granted && now.Sub(s.grantAt) < GrantLife {
+		return s.grant.InFlight, s.grant.Rate
 	}
-	return max(1, a.limit.InFlight/(2*daemons)), a.limit.Rate / float64(2*daemons)
+	return max(1, s.limit.InFlight/(2*daemons)), s.limit.Rate / float64(2*daemons)
 }
 
-func (a *account) fresh(now time.Time) bool {
-	return a.granted && now.Sub(a.grantAt) <= FreshGrant
+func (s *keyState) fresh(now time.Time) bool {
+	return s.granted && now.Sub(s.grantAt) <= FreshGrant
 }
 
-func (a *account) fill(now time.Time, rate float64) {
-	if now.After(a.filledAt) {
-		a.tokens += rate * now.Sub(a.filledAt).Seconds()
-		a.filledAt = now
+func (s *keyState) refill(now time.Time, rate float64) {
+	if now.After(s.filledAt) {
+		s.tokens += rate * now.Sub(s.filledAt).Seconds()
+		s.filledAt = now
 	}
-	a.tokens = min(a.tokens, max(1, rate*BurstSeconds))
+	s.tokens = min(s.tokens, max(1, rate*BurstSeconds))
 }
 
-// Asks returns what the arbiters are to be told now and starts a new count. A
-// caller that has been idle gives its place up and is forgotten.
+// Asks returns the asks to send to the arbiters now and resets the counters since the last
+// ask. Callers that were idle for IdleAfter release their share and are removed.
 func (l *Local) Asks(now time.Time) []Ask {
 	var asks []Ask
-	for key, a := range l.keys {
-		if a.inFlight == 0 && now.Sub(a.usedAt) > IdleAfter {
+	for key, s := range l.keys {
+		if s.inFlight == 0 && now.Sub(s.usedAt) > IdleAfter {
 			delete(l.keys, key)
-			asks = append(asks, Ask{Key: key, Limit: a.limit})
+			asks = append(asks, Ask{Key: key, Limit: s.limit})
 			continue
 		}
 		asks = append(asks, Ask{
-			Key: key, Limit: a.limit, InFlight: a.inFlight,
-			Wanted: max(1, a.peak, a.inFlight), Rate: a.measure(now),
+			Key: key, Limit: s.limit, InFlight: s.inFlight,
+			Wanted: max(1, s.peak, s.inFlight), Rate: s.updateRate(now),
 		})
 	}
 	return asks
@@ -130,24 +130,24 @@
 // rateWeight is the weight of a new measurement in the running average.
 const rateWeight = 0.5
 
-// measure updates the arrival rate and starts a new count. A span too short to
-// measure leaves the count running.
-func (a *account) measure(now time.Time) float64 {
-	span := now.Sub(a.askedAt)
-	a.peak, a.denied = 0, 0
+// updateRate updates and returns the arrival rate and resets the counters. If less than
+// FreshGrant has passed since the last update, it keeps counting arrivals.
+func (s *keyState) updateRate(now time.Time) float64 {
+	span := now.Sub(s.askedAt)
+	s.peak, s.denied = 0, 0
 	if span < FreshGrant {
-		return max(a.rate, float64(a.arrivals))
+		return max(s.rate, float64(s.arrivals))
 	}
-	a.rate += rateWeight * (float64(a.arrivals)/span.Seconds() - a.rate)
-	a.arrivals, a.askedAt = 0, now
-	return a.rate
+	s.rate += rateWeight * (float64(s.arrivals)/span.Seconds() - s.rate)
+	s.arrivals, s.askedAt = 0, now
+	return s.rate
 }
 
-// Granted takes a share. sentAt is when the ask was sent.
+// ApplyGrant applies a share. sentAt is when the ask was sent.
 func (l *Local) Granted(sentAt time.Time, g Grant) {
-	a := l.keys[g.Key]
-	if a == nil || a.granted && sentAt.Before(a.grantAt) {
+	s := l.keys[g.Key]
+	if s == nil || s.granted && sentAt.Before(s.grantAt) {
 		return
 	}
-	a.grant, a.grantAt, a.granted = g, sentAt, true
+	s.grant, s.grantAt, s.granted = g, sentAt, true
 }
