--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -1,5 +1,5 @@
-// Package shard decides where keys and jobs live and which daemon should try to
-// claim a shard, when. It is pure: facts come in as plain data.
+// Package shard maps keys and jobs to shards and decides which daemon should try to claim a
+// shard, and when. It does no I/O.
 package shard
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Of returns the shard of a scoped key or job name among n shards.
+// Of returns the shard, in [0,n), of a scoped key or job name.
 func Of(name string, n int) int { return int(xxhash.Sum64String(name) % uint64(n)) }
 
-// Stream is the name of the shard's stream on the platform's log.
+// Stream returns the name of the shard's stream on the platform's log.
 func Stream(shard int) string { return fmt.Sprintf("shard-%02d", shard) }
 
-// Key is what the shard's successors are ranked by.
+// Key returns the rendezvous hashing key that ranks the shard's successors.
 func Key(shard int) string { return "shard/" + strconv.Itoa(shard) }
 
-// Facts is what a daemon knows when it considers a claim.
+// Facts is the input for a daemon's decision whether to claim a shard.
 type Facts struct {
 	Shard int
 	// Self is this daemon's incarnation id.
@@ -28,23 +28,23 @@
 	// Shards is how many shards there are, Held how many this daemon holds.
 	Shards int
 	Held   int
-	// Named tells that the last holder released the shard to this daemon.
+	// ReleasedToSelf reports whether the last holder released the shard to this daemon.
 	Named bool
-	// StepMs is the time between the tries of successive ranks.
+	// StepMs is the time between the attempts of successive ranks, in milliseconds.
 	StepMs int64
 }
 
-// jitterShare is the part of a step by which a rank's try is spread.
-const jitterShare = 2
+// jitterDivisor sets the maximum jitter of an attempt to StepMs/jitterDivisor.
+const jitterDivisor = 2
 
-// ClaimAfter returns how long after the shard was found without a holder this
-// daemon should try a claim; ok is false if it should not.
+// ClaimAfter returns how many milliseconds after the shard was found without a holder this
+// daemon should try to claim it; ok is false if it should not.
 //
-// Rank by rank, the next successor tries a step later, so a dead host's shards
-// are claimed once each and not by everybody: the claim is decided by the log in
-// any case, waiting only saves appends and replays. A daemon that already holds
-// its part waits longer, so that at a cold start the first daemon up doesn't
-// take everything; it still takes over if nobody else does.
+// Each successor waits one step longer than the one ranked before it, so that usually one
+// daemon and not all of them claims each shard of a dead host. The log decides between
+// concurrent claims in any case; waiting only saves appends and replays. A daemon that
+// already holds its fair share waits longer, so that at a cold start the first daemon
+// doesn't claim every shard; it still claims the shard if no other daemon does.
 func ClaimAfter(f Facts) (ms int64, ok bool) {
 	if f.Named {
 		return 0, true
@@ -62,12 +62,12 @@
 	over := max(0, f.Held-FairShare(f.Shards, len(f.Successors)))
 	wait := int64(rank+over) * f.StepMs
 	if rank > 0 || over > 0 {
-		wait += jitter(f.Self, f.Shard, f.StepMs/jitterShare)
+		wait += jitter(f.Self, f.Shard, f.StepMs/jitterDivisor)
 	}
 	return wait, true
 }
 
-// FairShare is the most shards a daemon should hold among n daemons.
+// FairShare returns the maximum number of shards that each of n daemons should hold.
 func FairShare(shards, n int) int {
 	if n == 0 {
 		return shards
@@ -82,15 +82,15 @@
 	return int64(xxhash.Sum64String(self+Key(shard)) % uint64(spread))
 }
 
-// Load is how many shards a usable member holds.
+// Load is the number of shards that a usable member holds.
 type Load struct {
 	ID     string
 	Shards int
 }
 
-// Rebalance picks, for a daemon that holds more than its fair share, the member
-// to which it should release a shard: the best ranked one with room for it.
-// ok is false if the daemon should keep what it has.
+// Rebalance returns, for a daemon that holds more than its fair share, the member to which
+// it should release a shard: the best ranked one that holds less than its fair share. ok is
+// false if the daemon should keep its shards.
 func Rebalance(self string, held, shards int, ranked []Load) (to string, ok bool) {
 	fair := FairShare(shards, len(ranked))
 	if held <= fair {
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -17,8 +17,8 @@
 	os.Exit(m.Run())
 }
 
-// A host with many shards is lost. For each of them one successor tries at once
-// and every other at least half a step later; a stranger never tries.
+// A host with many shards is lost. For each shard the first successor tries to claim it at
+// once and every other one at least half a step later; an unknown daemon never tries.
 func TestOneSuccessorTriesFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const step = 300
@@ -30,7 +30,7 @@
 		for i, id := range f.Successors {
 			f.Self = id
 			wait, ok := ClaimAfter(f)
-			if !ok || wait < int64(i*step) || wait >= int64(i*step)+step/jitterShare+1 {
+			if !ok || wait < int64(i*step) || wait >= int64(i*step)+step/jitterDivisor+1 {
 				t.Fatalf("rank %d waits %d, %t", i, wait, ok)
 			}
 			if i == 0 && wait != 0 {
@@ -44,8 +44,8 @@
 	})
 }
 
-// At a cold start one daemon is up first and takes everything. Moving shards one
-// by one must end with nobody above the fair share, and then stop.
+// At a cold start the first daemon claims every shard. Moving shards one by one must end
+// with no daemon above the fair share, and then stop.
 func TestRebalanceEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.IntRange(1, 64).Draw(t, "shards")
