--- a/core/burn/burn.go
+++ b/core/burn/burn.go
@@ -1,7 +1,7 @@
-// Package burn measures service-level burn: how fast each profile uses up the
-// errors that its objectives allow. Events are counted in buckets of time, the
-// buckets of all hosts merge in any order and any number of times, and a report
-// is a pure function of what was merged.
+// Package burn measures the burn rates of the service-level objectives: how fast each
+// profile uses up its error budget. Events are counted in time buckets. The buckets of all
+// hosts can be merged in any order and any number of times, and a report is a pure function
+// of the merged buckets.
 package burn
 
 import (
@@ -11,15 +11,15 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// Outcome says how an event counts towards availability.
+// Outcome is how an event counts towards availability.
 type Outcome int
 
 const (
-	// NotCounted events are the caller's doing and count towards no objective.
+	// NotCounted events are caused by the caller and count towards no objective.
 	NotCounted Outcome = iota
 	// OK events succeeded.
 	OK
-	// Failed events did not, for a reason that is not the caller's.
+	// Failed events did not succeed, for a reason that the caller did not cause.
 	Failed
 )
 
@@ -33,17 +33,18 @@
 	// Outcome and, for a failed event, Reason come from Classify or ClassifyStatus.
 	Outcome Outcome
 	Reason  string
-	// FirstTokenMs is the time to the first token or the whole answer, and
-	// BetweenTokensMs the longest time between two tokens, both rounded up; 0
-	// is "not measured".
+	// FirstTokenMs is the time to the first token or to the whole response, and
+	// BetweenTokensMs the longest time between two tokens, both rounded up; 0 means not
+	// measured.
 	FirstTokenMs    int64
 	BetweenTokensMs int64
-	// DueMissed tells that a batch item ended after its due time.
+	// DueMissed reports whether a batch item ended after its due time.
 	DueMissed bool
 }
 
-// callerCaused are the refusals that no fleet could have avoided. Condemned is
-// not among them: its first runs crashed targets, which the fleet let happen.
+// callerCaused holds the codes of refusals that the fleet could not have avoided.
+// outcome.Condemned is not among them: the request's first runs crashed targets, which
+// counts as a failure of the fleet.
 var callerCaused = map[outcome.Code]bool{
 	outcome.BadRequest:      true,
 	outcome.KeyRequired:     true,
@@ -59,7 +60,8 @@
 	outcome.Unauthorized:    true,
 }
 
-// Classify returns how a request that ended with r counts; nil is success.
+// Classify returns the outcome of a request that ended with r, where nil is success, and the
+// reason if it failed.
 func Classify(r *outcome.Refusal) (Outcome, string) {
 	if r == nil {
 		return OK, ""
@@ -70,7 +72,8 @@
 	return Failed, string(r.Code)
 }
 
-// ClassifyStatus returns how an answer that a plain service gave counts.
+// ClassifyStatus returns the outcome of a response with the HTTP status from a plain
+// service, and the reason if it failed.
 func ClassifyStatus(status int) (Outcome, string) {
 	const callerError, serviceError = 400, 500
 	switch {
@@ -87,28 +90,29 @@
 type Objective int
 
 const (
-	// Availability: the share of requests that succeed.
+	// Availability is the share of requests that succeed.
 	Availability Objective = iota
-	// FirstToken: the share of successes whose first token came within the bound.
+	// FirstToken is the share of successes whose first token arrived within the bound.
 	FirstToken
-	// BetweenTokens: the share of successes without a longer gap than the bound.
+	// BetweenTokens is the share of successes without a gap between tokens above the bound.
 	BetweenTokens
-	// DueTime: the share of batch items that end well by their due time.
+	// DueTime is the share of batch items that succeed by their due time.
 	DueTime
-	// objectives is how many there are.
+	// objectives is the number of objectives.
 	objectives
 )
 
-// objectiveNames are used in reports.
+// objectiveNames holds the names used in reports.
 var objectiveNames = [objectives]string{"availability", "first_token", "between_tokens", "due_time"}
 
 // String returns the name used in reports.
 func (o Objective) String() string { return objectiveNames[o] }
 
-// lateReasons stand for the reason where the objective is itself the reason.
+// lateReasons holds the reasons of the objectives whose bad events have no reason of their
+// own.
 var lateReasons = [objectives]string{"", "first_token_late", "between_tokens_late", "due_missed"}
 
-// share returns the share that the objective asks for, 0 if it is not set.
+// share returns the required share of good events, 0 if the objective is not set.
 func share(o Objective, slo config.SLO) float64 {
 	switch {
 	case o == Availability:
@@ -124,7 +128,7 @@
 	}
 }
 
-// judge returns whether the event counts towards the objective, and as bad.
+// judge reports whether the event counts towards the objective, and if so, whether it is bad.
 func judge(o Objective, e Event, p *config.Profile) (counts, bad bool) {
 	if e.Outcome == NotCounted {
 		return false, false
--- a/core/burn/burn_test.go
+++ b/core/burn/burn_test.go
@@ -39,13 +39,13 @@
 
 const nowMs = int64(1_790_000_123_456)
 
-// raw is an event with the source that saw it.
+// raw is an event with the source that recorded it.
 type raw struct {
 	burn.Event
 	source int
 }
 
-// recount answers a window the naive way: from the raw events, one by one.
+// recount computes a window with the naive model: from the raw events, one by one.
 func recount(events []raw, profile, objective string, spanMs, widthMs int64, coarse map[int]bool) (n burn.Count) {
 	for _, e := range events {
 		width := widthMs
@@ -91,9 +91,9 @@
 	})
 }
 
-// Hosts are replaced, summaries are sent twice and arrive in any order, from
-// peers and from the log. The report must be the one that a single observer of
-// all raw events would give.
+// Hosts are replaced, and summaries are sent twice and arrive in any order, from peers and
+// from the log. The report must equal the one that a single observer of all raw events would
+// compute.
 func TestReportIsTheRecountOfRawEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const sources = 3
@@ -129,7 +129,7 @@
 	})
 }
 
-// onWire sends a summary through an encoding: the log's, or that of a script.
+// onWire encodes and decodes a summary: coarse ones in the log's encoding, others as JSON.
 func onWire(t *rapid.T, s burn.Summary, coarse bool) (out burn.Summary) {
 	if coarse {
 		text, err := burn.Encode(s.Coarse())
@@ -151,7 +151,7 @@
 	return out
 }
 
-// compare checks every figure of a report against the recount.
+// compare checks every number of a report against the recount.
 func compare(t *rapid.T, events []raw, report burn.Report, coarse map[int]bool) {
 	spans := map[string][2]int64{"5m": {300_000, 10_000}, "30m": {1_800_000, 60_000}, "1h": {3_600_000, 60_000}, "6h": {21_600_000, 60_000}}
 	seen := 0
@@ -195,7 +195,7 @@
 }
 
 var _ = Describe("classification", func() {
-	It("counts what the fleet could have avoided, and nothing of the caller's", func() {
+	It("counts failures that the fleet could have avoided, and none that the caller caused", func() {
 		for code, want := range map[outcome.Code]burn.Outcome{
 			outcome.BadRequest: burn.NotCounted, outcome.CallerLimit: burn.NotCounted, outcome.Unprocessable: burn.NotCounted,
 			outcome.Condemned: burn.Failed, outcome.Overloaded: burn.Failed, outcome.OutcomeUnknown: burn.Failed,
@@ -206,7 +206,7 @@
 		}
 	})
 
-	It("bounds the reasons of a bucket and loses none of the count", func() {
+	It("bounds the number of reasons of a bucket without losing counts", func() {
 		r := burn.NewRecorder("h#1")
 		for i := range 1000 {
 			r.Record(burn.Event{AtMs: nowMs, Profile: "desk", Group: "menu", Outcome: burn.Failed, Reason: fmt.Sprint("r", i)}, profiles["desk"])
--- a/core/burn/cell.go
+++ b/core/burn/cell.go
@@ -1,17 +1,17 @@
 package burn
 
-// Scale is a width of buckets. Each event is counted once in every scale.
+// Scale is a bucket width. Each event is counted once in every scale.
 type Scale int
 
 const (
-	// Fine buckets of 10 s serve the 5 min window. They go between live
-	// daemons only: on the log, the minutes stand in for them.
+	// Fine buckets of 10 s are used for the 5 min window. They are exchanged only between
+	// live daemons; the log holds the minute buckets instead.
 	Fine Scale = iota
-	// Minute buckets serve the windows up to 6 h.
+	// Minute buckets are used for the windows up to 6 h.
 	Minute
-	// Hour buckets serve the error budget.
+	// Hour buckets are used for the error budget.
 	Hour
-	// scales is how many there are.
+	// scales is the number of scales.
 	scales
 )
 
@@ -19,12 +19,12 @@
 	secondMs = int64(1000)
 	minuteMs = 60 * secondMs
 	hourMs   = 60 * minuteMs
-	// PeriodMs is the time over which the error budget is reckoned.
+	// PeriodMs is the period of the error budget, in milliseconds.
 	PeriodMs = 72 * hourMs
 )
 
-// widthMs is a bucket's width, keptMs how long buckets of the scale are kept:
-// a bucket longer than the longest window, so that none is lost early.
+// widthMs is the width of the buckets of each scale and keptMs their retention time: the
+// longest window plus one bucket, so that no bucket is removed while a window needs it.
 var (
 	widthMs = [scales]int64{10 * secondMs, minuteMs, hourMs}
 	keptMs  = [scales]int64{5*minuteMs + 10*secondMs, 6*hourMs + minuteMs, PeriodMs + hourMs}
@@ -38,7 +38,7 @@
 
 // Count counts the events towards one objective.
 type Count struct {
-	// Field names would be most of an encoded summary.
+	// Encoded as an array, because field names would make up most of an encoded summary.
 	//lint:ignore U1000 msgpack finds its option by this field's name
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -46,7 +46,7 @@
 	Bad   uint64 `json:"bad"`
 }
 
-// Cell is one bucket of one profile and group at one host incarnation.
+// Cell is one time bucket of one profile and target group at one host incarnation.
 type Cell struct {
 	Scale Scale `json:"scale" msgpack:"s"`
 	// Index is the bucket's number: Unix milliseconds over the scale's width.
@@ -57,7 +57,7 @@
 	Reasons map[string]uint64 `json:"reasons,omitempty" msgpack:"r,omitempty"`
 }
 
-// add counts one event. Every counter of a cell only grows.
+// add counts one event. The counters of a cell never decrease.
 func (c *Cell) add(judged [objectives]Count, reason string) {
 	for o := range c.Counts {
 		c.Counts[o].Total += judged[o].Total
@@ -75,14 +75,14 @@
 	c.Reasons[reason]++
 }
 
-// join takes over what another copy of the same cell knows more.
+// merge merges another copy of the same cell into c.
 //
-// Failure guarded against: a summary that is read from the log and heard from a
-// peer, or is sent again after a lost answer, would count its events twice and
-// raise an alert for nothing. Only the cell's own incarnation counts into it
-// and its counters only grow, so of two copies the larger counter is the later
-// one, and taking the maximum is commutative, associative and idempotent.
-func (c *Cell) join(other Cell) {
+// Failure guarded against: a summary that is received both from the log and from a peer, or
+// is sent again after a lost answer, would count its events twice and raise a false alert.
+// Only the cell's own incarnation counts events in it and its counters never decrease, so of
+// two copies the larger counter is the later one, and taking the maximum is commutative,
+// associative and idempotent.
+func (c *Cell) merge(other Cell) {
 	for o := range c.Counts {
 		c.Counts[o].Total = max(c.Counts[o].Total, other.Counts[o].Total)
 		c.Counts[o].Bad = max(c.Counts[o].Bad, other.Counts[o].Bad)
@@ -95,12 +95,12 @@
 	}
 }
 
-// copied returns a cell that shares no memory with c.
-func (c *Cell) copied() Cell {
+// clone returns a deep copy of c.
+func (c *Cell) clone() Cell {
 	out := Cell{Scale: c.Scale, Index: c.Index}
-	out.join(*c)
+	out.merge(*c)
 	return out
 }
 
-// expired tells whether no window reaches back to the cell.
+// expired reports whether no window reaches back to the cell any more.
 func expired(s Scale, index, nowMs int64) bool { return (index+1)*widthMs[s] <= nowMs-keptMs[s] }
--- a/core/burn/recorder.go
+++ b/core/burn/recorder.go
@@ -2,23 +2,23 @@
 
 import "tarragonhollow.example/tarragonhollow/core/config"
 
-// Recorder counts the events of one host incarnation. It is not safe for
-// concurrent use: one duty owns it and takes events from a ring.
+// Recorder counts the events of one host incarnation. It is not safe for concurrent use: a
+// single goroutine owns it and reads the events from a ring buffer.
 type Recorder struct {
 	source string
 	set    *Set
-	// changed names the cells counted into since the last Changes.
+	// changed holds the keys of the cells that changed since the last call of Changes.
 	changed map[seriesKey]map[cellKey]struct{}
 }
 
-// NewRecorder returns a recorder for the host incarnation named by source. A
-// restarted host must use a new name: its counters begin at zero again.
+// NewRecorder returns a recorder for the host incarnation with the id source. A restarted
+// host must use a new id, because its counters start at zero again.
 func NewRecorder(source string) *Recorder {
 	return &Recorder{source: source, set: NewSet(), changed: make(map[seriesKey]map[cellKey]struct{})}
 }
 
-// Record counts one event against the objectives that p has now: a later
-// change of the configuration does not judge old events anew. p is not nil.
+// Record counts one event against the current objectives of p: a later change of the
+// configuration does not re-evaluate old events. p must not be nil.
 func (r *Recorder) Record(e Event, p *config.Profile) {
 	if e.Outcome == NotCounted {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// judgeAll judges an event by every objective.
+// judgeAll evaluates an event against every objective.
 func judgeAll(e Event, p *config.Profile) (judged [objectives]Count) {
 	for o := range objectives {
 		counts, bad := judge(o, e, p)
@@ -54,7 +54,7 @@
 	return judged
 }
 
-// mark notes that a cell has changed.
+// mark records that a cell has changed.
 func (r *Recorder) mark(key seriesKey, at cellKey) {
 	cells, ok := r.changed[key]
 	if !ok {
@@ -64,27 +64,27 @@
 	cells[at] = struct{}{}
 }
 
-// Changes returns the cells that changed since the last call, whole: a lost
-// summary is made good by the next one that holds the same cell.
+// Changes returns the cells that changed since the last call, with their total counts and
+// not the differences: the next summary with the same cell makes up for a lost one.
 func (r *Recorder) Changes() Summary {
 	summaries := r.set.collect(func(key seriesKey, at cellKey) bool {
 		_, ok := r.changed[key][at]
 		return ok
 	})
 	clear(r.changed)
-	return r.only(summaries)
+	return r.first(summaries)
 }
 
 // All returns every cell, for a peer or a report.
-func (r *Recorder) All() Summary { return r.only(r.set.Summaries()) }
+func (r *Recorder) All() Summary { return r.first(r.set.Summaries()) }
 
-// only returns the one summary that a recorder has, or an empty one.
-func (r *Recorder) only(summaries []Summary) Summary {
+// first returns the first summary, or an empty one. A recorder has at most one.
+func (r *Recorder) first(summaries []Summary) Summary {
 	if len(summaries) == 0 {
 		return Summary{Source: r.source}
 	}
 	return summaries[0]
 }
 
-// Prune forgets the cells that no window reaches back to.
+// Prune removes the cells that no window reaches back to any more.
 func (r *Recorder) Prune(nowMs int64) { r.set.Prune(nowMs) }
--- a/core/burn/report.go
+++ b/core/burn/report.go
@@ -9,34 +9,35 @@
 
 // Window is a span of time that ends now.
 type Window struct {
-	// Name is used in reports.
+	// Name is the name used in reports.
 	Name string
 	// SpanMs is the window's length in milliseconds.
 	SpanMs int64
-	// Scale is the width of the cells that are summed.
+	// Scale is the scale of the cells that are summed.
 	Scale Scale
 }
 
-// The windows of the two alerts. A long window alone would alert long after the
-// trouble began and long after it ended; the short one beside it ends the alert.
+// The windows of the two alerts, each of which combines a long and a short window. With a
+// long window alone, an alert would continue long after the problem has ended; the short
+// window ends it.
 var (
 	window5m  = Window{Name: "5m", SpanMs: 5 * minuteMs, Scale: Fine}
 	window30m = Window{Name: "30m", SpanMs: 30 * minuteMs, Scale: Minute}
 	window1h  = Window{Name: "1h", SpanMs: hourMs, Scale: Minute}
 	window6h  = Window{Name: "6h", SpanMs: 6 * hourMs, Scale: Minute}
 	period    = Window{Name: "72h", SpanMs: PeriodMs, Scale: Hour}
-	// minutes5 stands in for window5m where only minutes are known.
-	minutes5 = Window{Name: "5m", SpanMs: 5 * minuteMs, Scale: Minute}
+	// window5mCoarse replaces window5m for series that have only minute buckets.
+	window5mCoarse = Window{Name: "5m", SpanMs: 5 * minuteMs, Scale: Minute}
 
 	windows = [...]Window{window5m, window30m, window1h, window6h}
 )
 
 const (
-	// fastBurn in 5m and 1h, and slowBurn in 30m and 6h, raise an alert: the
-	// usual factors, which spend 2 % of a 30-day budget in 1 h, or 5 % in 6 h.
+	// A burn rate of fastBurn in 5m and 1h, or of slowBurn in 30m and 6h, raises an alert.
+	// These are the usual factors: they spend 2 % of a 30-day budget in 1 h, or 5 % in 6 h.
 	fastBurn = 14.4
 	slowBurn = 6.0
-	// topReasons is how many reasons a report lists per objective.
+	// topReasons is the maximum number of reasons that a report lists per objective.
 	topReasons = 5
 )
 
@@ -54,7 +55,7 @@
 
 // Report is the service-level burn of all profiles that have objectives.
 type Report struct {
-	// AtMs is the time that the windows end at, Unix milliseconds.
+	// AtMs is the end of the windows, Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
 	// Profiles are sorted by name; those without an objective are left out.
 	Profiles []ProfileReport `json:"profiles"`
@@ -72,19 +73,20 @@
 	// Share is the share of events that must be good.
 	Share   float64      `json:"share"`
 	Windows []WindowBurn `json:"windows"`
-	// Alerting tells that a rule fires, Alert which; fast goes before slow.
+	// Alerting reports whether a rule fires, Alert which one; fast has precedence over slow.
 	Alerting bool  `json:"alerting"`
 	Alert    Alert `json:"alert"`
-	// BudgetLeft is the share of the period's error budget that is left: 1 is
-	// untouched, below 0 is overspent.
+	// BudgetLeft is the remaining share of the period's error budget: 1 if none is spent,
+	// below 0 if it is overspent.
 	BudgetLeft float64 `json:"budget_left"`
-	// PeriodMs is that period's length in milliseconds.
+	// PeriodMs is the period of the error budget, in milliseconds.
 	PeriodMs int64 `json:"period_ms"`
 	// TopReasons covers the last 6 h.
 	TopReasons []TopReason `json:"top_reasons"`
 }
 
-// WindowBurn is the burn in one window: 1 would spend the budget just in time.
+// WindowBurn is the burn rate in one window: at 1, the budget is spent exactly at the end of
+// the period.
 type WindowBurn struct {
 	Window string  `json:"window"`
 	Burn   float64 `json:"burn"`
@@ -99,7 +101,7 @@
 	Count  uint64 `json:"count"`
 }
 
-// Report returns the burn at nowMs, by the objectives that the profiles have now.
+// Report returns the burn at nowMs against the profiles' current objectives.
 func (s *Set) Report(nowMs int64, profiles map[string]*config.Profile) Report {
 	names := make([]string, 0, len(profiles))
 	for name := range profiles {
@@ -121,7 +123,7 @@
 	return report
 }
 
-// objective reports one objective.
+// objective returns the report of one objective.
 func (s *Set) objective(o Objective, profile string, wanted float64, nowMs int64) ObjectiveReport {
 	r := ObjectiveReport{Objective: o.String(), Share: wanted, PeriodMs: PeriodMs}
 	burns := make(map[string]float64, len(windows))
@@ -142,7 +144,7 @@
 	return r
 }
 
-// burnRate is the share of bad events over the share that is allowed.
+// burnRate returns the share of bad events divided by the allowed share.
 func burnRate(n Count, wanted float64) float64 {
 	if n.Total == 0 {
 		return 0
@@ -150,7 +152,7 @@
 	return float64(n.Bad) / float64(n.Total) / (1 - wanted)
 }
 
-// sum counts a profile's events of all sources and groups in a window.
+// sum returns a profile's event count over all sources and groups in a window.
 func (s *Set) sum(o Objective, profile string, w Window, nowMs int64) (n Count) {
 	for key, cells := range s.series {
 		if key.profile != profile {
@@ -164,27 +166,27 @@
 	return n
 }
 
-// windowFor returns the window to read a series with. A host that was replaced
-// is known by its minutes on the log only, and would be missing from the 5 min
-// window, which could hide the very failure that took it down.
+// windowFor returns the window to use for a series. Of a host that was replaced, only the
+// minute buckets from the log are known. Without them its events would be missing from the
+// 5 min window, which could hide the failure that took the host down.
 func (s *Set) windowFor(key seriesKey, w Window, nowMs int64) Window {
 	if w.Scale != Fine {
 		return w
 	}
 	fine := false
-	// A fast clock's fine bucket ahead of now may lie in a minute that has
-	// begun, so the look goes on to the minute's end.
+	// A fine bucket ahead of now, from a host whose clock is fast, may be in the
+	// current minute, so the search extends to the end of that minute.
 	ahead := Window{SpanMs: w.SpanMs + minuteMs, Scale: w.Scale}
 	s.eachIn(s.series[key], ahead, nowMs+minuteMs, func(*Cell) { fine = true })
 	if fine {
 		return w
 	}
-	return minutes5
+	return window5mCoarse
 }
 
-// eachIn visits the cells of a window: the current bucket, which is not full
-// yet, and those before it. Buckets ahead of now come from a fast clock; they
-// are counted once the time is there.
+// eachIn calls visit for the cells of a window: the current bucket, which is still
+// incomplete, and those before it. Buckets ahead of now are from hosts whose clocks are fast;
+// they are counted when their time comes.
 func (s *Set) eachIn(cells map[cellKey]*Cell, w Window, nowMs int64, visit func(*Cell)) {
 	last := nowMs / widthMs[w.Scale]
 	first := last - w.SpanMs/widthMs[w.Scale] + 1
--- a/core/burn/set.go
+++ b/core/burn/set.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Summary is what one host incarnation counted, whole or in part.
+// Summary holds all or some of the cells that one host incarnation counted.
 type Summary struct {
-	// Source is the host incarnation's id; no other counts under it.
+	// Source is the id of the host incarnation; no other one counts under it.
 	Source string   `json:"source" msgpack:"h"`
 	Series []Series `json:"series" msgpack:"s"`
 }
@@ -31,10 +31,10 @@
 	return out
 }
 
-// seriesKey names a series across sources.
+// seriesKey identifies a series across sources.
 type seriesKey struct{ source, profile, group string }
 
-// cellKey names a cell in its series.
+// cellKey identifies a cell in its series.
 type cellKey struct {
 	scale Scale
 	index int64
@@ -48,7 +48,8 @@
 // NewSet returns an empty set.
 func NewSet() *Set { return &Set{series: make(map[seriesKey]map[cellKey]*Cell)} }
 
-// Merge takes a summary over. The order and the number of times do not matter.
+// Merge merges a summary into the set. Merging is commutative and idempotent. Cells of an
+// unknown scale are ignored.
 func (s *Set) Merge(summary Summary) {
 	for _, series := range summary.Series {
 		key := seriesKey{source: summary.Source, profile: series.Profile, group: series.Group}
@@ -56,12 +57,12 @@
 			if cell.Scale < 0 || cell.Scale >= scales {
 				continue
 			}
-			s.cell(key, cellKey{scale: cell.Scale, index: cell.Index}).join(cell)
+			s.cell(key, cellKey{scale: cell.Scale, index: cell.Index}).merge(cell)
 		}
 	}
 }
 
-// cell returns a cell, made at first use.
+// cell returns the cell with the key and creates it if necessary.
 func (s *Set) cell(key seriesKey, at cellKey) *Cell {
 	cells, ok := s.series[key]
 	if !ok {
@@ -76,8 +77,8 @@
 	return cell
 }
 
-// Prune forgets the cells that no window reaches back to, and with them the
-// hosts that are long gone. Call it every few minutes.
+// Prune removes the cells that no window reaches back to any more, and with them the hosts
+// that were removed long ago. Call it every few minutes.
 func (s *Set) Prune(nowMs int64) {
 	for key, cells := range s.series {
 		for at := range cells {
@@ -91,12 +92,12 @@
 	}
 }
 
-// Summaries returns everything in the set, one summary a source, in a fixed order.
+// Summaries returns the whole set, one summary per source, sorted by source.
 func (s *Set) Summaries() []Summary {
 	return s.collect(func(seriesKey, cellKey) bool { return true })
 }
 
-// collect returns the cells that keep chooses.
+// collect returns copies of the cells for which keep returns true, as Summaries does.
 func (s *Set) collect(keep func(seriesKey, cellKey) bool) []Summary {
 	keys := make([]seriesKey, 0, len(s.series))
 	for key := range s.series {
@@ -120,12 +121,12 @@
 	return out
 }
 
-// cells returns copies of a series' chosen cells, in order.
+// cells returns sorted copies of the cells of a series for which keep returns true.
 func (s *Set) cells(key seriesKey, keep func(seriesKey, cellKey) bool) []Cell {
 	var out []Cell
 	for at, cell := range s.series[key] {
 		if keep(key, at) {
-			out = append(out, cell.copied())
+			out = append(out, cell.clone())
 		}
 	}
 	slices.SortFunc(out, func(a, b Cell) int {
--- a/core/burn/wire.go
+++ b/core/burn/wire.go
@@ -6,8 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Encode returns a summary as msgpack for the log, with short integers: most
-// counts of a minute fit in one byte.
+// Encode returns a summary as msgpack for the log, with compact integers: most counts of a
+// minute fit in one byte.
 func Encode(s Summary) ([]byte, error) {
 	var out bytes.Buffer
 	encoder := msgpack.NewEncoder(&out)
@@ -16,7 +16,7 @@
 	return out.Bytes(), err
 }
 
-// Decode reads what Encode wrote.
+// Decode decodes the output of Encode.
 func Decode(text []byte) (s Summary, err error) {
 	err = msgpack.Unmarshal(text, &s)
 	return s, err
