--- a/core/batch/order_test.go
+++ b/core/batch/order_test.go
@@ -15,7 +15,7 @@
 // replayOverload simulates items that arrive faster than the slots can run them and returns
 // how many of them finish on time.
 func replayOverload(choose func(works []batch.Work) int) (inTime, all int) {
-	const places, step, due = 6, 100 * time.Millisecond, 18 * time.Second
+	const slots, step, due = 6, 100 * time.Millisecond, 18 * time.Second
 	type item struct{ due, left time.Duration }
 	random := rand.New(rand.NewPCG(1, 2))
 	var waiting, running []item
@@ -26,7 +26,7 @@
 				all++
 			}
 		}
-		for len(running) < places && len(waiting) > 0 {
+		for len(running) < slots && len(waiting) > 0 {
 			works := make([]batch.Work, len(waiting))
 			for i, w := range waiting {
 				works[i] = batch.Work{Due: w.due - now, Left: w.left}
@@ -81,7 +81,7 @@
 func TestOnTimeKeepsWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "items")
-		places := rapid.Float64Range(1, 8).Draw(t, "places")
+		slots := rapid.Float64Range(1, 8).Draw(t, "places")
 		works := make([]batch.Work, n)
 		for i := range works {
 			works[i] = batch.Work{
@@ -100,26 +100,26 @@
 			sum := time.Duration(0)
 			for _, i := range order {
 				sum += works[i].Left
-				if works[i].Left > works[i].Due || float64(sum) > places*float64(works[i].Due) {
+				if works[i].Left > works[i].Due || float64(sum) > slots*float64(works[i].Due) {
 					return false
 				}
 			}
 			return true
 		}
-		first := batch.OnTime(works, places)
+		first := batch.OnTime(works, slots)
 		if !fits(func(i int) bool { return first[i] }) {
-			t.Fatalf("%v do not fit %v places: %v", works, places, first)
+			t.Fatalf("%v do not fit %v slots: %v", works, slots, first)
 		}
 		if fits(func(int) bool { return true }) && slices.Contains(first, false) {
-			t.Fatalf("%v fit %v places, kept %v", works, places, first)
+			t.Fatalf("%v fit %v slots, kept %v", works, slots, first)
 		}
 	})
 }
 
-func TestSpeedLearns(t *testing.T) {
+func TestEstimatorLearns(t *testing.T) {
 	var s batch.Speed
 	if s.Left(1000, 0) != 0 {
-		t.Fatal("something is left before anything was learned")
+		t.Fatal("estimate is not 0 before the first observation")
 	}
 	for range 50 {
 		s.Ran(100, 3*time.Second)
@@ -132,7 +132,7 @@
 	for i := range 200 {
 		s.Had(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
 	}
-	if places, known := s.Places(); !known || places < 4 || places > 6 {
-		t.Fatalf("%v places, known: %v", places, known)
+	if slots, known := s.Places(); !known || slots < 4 || slots > 6 {
+		t.Fatalf("%v slots, known: %v", slots, known)
 	}
 }
--- a/core/batch/pace_test.go
+++ b/core/batch/pace_test.go
@@ -11,16 +11,16 @@
 // replay simulates daemons that fill a group of engines whose free slots they know from the
 // previous load report. It returns the number of starts that found no free slot and the
 // number of slots left empty at the end.
-func replay(daemons, places, steps int, paced bool) (over, empty int) {
+func replay(daemons, slots, steps int, paced bool) (over, empty int) {
 	const age = 40 * time.Millisecond
-	const look = 20 * time.Millisecond
+	const interval = 20 * time.Millisecond
 	now := time.Unix(1000, 0)
 	random := rand.New(rand.NewPCG(1, uint64(daemons)))
 	pacers := make([]batch.Pacer, daemons)
 	taken := 0
-	seen := []int{places, places}
+	seen := []int{slots, slots}
 	for range steps {
-		now = now.Add(look)
+		now = now.Add(interval)
 		free := seen[0]
 		started := 0
 		for i := range pacers {
@@ -30,12 +30,12 @@
 			}
 			started += n
 		}
-		fit := min(started, places-taken)
+		fit := min(started, slots-taken)
 		taken += fit
 		over += started - fit
-		seen = append(seen[1:], places-taken)
+		seen = append(seen[1:], slots-taken)
 	}
-	return over, places - taken
+	return over, slots - taken
 }
 
 // A burst of online requests ends and frees slots at the engines. All daemons see them at
@@ -46,7 +46,7 @@
 		naive, _ := replay(load.daemons, load.places, 100, false)
 		paced, empty := replay(load.daemons, load.places, 100, true)
 		if empty != 0 {
-			t.Errorf("%+v: %d places stay empty for 2 s", load, empty)
+			t.Errorf("%+v: %d slots stay empty for 2 s", load, empty)
 		}
 		if load.daemons > 1 && paced > naive/5 {
 			t.Errorf("%+v: %d starts too many, %d without pacing", load, paced, naive)
@@ -54,13 +54,13 @@
 	}
 }
 
-func TestPacerStartsNothingWithoutPlaces(t *testing.T) {
+func TestPacerStartsNothingWithoutFreeSlots(t *testing.T) {
 	var p batch.Pacer
 	now := time.Unix(1000, 0)
 	for range 100 {
 		now = now.Add(time.Second)
 		if p.Allow(now, 0, 5, time.Millisecond, 0) > 0 {
-			t.Fatal("started with no place free")
+			t.Fatal("started with no free slot")
 		}
 	}
 }
--- a/core/membership/hostlist.go
+++ b/core/membership/hostlist.go
@@ -128,9 +128,9 @@
 	m.queue.addTarget(address)
 }
 
-// forgetTargets removes targets that have been missing from the local host list for
+// removeExpiredTargets removes targets that have been missing from the local host list for
 // ForgetAfter, if that list is at least as new as the notice about them.
-func (m *Machine) forgetTargets(now time.Time) {
+func (m *Machine) removeExpiredTargets(now time.Time) {
 	for address, t := range m.targets {
 		removable := !t.unlistedSince.IsZero() && t.notice.ListVersion <= m.list.version
 		if removable && now.Sub(t.unlistedSince) >= m.opt.ForgetAfter {
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -179,7 +179,7 @@
 	m.observe(now)
 	m.ticks++
 	m.expireSuspects(now)
-	m.forget(now)
+	m.removeExpired(now)
 	probes := m.verifySuspects()
 	if p, ok := m.regularProbe(); ok {
 		probes = append(probes, p)
@@ -231,9 +231,9 @@
 	m.queue.addMember(e.member.Host)
 }
 
-// forget removes members that have been dead for ForgetAfter and are not on the host list.
-// A dead member on the list is kept and probed periodically in case it returns.
-func (m *Machine) forget(now time.Time) {
+// removeExpired removes members that have been dead for ForgetAfter and are not on the host
+// list. A dead member on the list is kept and probed periodically in case it returns.
+func (m *Machine) removeExpired(now time.Time) {
 	for host, e := range m.members {
 		removable := e.member.State == Dead && !m.list.daemons[host]
 		if removable && now.Sub(e.since) >= m.opt.ForgetAfter {
@@ -242,7 +242,7 @@
 			m.queue.dropMember(host)
 		}
 	}
-	m.forgetTargets(now)
+	m.removeExpiredTargets(now)
 }
 
 // alone reports whether every other known member is dead.
--- a/core/shard/shard_test.go
+++ b/core/shard/shard_test.go
@@ -39,7 +39,7 @@
 		}
 		f.Self = "stranger"
 		if _, ok := ClaimAfter(f); ok {
-			t.Fatal("a stranger tries")
+			t.Fatal("an unknown daemon tries")
 		}
 	})
 }
