--- a/core/configlog/folder.go
+++ b/core/configlog/folder.go
@@ -26,8 +26,8 @@
 //     by one with a higher Through, which never lowers the version.
 type Folder struct {
 	state State
-	// from is the offset where the buffered records begin; it equals state.Through+1 if
-	// there is no gap.
+	// pendingFrom is the offset where the buffered records begin; it equals
+	// state.Through+1 if there is no gap.
 	pendingFrom int64
 	pending     []Input
 	// next is the offset to read next.
--- a/core/membership/spread.go
+++ b/core/membership/spread.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// after returns the first name greater than last, or the first name if there is none. ok is
-// false if sorted is empty.
+// after returns the first name greater than last, or the first name if there is none. The
+// second result is false if sorted is empty.
 func after(sorted []string, last string) (string, bool) {
 	if len(sorted) == 0 {
 		return "", false
