--- a/core/batch/order_test.go
+++ b/core/batch/order_test.go
@@ -12,10 +12,10 @@
 	"tarragonhollow.example/tarragonhollow/core/batch"
 )
 
-// replayOverload lets items of many jobs arrive faster than their places can run them
-// and returns how many of them end in time.
+// replayOverload simulates items that arrive faster than the slots can run them and returns
+// how many of them finish on time.
 func replayOverload(choose func(works []batch.Work) int) (inTime, all int) {
-	const places, step, due = 6, 100 * time.Millisecond, 18 * time.Second
+	const slots, step, due = 6, 100 * time.Millisecond, 18 * time.Second
 	type item struct{ due, left time.Duration }
 	random := rand.New(rand.NewPCG(1, 2))
 	var waiting, running []item
@@ -26,7 +26,7 @@
 				all++
 			}
 		}
-		for len(running) < places && len(waiting) > 0 {
+		for len(running) < slots && len(waiting) > 0 {
 			works := make([]batch.Work, len(waiting))
 			for i, w := range waiting {
 				works[i] = batch.Work{Due: w.due - now, Left: w.left}
@@ -58,8 +58,8 @@
 	return best
 }
 
-// For a minute a third more items come than can be run. By due time alone each of them
-// waits behind those that are late; what can end in time must go first.
+// For a minute, a third more items arrive than can run. Ordered by due time alone, each of
+// them waits behind late ones; the items that can finish on time must run first.
 func TestOrderUnderOverloadAgainstDueTimes(t *testing.T) {
 	naive, all := replayOverload(func(works []batch.Work) int {
 		return earliest(works, func(int) bool { return true })
@@ -76,12 +76,12 @@
 	}
 }
 
-// What is put first ends in time if the places are had, and where everything can, all
-// is put first.
+// All selected items fit the slots and finish on time, and if all items can finish on time,
+// all are selected.
 func TestOnTimeKeepsWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "items")
-		places := rapid.Float64Range(1, 8).Draw(t, "places")
+		slots := rapid.Float64Range(1, 8).Draw(t, "places")
 		works := make([]batch.Work, n)
 		for i := range works {
 			works[i] = batch.Work{
@@ -100,26 +100,26 @@
 			sum := time.Duration(0)
 			for _, i := range order {
 				sum += works[i].Left
-				if works[i].Left > works[i].Due || float64(sum) > places*float64(works[i].Due) {
+				if works[i].Left > works[i].Due || float64(sum) > slots*float64(works[i].Due) {
 					return false
 				}
 			}
 			return true
 		}
-		first := batch.OnTime(works, places)
+		first := batch.OnTime(works, slots)
 		if !fits(func(i int) bool { return first[i] }) {
-			t.Fatalf("%v do not fit %v places: %v", works, places, first)
+			t.Fatalf("%v do not fit %v slots: %v", works, slots, first)
 		}
 		if fits(func(int) bool { return true }) && slices.Contains(first, false) {
-			t.Fatalf("%v fit %v places, kept %v", works, places, first)
+			t.Fatalf("%v fit %v slots, kept %v", works, slots, first)
 		}
 	})
 }
 
-func TestSpeedLearns(t *testing.T) {
+func TestEstimatorLearns(t *testing.T) {
 	var s batch.Speed
 	if s.Left(1000, 0) != 0 {
-		t.Fatal("something is left before anything was learned")
+		t.Fatal("estimate is not 0 before the first observation")
 	}
 	for range 50 {
 		s.Ran(100, 3*time.Second)
@@ -132,7 +132,7 @@
 	for i := range 200 {
 		s.Had(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
 	}
-	if places, known := s.Places(); !known || places < 4 || places > 6 {
-		t.Fatalf("%v places, known: %v", places, known)
+	if slots, known := s.Places(); !known || slots < 4 || slots > 6 {
+		t.Fatalf("%v slots, known: %v", slots, known)
 	}
 }
