--- a/core/ledger/append.go
+++ b/core/ledger/append.go
@@ -2,26 +2,27 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// proposal is a change that waits for its place on the log.
+// proposal is a change that waits to be written to the log.
 type proposal interface {
-	// subject is what it changes, see Owner.fits.
+	// subject returns the request or job that the proposal changes; see
+	// recordBuilder.fits.
 	subject() subject
-	// entries returns what to append, given the state now; none if the state
-	// has made it moot.
+	// entries returns the entries to append in view of the current state, none if the
+	// state has made the proposal obsolete.
 	entries(o *Owner) []Entry
-	// settled is called when the entries were read back as valid, or when the
-	// proposal was moot.
-	settled(o *Owner)
-	// withdraw is called when the log certainly did not take the entries. It
-	// returns true if the proposal gives up, having told its callers why.
+	// done is called when the entries were read back as valid, or when the proposal was
+	// obsolete.
+	done(o *Owner)
+	// withdraw is called when the log has certainly not stored the entries. It returns
+	// true if the proposal is dropped, after its callers were answered with the cause.
 	withdraw(o *Owner, cause *outcome.Refusal) bool
-	// size is the estimated size of its entries.
+	// size returns the estimated size of the entries in bytes.
 	size() int
 }
 
-// subject names the request or job that a proposal changes. An exclusive
-// proposal was decided on the subject's state, so it shares no record with
-// another change of the subject, whose effect the state does not show yet.
+// subject identifies the request or job that a proposal changes. An exclusive proposal
+// was decided on the current state of its subject. It must not share a record with
+// another change of the same subject, because the state doesn't reflect that change yet.
 type subject struct {
 	name      string
 	exclusive bool
@@ -33,42 +34,43 @@
 	return subject{name: "j " + job, exclusive: exclusive}
 }
 
-// AppendOutcome tells how an append ended.
+// AppendOutcome is the outcome of an append.
 type AppendOutcome int
 
 const (
 	// Appended: the record is on the stream.
 	Appended AppendOutcome = iota
-	// Unavailable: certainly not appended, the log is out.
+	// Unavailable: certainly not appended, the log is unavailable.
 	Unavailable
-	// Limited: certainly not appended, the log asks for patience.
+	// Throttled: certainly not appended, the log limits the rate.
 	Limited
 	// TooLarge: certainly not appended, the record is too large.
 	TooLarge
-	// Unknown: the answer was lost.
+	// Unknown: the response was lost, so the record may have been appended.
 	Unknown
 )
 
-// flight is the one record of this owner that may be on its way.
-type flight struct {
-	data  []byte
-	seq   uint64
-	props []proposal
-	sent  bool // an append is going on
-	// maybe is set once an answer was lost: from then on only reading back
-	// tells, and the record is appended again only as it was, with its Seq, so
-	// that it counts once however many of its appends land and whenever.
-	maybe bool
-	// bound is the stream's next offset after the answer was lost; a state
-	// folded up to it that hasn't met the record allows another try.
-	bound int64
-	acked bool
+// inFlight is the owner's record that is being appended or waits to be read back. There
+// is at most one.
+type inFlight struct {
+	data      []byte
+	seq       uint64
+	props     []proposal
+	appending bool // an append is running
+	// outcomeUnknown is set once a response was lost. From then on only reading back
+	// shows whether the record was stored. It is appended again only unchanged, with its
+	// Seq, so that it is valid once, however many of its appends land and however late.
+	outcomeUnknown bool
+	// retryOffset is the stream's next offset after the response was lost. If the state
+	// was applied up to it without meeting the record, the append may be retried.
+	retryOffset int64
+	acked       bool
 }
 
-const noBound int64 = -1
+const noRetryOffset int64 = -1
 
-func (o *Owner) queue(p proposal, urgent bool) {
-	o.waiting += p.size()
+func (o *Owner) propose(p proposal, urgent bool) {
+	o.queuedBytes += p.size()
 	if urgent {
 		o.urgent = append(o.urgent, p)
 		return
@@ -76,19 +78,19 @@
 	o.normal = append(o.normal, p)
 }
 
-// ringFull tells whether completions that wait for the log must be refused.
-func (o *Owner) ringFull() bool { return o.waiting > ringBytes || len(o.normal) > ringLen }
+// queueFull reports whether completions that would wait for the log must be refused.
+func (o *Owner) queueFull() bool { return o.queuedBytes > maxQueueBytes || len(o.normal) > maxQueueLen }
 
-// NextAppend returns when the next record may be built, Unix milliseconds, and
-// whether that is early for the sake of an urgent change, which the daemon
-// charges to its budget. ok is false if nothing is to be appended.
+// NextAppend returns when the next record may be built, Unix milliseconds, and whether
+// that is early because of an urgent change, which the daemon charges to its budget. ok
+// is false if there is nothing to append.
 func (o *Owner) NextAppend() (atMs int64, urgent, ok bool) {
 	if o.phase == lost {
 		return 0, false, false
 	}
-	if f := o.flight; f != nil {
-		again := !f.sent && !f.acked && f.bound != noBound && o.st.next >= f.bound
-		return max(o.retryAtMs, o.now), true, again
+	if f := o.inFlight; f != nil {
+		retry := !f.appending && !f.acked && f.retryOffset != noRetryOffset && o.st.next >= f.retryOffset
+		return max(o.retryAtMs, o.now), true, retry
 	}
 	if o.phase == claiming {
 		return o.retryAtMs, true, true
@@ -96,27 +98,27 @@
 	if len(o.urgent) > 0 || o.releaseTo != nil {
 		return max(o.lastAppendMs+o.cfg.UrgentMs, o.retryAtMs), true, true
 	}
-	if len(o.normal) > 0 || o.restateDue(o.st.oldest()) || o.termDue() {
+	if len(o.normal) > 0 || o.rewriteDue(o.st.oldest()) || o.keepAliveDue() {
 		return max(o.lastAppendMs+o.cfg.PaceMs, o.retryAtMs), false, true
 	}
 	return 0, false, false
 }
 
-// Build returns the next record's bytes, nil if there is nothing to append now.
-// The daemon appends them and reports with AppendDone.
+// Build returns the encoding of the next record, nil if there is nothing to append now.
+// The daemon appends it and reports the outcome with AppendDone.
 func (o *Owner) Build(nowMs int64) ([]byte, error) {
 	o.now = nowMs
 	atMs, _, ok := o.NextAppend()
 	if !ok || nowMs < atMs {
 		return nil, nil
 	}
-	if o.flight != nil {
-		o.flight.sent = true
+	if o.inFlight != nil {
+		o.inFlight.appending = true
 		o.lastAppendMs = nowMs
-		return o.flight.data, nil
+		return o.inFlight.data, nil
 	}
-	rec, props := o.fill()
-	if len(rec.Entries) == 0 && !o.termDue() {
+	rec, props := o.buildRecord()
+	if len(rec.Entries) == 0 && !o.keepAliveDue() {
 		return nil, nil
 	}
 	data, err := EncodeRecord(rec)
@@ -124,13 +126,13 @@
 		return nil, err
 	}
 	o.seq = rec.Seq
-	o.flight = &flight{data: data, seq: rec.Seq, props: props, sent: true, bound: noBound}
+	o.inFlight = &inFlight{data: data, seq: rec.Seq, props: props, appending: true, retryOffset: noRetryOffset}
 	o.lastAppendMs = nowMs
-	o.figures.Appends++
+	o.stats.Appends++
 	return data, nil
 }
 
-func (o *Owner) fill() (*Record, []proposal) {
+func (o *Owner) buildRecord() (*Record, []proposal) {
 	rec := &Record{
 		Shard: o.cfg.Shard, Term: o.term, Writer: o.cfg.Self, Seq: o.seq + 1,
 		Low: o.st.Low(), AtMs: o.now,
@@ -139,42 +141,42 @@
 		rec.Entries = []Entry{{Claim: &Claim{Reset: !o.st.anchored}}}
 		return rec, nil
 	}
-	b := &batch{rec: rec, touched: map[string]bool{}, room: o.maxRecord - o.restate(rec)}
+	b := &recordBuilder{rec: rec, touched: map[string]bool{}, bytesLeft: o.maxRecord - o.rewriteOldest(rec)}
 	urgent, normal := o.urgent, o.normal
-	o.urgent, o.normal = nil, nil // a moot proposal may queue another
-	o.urgent = append(o.take(b, urgent), o.urgent...)
-	o.normal = append(o.take(b, normal), o.normal...)
+	o.urgent, o.normal = nil, nil // an obsolete proposal may propose another
+	o.urgent = append(o.fillFrom(b, urgent), o.urgent...)
+	o.normal = append(o.fillFrom(b, normal), o.normal...)
 	if o.releaseTo != nil && len(o.urgent) == 0 && len(o.normal) == 0 {
 		rec.Entries = append(rec.Entries, Entry{Release: &Release{Successor: *o.releaseTo}})
 	}
 	return rec, b.props
 }
 
-// batch is a record being filled. touched maps the subjects in it to whether
-// they were changed exclusively.
-type batch struct {
-	rec     *Record
-	props   []proposal
-	touched map[string]bool
-	room    int
+// recordBuilder is a record being filled. touched maps the subjects of its changes to
+// whether a change was exclusive.
+type recordBuilder struct {
+	rec       *Record
+	props     []proposal
+	touched   map[string]bool
+	bytesLeft int
 }
 
-// take moves what fits from the queue into the record and returns the rest, in
-// order.
-func (o *Owner) take(b *batch, queue []proposal) []proposal {
+// fillFrom moves the proposals that fit from the queue into the record and returns the
+// rest, in order.
+func (o *Owner) fillFrom(b *recordBuilder, queue []proposal) []proposal {
 	var rest []proposal
 	for i, p := range queue {
-		if b.room <= 0 {
+		if b.bytesLeft <= 0 {
 			return append(rest, queue[i:]...)
 		}
 		if !b.fits(p.subject()) {
 			rest = append(rest, p)
 			continue
 		}
-		o.waiting -= p.size()
+		o.queuedBytes -= p.size()
 		entries := p.entries(o)
 		if len(entries) == 0 {
-			p.settled(o)
+			p.done(o)
 			continue
 		}
 		b.add(p, entries)
@@ -182,22 +184,22 @@
 	return rest
 }
 
-func (b *batch) fits(s subject) bool {
-	exclusive, there := b.touched[s.name]
-	fits := !there || (!exclusive && !s.exclusive)
+func (b *recordBuilder) fits(s subject) bool {
+	exclusive, found := b.touched[s.name]
+	fits := !found || (!exclusive && !s.exclusive)
 	b.touched[s.name] = exclusive || s.exclusive
 	return fits
 }
 
-func (b *batch) add(p proposal, entries []Entry) {
+func (b *recordBuilder) add(p proposal, entries []Entry) {
 	b.props = append(b.props, p)
-	b.room -= p.size()
+	b.bytesLeft -= p.size()
 	for _, e := range entries {
 		b.rec.addEntry(e)
 	}
 }
 
-// addEntry groups item changes that follow each other.
+// addEntry appends an entry; consecutive item changes are merged into one.
 func (r *Record) addEntry(e Entry) {
 	if n := len(r.Entries); n > 0 {
 		last := &r.Entries[n-1]
@@ -213,16 +215,16 @@
 	r.Entries = append(r.Entries, e)
 }
 
-// AppendDone reports how the append of the built record ended. retryAfterMs is
-// the log's wish, 0 if none.
+// AppendDone reports the outcome of appending the built record. retryAfterMs is the pause
+// that the log requested, 0 if none.
 func (o *Owner) AppendDone(nowMs int64, out AppendOutcome, retryAfterMs int64) {
 	o.now = nowMs
-	f := o.flight
-	if f == nil { // read back before the answer came
+	f := o.inFlight
+	if f == nil { // read back before the response arrived
 		o.appendDown = o.appendDown && out != Appended
 		return
 	}
-	f.sent = false
+	f.appending = false
 	wait := int64(outageRetryMs / 4)
 	switch out {
 	case Appended:
@@ -230,24 +232,24 @@
 		f.acked = true
 		return
 	case Unknown:
-		f.maybe = true
+		f.outcomeUnknown = true
 	case Unavailable:
 		o.appendDown = true
 	case Limited, TooLarge:
 		wait = o.cfg.UrgentMs
 	}
 	o.retryAtMs = nowMs + max(retryAfterMs, wait)
-	if f.maybe {
-		f.bound = noBound // the daemon asks for a new one
+	if f.outcomeUnknown {
+		f.retryOffset = noRetryOffset // the daemon fetches a new one
 		return
 	}
-	o.unsend(out)
+	o.undoAppend(out)
 }
 
-// unsend takes back a record that is certainly not on the stream.
-func (o *Owner) unsend(out AppendOutcome) {
-	f := o.flight
-	o.flight = nil
+// undoAppend requeues the proposals of a record that is certainly not on the stream.
+func (o *Owner) undoAppend(out AppendOutcome) {
+	f := o.inFlight
+	o.inFlight = nil
 	o.seq--
 	switch out {
 	case Limited:
@@ -266,7 +268,7 @@
 		if cause != nil && p.withdraw(o, cause) {
 			continue
 		}
-		o.waiting += p.size()
+		o.queuedBytes += p.size()
 		kept = append(kept, p)
 	}
 	o.urgent = append(kept, o.urgent...)
@@ -281,7 +283,7 @@
 	var kept []proposal
 	for _, p := range queue {
 		if p.withdraw(o, logUnavailable()) {
-			o.waiting -= p.size()
+			o.queuedBytes -= p.size()
 			continue
 		}
 		kept = append(kept, p)
@@ -289,8 +291,8 @@
 	return kept
 }
 
-// shrink answers a log that refuses the record's size: smaller records first,
-// then, if a single change is too large, that change is refused.
+// shrink handles a log that rejects the record's size: it halves the maximum size of
+// records and, if the record held a single change, refuses that change.
 func (o *Owner) shrink(props []proposal) {
 	if len(props) > 1 {
 		o.maxRecord = max(minRecordBytes, o.maxRecord/2)
@@ -301,77 +303,79 @@
 	o.requeue(props, outcome.Refuse(outcome.TooLarge, "the log does not take a record of this size"))
 }
 
-// NeedsBound tells that an answer was lost and the daemon should ask the log
-// for the stream's next offset and report it with SetBound.
+// NeedsRetryOffset reports that a response was lost: the daemon should fetch the stream's
+// next offset from the log and pass it to SetRetryOffset.
 func (o *Owner) NeedsBound() bool {
-	f := o.flight
-	return f != nil && f.maybe && !f.sent && f.bound == noBound
+	f := o.inFlight
+	return f != nil && f.outcomeUnknown && !f.appending && f.retryOffset == noRetryOffset
 }
 
-// SetBound reports the stream's next offset, asked for after the answer was lost.
+// SetRetryOffset sets the stream's next offset, fetched after a response was lost.
 func (o *Owner) SetBound(next int64) {
-	if o.flight != nil && !o.flight.sent {
-		o.flight.bound = next
+	if o.inFlight != nil && !o.inFlight.appending {
+		o.inFlight.retryOffset = next
 	}
 }
 
-// Read steps a page of the stream in. first is the earliest offset kept. An
-// error of type Gap means that the fold can't go on and must be begun anew.
+// Apply applies a record read from the stream. An error of type Gap means that the owner
+// can't continue and the replay must begin again.
 func (o *Owner) Read(nowMs, offset int64, data []byte) error {
 	o.now = nowMs
 	rec, _ := DecodeRecord(o.cfg.Shard, data) // nil stands for a void record
-	fresh := offset >= o.st.next
+	isNew := offset >= o.st.next
 	valid, err := o.st.Apply(offset, len(data), rec)
 	if err != nil {
 		return err
 	}
-	if rec == nil || !fresh {
+	if rec == nil || !isNew {
 		return nil
 	}
-	o.follow(rec, valid)
+	o.afterApply(rec, valid)
 	return nil
 }
 
-// follow draws the conclusions of a record just folded.
-func (o *Owner) follow(rec *Record, valid bool) {
+// afterApply updates the owner after a record was applied: it starts or ends holding the
+// shard, and completes the record in flight.
+func (o *Owner) afterApply(rec *Record, valid bool) {
 	term, holder := o.st.Term()
-	mine := rec.Writer == o.cfg.Self && rec.Term == o.term
-	own := valid && mine && o.flight != nil && rec.Seq == o.flight.seq
+	fromSelf := rec.Writer == o.cfg.Self && rec.Term == o.term
+	isInFlight := valid && fromSelf && o.inFlight != nil && rec.Seq == o.inFlight.seq
 	switch {
 	case o.phase == lost:
 		return
-	case o.phase == claiming && own:
-		o.flight = nil
-		o.became()
+	case o.phase == claiming && isInFlight:
+		o.inFlight = nil
+		o.startHolding()
 		return
 	case o.phase == claiming && o.st.anchored && term >= o.term:
-		o.lose()
+		o.loseShard()
 		return
-	case own:
-		o.landed()
+	case isInFlight:
+		o.completeInFlight()
 	}
 	if o.phase == holding && (term != o.term || holder != o.cfg.Self) {
-		o.lose()
+		o.loseShard()
 	}
 }
 
-func (o *Owner) landed() {
-	props := o.flight.props
-	o.flight = nil
+func (o *Owner) completeInFlight() {
+	props := o.inFlight.props
+	o.inFlight = nil
 	o.appendDown = false
 	for _, p := range props {
-		p.settled(o)
+		p.done(o)
 	}
 }
 
-// ReadFailed and ReadOK report whether the stream can be read.
+// ReadFailed reports that the stream can't be read at the moment.
 func (o *Owner) ReadFailed(nowMs int64) { o.now, o.readDown = nowMs, true }
 
-// ReadOK also ends the time after a failed append in which nothing new is
-// begun: once the log's pause is over and reads succeed, the next change tries.
+// ReadOK reports that the stream can be read. It also ends the period after a failed
+// append in which no new work is begun: once the log's pause is over and reads succeed,
+// the next change is appended.
 func (o *Owner) ReadOK(nowMs int64) {
 	o.now, o.readDown = nowMs, false
-	if o.appendDown && nowMs >= o.retryAtMs && o.flight == nil {
+	if o.appendDown && nowMs >= o.retryAtMs && o.inFlight == nil {
 		o.appendDown = false
 	}
 }
--- a/core/ledger/bench_test.go
+++ b/core/ledger/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// benchItems and the sizes stand for a night's bundle: short prompts, short
+// benchItems is the number of items in BenchmarkReplay, benchBody and benchAnswer the
+// sizes of the prompts and answers in bytes: a nightly bundle of short prompts with short
 // answers.
 const (
 	benchItems  = 100_000
@@ -14,9 +15,9 @@
 	benchAnswer = 600
 )
 
-// work uploads a job of n items and finishes them at the rate a second of the
-// simulated clock; 0 finishes them as fast as they are handed out.
-func work(s *sim, o *Owner, n, rate int) {
+// uploadAndFinish uploads a job of n items and finishes them at the rate per second of
+// the simulated clock; rate 0 finishes them as fast as they are handed out.
+func uploadAndFinish(s *sim, o *Owner, n, rate int) {
 	o.OpenJob(s.now, JobOpenRequest{Job: "c/j", Upload: "u", Repeatable: true, MaxAttempts: 2, DueMs: s.now + 1e8})
 	prompt := []byte(`{"model":"m","x":"` + strings.Repeat("p", benchBody) + `"}`)
 	const perChunk = 500
@@ -66,8 +67,8 @@
 	}
 }
 
-// BenchmarkAppends tells how many appends and log bytes a job's items cost at
-// several speeds of one shard.
+// BenchmarkAppends reports how many appends and log bytes a job's items cost at several
+// rates of one shard.
 func BenchmarkAppends(b *testing.B) {
 	for _, rate := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("items_per_second=%d", rate), func(b *testing.B) {
@@ -75,7 +76,7 @@
 			var appends, bytes int
 			for b.Loop() {
 				s := newSim()
-				work(s, s.held("a"), items, rate)
+				uploadAndFinish(s, s.holder("a"), items, rate)
 				appends, bytes = len(s.log.data), 0
 				for _, d := range s.log.data {
 					bytes += len(d)
@@ -87,24 +88,24 @@
 	}
 }
 
-// BenchmarkReplay folds the stream of 100,000 finished items.
+// BenchmarkReplay replays the stream of 100,000 finished items.
 func BenchmarkReplay(b *testing.B) {
 	s := newSim()
-	work(s, s.held("a"), benchItems, 0)
+	uploadAndFinish(s, s.holder("a"), benchItems, 0)
 	var bytes int64
 	for _, d := range s.log.data {
 		bytes += int64(len(d))
 	}
 	b.SetBytes(bytes)
 	for b.Loop() {
-		s.log.fold(0, true)
+		s.log.replayFrom(0, true)
 	}
 }
 
-// BenchmarkKeyed counts what keyed requests cost, many at a time.
+// BenchmarkKeyed measures the cost of keyed requests, 500 for each flush to the log.
 func BenchmarkKeyed(b *testing.B) {
 	s := newSim()
-	o := s.held("a")
+	o := s.holder("a")
 	n := 0
 	for b.Loop() {
 		key := fmt.Sprint("c/", n)
--- a/core/ledger/fold_job.go
+++ b/core/ledger/fold_job.go
@@ -35,9 +35,9 @@
 	return j
 }
 
-// upload returns the upload's container, making one if the reader began after
-// its first chunk.
-func (s *State) upload(name, upload string) *job {
+// ensureUpload returns the job that holds an upload's chunks, creating it if the reader
+// began after the first chunk.
+func (s *State) ensureUpload(name, upload string) *job {
 	id := uploadID{name, upload}
 	j := s.uploads[id]
 	if j == nil {
@@ -47,15 +47,15 @@
 	return j
 }
 
-// accepted returns the job, making one if the reader began after its Accept.
-// Owners write an Accept only where the name is free, so an upload's container
-// becomes the job's whether or not this reader has seen all of its chunks: what
-// is missing is restated later.
-func (s *State) accepted(name, upload string) *job {
+// ensureJob returns the job, creating it if the reader began after its Accept. Owners
+// write an Accept only if no job has the name, so the job that holds the upload's chunks
+// becomes the accepted one whether or not this reader has applied all of its chunks: the
+// missing ones are rewritten later.
+func (s *State) ensureJob(name, upload string) *job {
 	if j := s.jobs[name]; j != nil {
 		return j
 	}
-	j := s.upload(name, upload)
+	j := s.ensureUpload(name, upload)
 	s.jobs[name] = j
 	delete(s.uploads, uploadID{name, upload})
 	return j
@@ -75,22 +75,22 @@
 func (s *State) putChunk(offset, atMs int64, b *ChunkBody) {
 	var j *job
 	if b.Open {
-		j = s.upload(b.Job, b.Upload)
+		j = s.ensureUpload(b.Job, b.Upload)
 	} else {
-		j = s.accepted(b.Job, b.Upload)
+		j = s.ensureJob(b.Job, b.Upload)
 	}
-	c := s.claimChunk(j, b.First, len(b.Items))
+	c := s.ensureChunk(j, b.First, len(b.Items))
 	j.received += len(b.Items) - len(c.items)
-	j.tally(c, -1)
+	j.countItems(c, -1)
 	c.items = b.Items
-	j.tally(c, 1)
-	s.stated(&c.object, offset, atMs, c.size())
+	j.countItems(c, 1)
+	s.recordFullState(&c.object, offset, atMs, c.size())
 }
 
-// claimChunk returns the chunk that begins at first, new if there is none. A
-// chunk longer than n is split: the rest keeps its place among the objects by
-// age, because its last full representation is still the old one.
-func (s *State) claimChunk(j *job, first, n int) *chunk {
+// ensureChunk returns the chunk that begins at first, creating it if there is none. A
+// chunk longer than n is split: the remainder keeps its position in the list of objects
+// by age, because its last full state is still the old one.
+func (s *State) ensureChunk(j *job, first, n int) *chunk {
 	at := sort.Search(len(j.chunks), func(i int) bool { return j.chunks[i].first >= first })
 	if at == len(j.chunks) || j.chunks[at].first != first {
 		c := j.newChunk(first)
@@ -106,10 +106,10 @@
 	if len(c.routes) > n {
 		rest.routes, c.routes = c.routes[n:], c.routes[:n:n]
 	}
-	rest.since, rest.folded, rest.atMs = c.since, c.folded, c.atMs
+	rest.fullOffset, rest.appliedBytes, rest.atMs = c.fullOffset, c.appliedBytes, c.atMs
 	rest.bytes = rest.size()
 	s.liveBytes += rest.bytes
-	s.grown(&c.object, c.size()-c.bytes)
+	s.addBytes(&c.object, c.size()-c.bytes)
 	rest.elem = s.live.InsertAfter(&rest.object, c.elem)
 	j.chunks = slices.Insert(j.chunks, at+1, rest)
 	return c
@@ -121,7 +121,7 @@
 	return c
 }
 
-func (j *job) tally(c *chunk, sign int) {
+func (j *job) countItems(c *chunk, sign int) {
 	for i := range c.items {
 		j.count(c.items[i].State, sign)
 	}
@@ -137,9 +137,9 @@
 }
 
 func (s *State) putHeader(offset, atMs int64, h *JobHeader) {
-	j := s.accepted(h.Job, h.Upload)
+	j := s.ensureJob(h.Job, h.Upload)
 	j.JobHeader = *h
-	s.stated(&j.object, offset, atMs, j.headerSize())
+	s.recordFullState(&j.object, offset, atMs, j.headerSize())
 	for id := range s.uploads {
 		if id.job == h.Job {
 			s.dropUpload(id)
@@ -168,7 +168,8 @@
 	}
 }
 
-// endItems settles items once: the first end in log order stands.
+// endItems applies the ends of items; the first end of an item in log order is the
+// result.
 func (s *State) endItems(e *ItemEnds) {
 	for i := range e.Changes {
 		s.endItem(&e.Changes[i])
@@ -186,13 +187,13 @@
 	it.Suspect, it.Crashes, it.Started = ch.Suspect, ch.Crashes, ""
 	it.Failures = ch.Failures
 	if it.ended() {
-		it.Item.Body, it.Progress = nil, nil // never needed again
+		it.Item.Body, it.Progress = nil, nil // not needed after the end
 		c.owner.count(ch.State, 1)
 	}
-	s.grown(&c.object, it.size()-before)
+	s.addBytes(&c.object, it.size()-before)
 }
 
-// item finds an item of an accepted job by its line number.
+// item returns the item of an accepted job with the line number, nil if there is none.
 func (s *State) item(name string, index int) (*chunk, *ItemBody) {
 	j := s.jobs[name]
 	if j == nil {
@@ -225,9 +226,9 @@
 }
 
 func (s *State) dropJob(j *job) {
-	s.dropped(&j.object)
+	s.removeObject(&j.object)
 	for _, c := range j.chunks {
-		s.dropped(&c.object)
+		s.removeObject(&c.object)
 	}
 }
 
--- a/core/ledger/fold_request.go
+++ b/core/ledger/fold_request.go
@@ -2,7 +2,7 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// objectOverhead is the estimated weight of an object's fixed fields on the log.
+// objectOverhead is the estimated size of an object's fixed fields on the log, in bytes.
 const objectOverhead = 96
 
 func (s *State) putRequest(offset, atMs int64, body RequestBody) {
@@ -16,13 +16,13 @@
 	if body.AtMs == 0 {
 		r.AtMs = atMs
 	}
-	s.stated(&r.object, offset, atMs, r.size())
+	s.recordFullState(&r.object, offset, atMs, r.size())
 }
 
-// finishRequest settles a request once: the first completion in log order is
-// the result. A completion still settles a request whose outcome was unknown.
-// A request that this reader has not seen in full yet is left alone: its full
-// state follows at a later offset, with this end in it (see Record.Low).
+// finishRequest applies the end of a request. The first completion in log order is the
+// result; it also resolves a request that had failed or whose outcome was unknown. An end
+// of a request that this reader doesn't know yet is ignored: the request's full state,
+// including this end, follows at a later offset (see Record.Low).
 func (s *State) finishRequest(atMs int64, f *FinishEntry) {
 	r := s.requests[f.Key]
 	if r == nil || r.State == RequestCompleted {
@@ -38,12 +38,12 @@
 		return
 	}
 	r.State, r.Answer, r.Refusal, r.AtMs = f.State, f.Answer, f.Refusal, atMs
-	s.grown(&r.object, r.size()-r.object.bytes)
+	s.addBytes(&r.object, r.size()-r.object.bytes)
 }
 
 func (s *State) dropRequest(r *request) {
 	delete(s.requests, r.Key)
-	s.dropped(&r.object)
+	s.removeObject(&r.object)
 }
 
 func (s *State) forget(f *ForgetEntry) {
--- a/core/ledger/jobs_test.go
+++ b/core/ledger/jobs_test.go
@@ -10,11 +10,11 @@
 )
 
 var _ = ginkgo.Describe("a job's items", func() {
-	// A completion and a cancel race each other. Whatever comes first on the log
-	// decides, and the counts add up.
+	// A completion races with a cancel. Their order on the log decides which one takes
+	// effect, and the job's counts must add up.
 	ginkgo.It("lets log order decide between a cancel and a completion", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 3, true)
 		s.flush(o)
 		items := s.pull(o, "s", 2)
@@ -25,7 +25,7 @@
 		o.FinishItems(s.now, s.call(), FinishItemsRequest{Steward: "s", Ends: []ItemEnd{{Ref: items[1].Ref, Answer: answer("y")}}})
 		s.flush(o)
 		Expect(o.Revokes()).To(Equal([]string{"c/j"}))
-		Expect(s.replies).NotTo(HaveKey(id), "the steward has not answered")
+		Expect(s.replies).NotTo(HaveKey(id), "the dispatcher has not confirmed the revocation")
 		o.Revoked(s.now, "c/j", []string{"s"})
 		s.flush(o)
 		Expect(s.replies[id].Cancel.Status.Completed).To(Equal(1))
@@ -33,12 +33,11 @@
 		Expect(dump(s.log.replay())).To(Equal(dump(o.State())))
 	})
 
-	// The steward that holds an item of a cancelled job can't be reached; it may
-	// be paused and go on. The cancel must not be confirmed before its lease has
-	// lapsed.
-	ginkgo.It("waits for the lease of a steward that is out of reach", func() {
+	// The dispatcher that holds an item of a cancelled job is unreachable; it may be
+	// paused and resume. The cancel must not be confirmed before its lease has expired.
+	ginkgo.It("waits until the lease of an unreachable dispatcher has expired", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, true)
 		s.flush(o)
 		s.pull(o, "s", 1)
@@ -59,28 +58,28 @@
 		Expect(s.replies[id].Cancel.Refusal).To(BeNil())
 	})
 
-	// A job names a service that nobody runs. Its items must end failed, with the
-	// reason and the word that nothing ran, and the job must end; but not before
-	// a configuration that names the service had its time to arrive, and an
-	// outage of the log, which carries it, is no such time.
-	ginkgo.It("fails items that no target group serves, in its time", func() {
+	// A job names a service that no target group serves. Its items must fail, with the
+	// reason and as not run, and the job must end, but only after a configuration that
+	// names the service had time to arrive. An outage of the log, which carries the
+	// configuration, doesn't count towards that time.
+	ginkgo.It("fails items that no target group serves after a delay", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 2, false)
 		s.flush(o)
 		s.unserved = true
 		s.flush(o)
 		o.ReadFailed(s.now)
-		s.now += 2 * unknownRouteMs
+		s.now += 2 * unservedRouteMs
 		o.Tick(s.now)
 		o.ReadOK(s.now)
 		s.flush(o)
 		waited := s.now
-		Expect(o.Jobs()[0].Failed).To(Equal(0), "the log was out")
-		s.now = waited + unknownRouteMs - 1000
+		Expect(o.Jobs()[0].Failed).To(Equal(0), "the log was unavailable")
+		s.now = waited + unservedRouteMs - 1000
 		s.flush(o)
-		Expect(o.Jobs()[0].Failed).To(Equal(0), "a configuration may be on its way")
-		s.now = waited + unknownRouteMs
+		Expect(o.Jobs()[0].Failed).To(Equal(0), "a configuration may still arrive")
+		s.now = waited + unservedRouteMs
 		s.flush(o)
 		Expect(o.Jobs()[0].State).To(Equal(JobEnded))
 		r, _ := o.Item("c/j", "0")
@@ -89,12 +88,12 @@
 		Expect(r.Refusal.Run).To(Equal(outcome.NotRun))
 	})
 
-	// An operator cancels a job, is told so, and looks at once from another
-	// daemon, after the shard has changed hands. At each look the job must be
-	// cancelled: the same word as the answer, never a step before it.
-	ginkgo.It("tells a confirmed cancel as cancelled, also under a new owner", func() {
+	// The shard changes hands after a cancel was confirmed, and the job is read from the
+	// new owner. It must be shown as cancelled there too, never in an earlier state than
+	// the one confirmed.
+	ginkgo.It("shows a confirmed cancel as cancelled, also under a new owner", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 2, true)
 		s.flush(o)
 		s.pull(o, "s", 1)
@@ -107,22 +106,22 @@
 		}
 		Expect(s.replies[id].Cancel.Status.State).To(Equal(JobCancelled))
 		Expect(o.Jobs()[0].State).To(Equal(JobCancelled))
-		Expect(s.held("b").Jobs()[0].State).To(Equal(JobCancelled), "the answer was durable")
+		Expect(s.holder("b").Jobs()[0].State).To(Equal(JobCancelled), "the answer was durable")
 	})
 
-	// A revision must be stamped once. Its steward dies after it got the item:
-	// the item ends as one that may have run, also under a new owner, and is
-	// never handed out again.
+	// A non-repeatable item's dispatcher dies after it got the item. The item must fail
+	// as one that may have run, also under a new owner, and must never be handed out
+	// again.
 	ginkgo.It("hands a non-repeatable item out once, after its start is on the log", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, false)
 		s.flush(o)
 		Expect(s.pull(o, "s", 1)).To(BeEmpty(), "its start is not on the log yet")
 		s.flush(o)
 		Expect(s.pull(o, "s", 1)).To(HaveLen(1))
 		s.dead["s"] = true
-		o = s.held("b")
+		o = s.holder("b")
 		s.now += 5000
 		s.flush(o)
 		Expect(s.pull(o, "s2", 1)).To(BeEmpty())
@@ -131,13 +130,14 @@
 		Expect(r.Refusal.Run).To(Equal(outcome.MayHaveRun))
 	})
 
-	// A revision is handed to a steward, but the reply is lost on the way. The
-	// steward lives and never saw it, so the job would never end. The item must
-	// be handed out again once the steward's later word shows that it never came,
-	// and not on an old word, nor within the lease, nor when the steward has it.
-	ginkgo.It("takes a non-repeatable item back whose handing over was lost", func() {
+	// The reply that hands a non-repeatable item out is lost. The dispatcher is live and
+	// never received the item, so the job would never end. The item must be handed out
+	// again once a later list of the dispatcher shows that it doesn't have the item, but
+	// not on the strength of an older list, nor within the lease, nor if the dispatcher
+	// has it.
+	ginkgo.It("reclaims a non-repeatable item if the reply that handed it out was lost", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, false)
 		s.flush(o)
 		s.pullSeq(o, 1)
@@ -146,7 +146,7 @@
 		Expect(lost).To(HaveLen(1))
 		s.pullSeq(o, 3)
 		s.flush(o)
-		Expect(s.pullSeq(o, 4)).To(BeEmpty(), "its lease goes on")
+		Expect(s.pullSeq(o, 4)).To(BeEmpty(), "its lease has not expired")
 		s.now += 5000
 		for _, seen := range [][]LeasedItem{s.pullSeq(o, 1), s.pullSeq(o, 5, lost[0].Ref)} {
 			s.flush(o)
@@ -164,18 +164,18 @@
 		Expect(dump(s.log.replay())).To(Equal(dump(o.State())))
 	})
 
-	// The owner put a revision's start on the log and died, and nobody knows
-	// whether it handed the item over. Its steward lives, so the job would never
-	// end. The successor hands the item out again once the steward drops what the
-	// dead one may still say, and not before, nor if the steward has it.
-	ginkgo.It("takes a non-repeatable item back that a predecessor started", func() {
+	// The owner wrote the start of a non-repeatable item and died; whether it handed the
+	// item out isn't known. The dispatcher is live, so the job would never end. The
+	// successor must hand the item out again once the dispatcher discards replies of the
+	// dead owner, but not before, nor if the dispatcher has the item.
+	ginkgo.It("reclaims a non-repeatable item that a previous owner started", func() {
 		s := newSim()
-		dead := s.held("a")
+		dead := s.holder("a")
 		s.job(dead, "c/j", "u", 1, false)
 		s.flush(dead)
 		s.pullSeq(dead, 1)
 		s.flush(dead)
-		o := s.held("b")
+		o := s.holder("b")
 		s.now += 5000
 		list := func(terms map[int]uint64, held ...ItemRef) []LeasedItem {
 			items := o.Pull(s.now, PullRequest{
@@ -191,9 +191,9 @@
 			r, _ := o.Item("c/j", "0")
 			Expect(r.State).To(Equal(ItemRunning))
 		}
-		late := s.pullSeq(dead, 2) // the dead one was only paused
+		late := s.pullSeq(dead, 2) // the previous owner was only paused
 		Expect(late).To(HaveLen(1))
-		Expect(late[0].Term).To(BeNumerically("<", o.Term()), "its steward drops it")
+		Expect(late[0].Term).To(BeNumerically("<", o.Term()), "its dispatcher discards it")
 		list(current)
 		list(current)
 		again := list(current)
@@ -202,11 +202,12 @@
 		Expect(again[0].Term).To(Equal(o.Term()))
 	})
 
-	// One drawing crashes whichever engine reads it. Others that ran beside it
-	// must not be blamed; it is run alone and refused after two more crashes.
-	ginkgo.It("condemns an item only for crashes while it ran alone", func() {
+	// An item crashes every target that runs it. Crashes while other items ran on the
+	// target must not count against it; after the first crash it is run alone, and it
+	// fails after two crashes while alone.
+	ginkgo.It("quarantines an item only for crashes while it ran alone", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, true)
 		s.flush(o)
 		for i, alone := range []bool{false, false, false, true, true} {
@@ -225,11 +226,12 @@
 		Expect(st.State).To(Equal(JobEnded))
 	})
 
-	// A steward is preempted again and again, then loses its lease. Neither may
-	// cost the item an attempt, and a result that comes after all is kept.
-	ginkgo.It("keeps attempts for failures and takes a late result", func() {
+	// A dispatcher hands an item back again and again because it is preempted, then its
+	// lease expires. Neither may count as an attempt, and a result that arrives after all
+	// is stored.
+	ginkgo.It("counts only failures as attempts and stores a late result", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, true)
 		s.flush(o)
 		var first ItemRef
@@ -251,11 +253,11 @@
 		Expect(body(r.Answer)).To(Equal("late"))
 	})
 
-	// A bundle of thousands of drawings is due first. A small job of another
-	// caller, due much later, must still get its share.
-	ginkgo.It("lets a large urgent job starve nobody", func() {
+	// A job of thousands of items is due first. A small job of another caller that is due
+	// much later must still get its share.
+	ginkgo.It("does not let a large urgent job starve others", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "big/j", "u", 4000, true)
 		s.now += 3_600_000
 		s.job(o, "small/j", "u", 20, true)
@@ -269,15 +271,15 @@
 		Expect(small).To(Equal(20))
 	})
 
-	// An owner dies and its successor must not hand out what a steward still
-	// holds; the steward's next pull tells it.
-	ginkgo.It("waits out a predecessor's leases and learns of those that go on", func() {
+	// An owner dies. Its successor must not hand out items that a dispatcher still holds;
+	// it learns of them from the dispatcher's next pull.
+	ginkgo.It("waits until a previous owner's leases have expired and learns of those that continue", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 2, true)
 		s.flush(o)
 		held := s.pull(o, "s", 1)
-		o = s.held("b")
+		o = s.holder("b")
 		Expect(s.pull(o, "s2", 5)).To(BeEmpty())
 		s.now += 3000
 		o.Pull(s.now, PullRequest{Steward: "s", Group: "g", Running: []ItemRef{held[0].Ref}})
@@ -286,22 +288,22 @@
 		Expect(s.pull(o, "s2", 5)).To(HaveLen(1))
 	})
 
-	// An owner dies, and the steward that goes on with the job's first item ends
-	// it under the successor. The rest of the job must still be handed out: once,
-	// all of it failed as having no target group, because the ended item stood
-	// for it.
-	ginkgo.It("hands out the rest after an item that went on under a new owner", func() {
+	// An owner dies, and a dispatcher ends the job's first item under the successor. The
+	// rest of the job must still be handed out. The failure: all of it failed as having
+	// no target group, because the ended item, whose body was removed, was used to find
+	// the target group.
+	ginkgo.It("hands out the remaining items after one that continued under a new owner", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 3, true)
 		s.flush(o)
 		held := s.pull(o, "s", 1)
-		o = s.held("b")
+		o = s.holder("b")
 		o.Pull(s.now, PullRequest{Steward: "s", Group: "g", Running: []ItemRef{held[0].Ref}})
 		o.FinishItems(s.now, s.call(), FinishItemsRequest{Steward: "s", Ends: []ItemEnd{{Ref: held[0].Ref, Answer: answer("x")}}})
 		s.flush(o)
 		for i := 0; i < 3; i++ {
-			s.now += unknownRouteMs
+			s.now += unservedRouteMs
 			o.Tick(s.now)
 		}
 		Expect(s.pull(o, "s2", 5)).To(HaveLen(2))
@@ -309,11 +311,11 @@
 })
 
 var _ = ginkgo.Describe("an upload that failed", func() {
-	// A script sends a large job with a bad last line again and again. If each
-	// try rested in memory for its idle minute, a few would exhaust the host.
+	// A caller repeatedly sends a large job with an invalid last line. If each try stayed
+	// in memory for uploadIdleMs, a few tries would exhaust the host.
 	ginkgo.It("is dropped at once, and its late chunks and commit are refused", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.now += uploadIdleMs
 		chunk := JobChunkRequest{Job: "j", Upload: "u", Items: []Item{{CustomID: "0", URL: "/v1/services/s/p", Body: []byte("{}")}}}
 		o.OpenJob(s.now, JobOpenRequest{Job: "j", Upload: "u", Profile: "p"})
@@ -337,15 +339,15 @@
 	})
 })
 
-var _ = ginkgo.Describe("the stream's beginning", func() {
-	// Records expire under a job that lives longer than the log keeps anything.
-	// The owner states it anew, so that whoever claims the shard later finds it
-	// whole, results included.
-	ginkgo.It("moves forward by restating what lives", func() {
+var _ = ginkgo.Describe("the start of the stream", func() {
+	// Records expire while a job lives longer than the log's retention. The owner must
+	// rewrite the job forward, so that a daemon that claims the shard later finds all of
+	// it, including the results.
+	ginkgo.It("moves forward as live objects are rewritten", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 300, true)
-		o.Begin(s.now, s.call(), order("c/k", "n", "e"))
+		o.Begin(s.now, s.call(), keyedRequest("c/k", "n", "e"))
 		s.flush(o)
 		for _, it := range s.pull(o, "s", 100) {
 			o.FinishItems(s.now, s.call(), FinishItemsRequest{Steward: "s", Ends: []ItemEnd{{Ref: it.Ref, Answer: answer("r")}}})
@@ -360,17 +362,17 @@
 		Expect(s.log.first).To(BeNumerically(">=", before))
 		want := dump(o.State())
 		Expect(dump(s.log.replay())).To(Equal(want))
-		o = s.held("b")
+		o = s.holder("b")
 		st, _ := o.Job(s.now, "c/j")
 		Expect(st.Completed).To(Equal(100))
 	})
 
-	// Everything on a shard's stream has expired while no daemon ran. The first
-	// daemons up must agree on an owner again, and an old one that still sleeps
+	// All records of a shard's stream have expired while no daemon was running. The first
+	// daemons to start must agree on an owner again, and an earlier owner that was paused
 	// must lose.
 	ginkgo.It("can be claimed after everything on it has expired", func() {
 		s := newSim()
-		old := s.held("old")
+		old := s.holder("old")
 		s.log.first = s.log.next()
 		a, b := s.owner("a"), s.owner("b")
 		for _, o := range []*Owner{a, b} {
@@ -387,13 +389,13 @@
 		Expect(dump(s.log.replay())).To(Equal(dump(a.State())))
 	})
 
-	// Kept answers and results go when their time is over, and with them the
-	// memory and the part of the stream that they held.
-	ginkgo.It("forgets what has been kept for its time", func() {
+	// Stored answers and results must be dropped when their retention time is over,
+	// together with the memory and the part of the stream that they used.
+	ginkgo.It("drops answers and results after their retention time", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		s.job(o, "c/j", "u", 1, true)
-		o.Finish(s.now, s.call(), FinishRequest{Key: "c/k", Nonce: "n", Attempt: 1, Answer: answer("x"), Begin: order("c/k", "n", "e")})
+		o.Finish(s.now, s.call(), FinishRequest{Key: "c/k", Nonce: "n", Attempt: 1, Answer: answer("x"), Begin: keyedRequest("c/k", "n", "e")})
 		s.flush(o)
 		it := s.pull(o, "s", 1)[0]
 		o.FinishItems(s.now, s.call(), FinishItemsRequest{Steward: "s", Ends: []ItemEnd{{Ref: it.Ref, Answer: answer("r")}}})
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -8,14 +8,14 @@
 )
 
 var _ = ginkgo.Describe("a keyed request", func() {
-	// The log takes a start but its answer is lost, and the append is repeated
-	// and lands twice, the second time long after. The order must be granted
-	// once and the second copy must not count.
-	ginkgo.It("counts an append once whose answer was lost", func() {
+	// The response to the append of a start is lost, and the append is repeated. The
+	// record lands twice, the second time much later. The request must be granted once,
+	// and the second copy must be void.
+	ginkgo.It("applies a record once if the response to its append was lost", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		id := s.call()
-		o.Begin(s.now, id, order("c/k", "n", "e"))
+		o.Begin(s.now, id, keyedRequest("c/k", "n", "e"))
 		s.now += 50
 		data, _ := o.Build(s.now)
 		o.AppendDone(s.now, Unknown, 0)
@@ -37,14 +37,14 @@
 		Expect(kept.State).To(Equal(RequestCompleted))
 	})
 
-	// A start's answer is lost and the log stays silent, so the tablet is told
-	// "not run". The start then turns up on the log: the key must become free
-	// for the guest's next try, and not look as if the order had run.
-	ginkgo.It("frees the key of a start that lands after its caller was refused", func() {
+	// The response to the append of a start is lost and the log doesn't answer, so the
+	// caller is told "not run". The start then appears on the log: the key must become
+	// free for the caller's retry, and must not look as if the request had run.
+	ginkgo.It("frees the key of a start that appears after its caller was refused", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		first, second := s.call(), s.call()
-		o.Begin(s.now, first, order("c/k", "n1", "e"))
+		o.Begin(s.now, first, keyedRequest("c/k", "n1", "e"))
 		s.now += 50
 		data, _ := o.Build(s.now)
 		o.AppendDone(s.now, Unknown, 0)
@@ -52,7 +52,7 @@
 		o.Tick(s.now)
 		s.collect(o)
 		Expect(s.replies[first].Begin.Refusal.Run).To(Equal(outcome.NotRun))
-		again := order("c/k", "n2", "e")
+		again := keyedRequest("c/k", "n2", "e")
 		again.WaitMs = 60_000
 		o.Begin(s.now, second, again)
 		s.log.append(data)
@@ -61,18 +61,18 @@
 		Expect(s.replies[second].Begin.Verdict).To(Equal(Granted))
 	})
 
-	// A start's answer is lost; before it lands, another order is taken. The
-	// record that then appears must not be mistaken for the other order's
-	// start: that one is not on the log yet.
-	ginkgo.It("does not take a late record for another one", func() {
+	// The response to the append of a start is lost. Before the record appears, another
+	// request arrives. The record must not be mistaken for the start of the other
+	// request, which is not on the log yet.
+	ginkgo.It("does not mistake a late record for another one", func() {
 		s := newSim()
-		o := s.held("a")
+		o := s.holder("a")
 		first, second := s.call(), s.call()
-		o.Begin(s.now, first, order("c/k1", "n1", "e"))
+		o.Begin(s.now, first, keyedRequest("c/k1", "n1", "e"))
 		s.now += 50
 		data, _ := o.Build(s.now)
 		o.AppendDone(s.now, Unknown, 0)
-		o.Begin(s.now, second, order("c/k2", "n2", "e"))
+		o.Begin(s.now, second, keyedRequest("c/k2", "n2", "e"))
 		s.now += 1000
 		o.SetBound(s.log.next())
 		_, _ = o.Build(s.now)
@@ -81,15 +81,15 @@
 		Expect(s.replies).NotTo(HaveKey(second))
 	})
 
-	// An owner is paused while a successor claims its shard. It wakes with an
-	// order in hand and appends its start: the record is void, and the caller
-	// is sent to the successor.
-	ginkgo.It("voids the records of an owner that was paused past its loss", func() {
+	// An owner is paused while a successor claims its shard. It resumes and appends the
+	// start of a request that it held: the record must be void, and the caller must be
+	// sent to the successor.
+	ginkgo.It("voids the records of an owner that lost its shard while it was paused", func() {
 		s := newSim()
-		paused := s.held("a")
-		next := s.held("b")
+		paused := s.holder("a")
+		next := s.holder("b")
 		id := s.call()
-		paused.Begin(s.now, id, order("c/k", "n", "e"))
+		paused.Begin(s.now, id, keyedRequest("c/k", "n", "e"))
 		s.now += 50
 		data, _ := paused.Build(s.now)
 		s.log.append(data)
@@ -102,34 +102,34 @@
 		Expect(known).To(BeFalse())
 	})
 
-	// An entry host dies with a guest's order on its way. The tablet resends: it
-	// must be told that it may have run, and the late answer still settles it.
-	ginkgo.It("never grants a started order again, and lets a late answer settle it", func() {
+	// An entry host dies while it runs a non-repeatable request. A retry must be told
+	// that the request may have run, and a late answer must still resolve it.
+	ginkgo.It("never grants a started request again, and lets a late answer resolve it", func() {
 		s := newSim()
-		o := s.held("a")
-		o.Begin(s.now, s.call(), order("c/k", "n1", "e1"))
+		o := s.holder("a")
+		o.Begin(s.now, s.call(), keyedRequest("c/k", "n1", "e1"))
 		s.flush(o)
 		s.dead["e1"] = true
-		o = s.held("b")
+		o = s.holder("b")
 		id := s.call()
-		o.Begin(s.now, id, order("c/k", "n2", "e2"))
+		o.Begin(s.now, id, keyedRequest("c/k", "n2", "e2"))
 		s.collect(o)
 		Expect(s.replies[id].Begin.Refusal.Run).To(Equal(outcome.MayHaveRun))
 		o.Finish(s.now, s.call(), FinishRequest{Key: "c/k", Nonce: "n1", Attempt: 1, Answer: answer("tray")})
 		s.flush(o)
 		id = s.call()
-		o.Begin(s.now, id, order("c/k", "n3", "e2"))
+		o.Begin(s.now, id, keyedRequest("c/k", "n3", "e2"))
 		s.collect(o)
 		Expect(body(s.replies[id].Begin.Answer)).To(Equal("tray"))
 	})
 
-	// Other content under a used key must neither run nor get the first one's
-	// answer.
+	// Other content under a used key must neither run nor get the answer of the first
+	// request.
 	ginkgo.It("refuses other content under the same key", func() {
 		s := newSim()
-		o := s.held("a")
-		o.Begin(s.now, s.call(), order("c/k", "n1", "e1"))
-		other := order("c/k", "n2", "e1")
+		o := s.holder("a")
+		o.Begin(s.now, s.call(), keyedRequest("c/k", "n1", "e1"))
+		other := keyedRequest("c/k", "n2", "e1")
 		other.Fingerprint = "other"
 		id := s.call()
 		o.Begin(s.now, id, other)
--- a/core/ledger/look.go
+++ b/core/ledger/look.go
@@ -1,9 +1,9 @@
 package ledger
 
-// Look tells what the stream says of the arrival's key, without an owner's part:
-// Free, Settled, or StillRunning if it may have run and no end is known. A start
-// under the arrival's own nonce counts as Free: it is granted to nobody but this
-// arrival, and its entry host, which asks here, was granted nothing.
+// Lookup returns what the records applied so far say about the arrival's key, without the
+// shard's owner: Free, Settled, or StillRunning if the request may have run and no end is
+// known. A start under the arrival's own nonce counts as Free: only this arrival can be
+// granted it, and the entry host, which is the one calling Lookup, received no grant.
 func (s *State) Look(req BeginRequest) BeginReply {
 	kept := s.requests[req.Key]
 	switch {
--- a/core/ledger/owner.go
+++ b/core/ledger/owner.go
@@ -2,13 +2,13 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// CallID names a call that waits for an owner's reply.
+// CallID identifies a call that waits for an owner's reply.
 type CallID uint64
 
-// Reply is an owner's word on a call; the field that fits the call is set.
+// Reply is an owner's reply to a call. Only the field that matches the call is set.
 type Reply struct {
 	Call CallID
-	// Lost tells that the shard is held by another daemon now: ask that one.
+	// Lost reports that another daemon holds the shard now; repeat the call there.
 	Lost   bool
 	Begin  *BeginReply
 	Finish *FinishReply
@@ -18,38 +18,38 @@
 	Cancel *CancelReply
 }
 
-// CancelReply answers a cancel once no new item will start anywhere.
+// CancelReply answers a cancel once no new item can start on any host.
 type CancelReply struct {
 	Status  JobStatus
 	Refusal *outcome.Refusal
 }
 
-// Limits bounds what an owner keeps.
+// Limits bounds what an owner retains and retries.
 type Limits struct {
-	// KeptAnswersMs is how long a keyed request's answer stays after its end,
-	// KeptResultsMs how long a job's results do, in milliseconds.
+	// KeptAnswersMs is how long the answer of a keyed request is retained after the
+	// request ended, KeptResultsMs how long the results of a job are, in milliseconds.
 	KeptAnswersMs int64
 	KeptResultsMs int64
 	// CrashLimit is how many targets an item may crash before it fails.
 	CrashLimit int
 }
 
-// OwnerConfig is what an owner is told at its start. Its functions answer from
-// the daemon's memory at once.
+// OwnerConfig configures an owner. Its functions must answer from memory, without
+// blocking.
 type OwnerConfig struct {
 	Shard int
 	// Self is this daemon's incarnation id.
 	Self string
-	// Live tells whether an incarnation is still taken for running.
+	// Live reports whether an incarnation is still considered running.
 	Live func(id string) bool
-	// GroupOf names the target group that serves an item; !ok is "none".
+	// GroupOf returns the target group that serves an item; ok is false if there is none.
 	GroupOf func(Item) (group string, ok bool)
-	// Limits returns the bounds in force.
+	// Limits returns the limits currently in force.
 	Limits func() Limits
-	// LeaseMs is how long a steward may hold an item without renewing it.
+	// LeaseMs is how long a batch dispatcher may hold an item without renewing its lease.
 	LeaseMs int64
-	// PaceMs is the least time between two appends of batch changes, UrgentMs
-	// that before an urgent one.
+	// AppendIntervalMs is the minimum time between two appends of batch changes,
+	// UrgentIntervalMs the minimum time before an urgent append.
 	PaceMs   int64
 	UrgentMs int64
 	// RetentionMs is how long the log keeps a record.
@@ -65,26 +65,28 @@
 )
 
 const (
-	// maxRecordBytes is the size a record is filled up to. With the largest
-	// single entry on top it stays below a log's limit of 1 MiB.
+	// maxRecordBytes is the size up to which a record is filled. Even with the largest
+	// single entry on top, a record stays below the log's limit of 1 MiB.
 	maxRecordBytes = 320 << 10
-	// minRecordBytes is the least that a refusing log may press it to.
+	// minRecordBytes is the smallest value to which maxRecord is reduced when the log
+	// rejects records as too large.
 	minRecordBytes = 16 << 10
-	// maxAnswerBytes bounds a kept answer, maxItemBytes a job line.
+	// maxAnswerBytes bounds a stored answer, maxItemBytes the body of a job's line.
 	maxAnswerBytes = 512 << 10
 	maxItemBytes   = 512 << 10
-	// ringBytes and ringLen bound what waits for the log during an outage.
-	ringBytes = 32 << 20
-	ringLen   = 1 << 16
-	// outageRetryMs is the pause before the log is tried again, and what a
-	// refused caller is told.
+	// maxQueueBytes and maxQueueLen bound the completions that wait for the log during an
+	// outage (the "ring" of the metric names).
+	maxQueueBytes = 32 << 20
+	maxQueueLen   = 1 << 16
+	// outageRetryMs is the retry-after time of refusals while the log is unavailable; a
+	// quarter of it is the pause before a failed append is retried.
 	outageRetryMs = 1000
 	// callWaitMs bounds how long a call waits for its record to be read back.
 	callWaitMs = 3000
 )
 
-// Owner is the pure state machine of a shard's holder: calls, outcomes of
-// appends and records read back step in; replies and the next record come out.
+// Owner is the pure state machine of a shard's holder. Its inputs are calls, outcomes of
+// appends and records read back; its outputs are replies and the next record to append.
 type Owner struct {
 	cfg   OwnerConfig
 	st    *State
@@ -93,11 +95,11 @@
 	term  uint64
 	seq   uint64
 
-	urgent    []proposal
-	normal    []proposal
-	waiting   int // bytes of proposals in both queues
-	maxRecord int
-	flight    *flight
+	urgent      []proposal
+	normal      []proposal
+	queuedBytes int // total size of the proposals in both queues, in bytes
+	maxRecord   int
+	inFlight    *inFlight
 
 	lastAppendMs int64
 	retryAtMs    int64
@@ -109,35 +111,36 @@
 	graceUntil  int64
 	replies     []Reply
 
-	runs    map[string]*run
-	uploads map[uploadID]*upload
-	scheds  map[string]*sched
-	leases  map[itemKey]*lease
-	ready   map[string][]itemKey
-	ends    map[itemKey]*pendingEnd
-	cancels map[string]*cancellation
-	revoke  []string
-	served  map[string]float64
-	// routeNames interns routes.
+	runs        map[string]*run
+	uploads     map[uploadID]*upload
+	scheds      map[string]*sched
+	leases      map[itemKey]*lease
+	ready       map[string][]itemKey
+	pendingEnds map[itemKey]*pendingEnd
+	cancels     map[string]*cancellation
+	revocations []string
+	served      map[string]float64
+	// routeNames holds one shared copy of each route string.
 	routeNames map[string]string
 
-	nextSweepMs int64
-	figures     Figures
+	nextGCMs int64
+	stats    Figures
 }
 
-// Figures counts what an owner did, for metrics and benchmarks.
+// Stats are an owner's counters and gauges, for metrics and benchmarks.
 type Figures struct {
-	// Appends counts records built, Items the items handed to stewards and
-	// Restated the objects stated anew.
+	// Appends counts the records built, ItemsHandedOut the items handed to batch
+	// dispatchers, and Rewritten the objects whose full state was written forward on the
+	// log.
 	Appends  uint64
 	Items    uint64
 	Restated uint64
-	// RingRefused counts completions that found the ring full.
+	// QueueRefused counts the completions refused because the queue for the log was full.
 	RingRefused uint64
-	// Waiting counts the proposals that wait for the log, WaitingBytes their bytes.
+	// QueuedProposals counts the proposals waiting for the log, QueuedBytes their bytes.
 	Waiting      int
 	WaitingBytes int
-	// Voids counts records read that did not count.
+	// VoidRecords counts the records that were read but are not valid; see State.isValid.
 	Voids uint64
 }
 
@@ -152,71 +155,72 @@
 	f.Voids += g.Voids
 }
 
-// NewOwner returns an owner that will claim the shard whose state it is given.
-// The owner folds the state on from here.
+// NewOwner returns an owner that will claim the shard with the given state. The owner
+// takes over the state and applies further records to it.
 func NewOwner(cfg OwnerConfig, st *State, nowMs int64) *Owner {
 	o := &Owner{
 		cfg: cfg, st: st, now: nowMs, maxRecord: maxRecordBytes,
 		runs: map[string]*run{}, uploads: map[uploadID]*upload{},
 		scheds: map[string]*sched{}, leases: map[itemKey]*lease{},
-		ready: map[string][]itemKey{}, ends: map[itemKey]*pendingEnd{},
+		ready: map[string][]itemKey{}, pendingEnds: map[itemKey]*pendingEnd{},
 		cancels: map[string]*cancellation{}, served: map[string]float64{},
 		routeNames: map[string]string{},
 	}
 	o.term = st.term + 1
 	if !st.anchored {
-		// The stream tells no term; see Claim.Reset. Offsets begin at 0, so one
-		// more than the next offset is above every earlier term.
+		// The stream holds no term; see Claim.Reset. Offsets begin at 0, so one more than
+		// the next offset is above every earlier term.
 		o.term = uint64(st.next) + 1
 	}
 	return o
 }
 
-// Holding tells whether the shard is held, as far as this daemon has read.
+// Holding reports whether this daemon holds the shard, according to the records applied.
 func (o *Owner) Holding() bool { return o.phase == holding }
 
-// Lost tells that another daemon won the claim or has claimed a later term, or
-// that the shard was released.
+// Lost reports that another daemon won the claim or has claimed a later term, or that the
+// shard was released.
 func (o *Owner) Lost() bool { return o.phase == lost }
 
-// Term is the term that was claimed.
+// Term returns the term that this owner claims or has claimed.
 func (o *Owner) Term() uint64 { return o.term }
 
-// State is the state as folded so far; it belongs to the owner.
+// State returns the state that the owner maintains; it belongs to the owner.
 func (o *Owner) State() *State { return o.st }
 
-// Figures returns the owner's counters.
+// Stats returns the owner's counters.
 func (o *Owner) Figures() Figures {
-	f := o.figures
+	f := o.stats
 	f.Waiting = len(o.urgent) + len(o.normal)
-	if o.flight != nil {
-		f.Waiting += len(o.flight.props)
+	if o.inFlight != nil {
+		f.Waiting += len(o.inFlight.props)
 	}
-	f.WaitingBytes = o.waiting
-	f.Voids = o.st.voids
+	f.WaitingBytes = o.queuedBytes
+	f.Voids = o.st.voidRecords
 	return f
 }
 
-// LogOK tells whether the log took and gave records at the last try.
+// LogOK reports whether the log is considered available for appends and reads; see
+// AppendDone and ReadOK.
 func (o *Owner) LogOK() bool { return !o.appendDown && !o.readDown }
 
-// Replies takes the replies that have become ready.
+// TakeReplies returns the replies that have become ready and clears them.
 func (o *Owner) Replies() []Reply {
 	r := o.replies
 	o.replies = nil
 	return r
 }
 
-// Revokes takes the jobs whose leases have to be revoked at every steward; the
-// daemon answers each with Revoked.
+// TakeRevocations returns the jobs whose leases have to be revoked at every batch
+// dispatcher, and clears them. The daemon reports the outcome of each with Revoked.
 func (o *Owner) Revokes() []string {
-	r := o.revoke
-	o.revoke = nil
+	r := o.revocations
+	o.revocations = nil
 	return r
 }
 
-// Release proposes to give the shard up to the successor ("" is nobody in
-// particular) and tells whether that is new.
+// Release proposes to release the shard to the successor ("" for any daemon) and reports
+// whether this is the first such proposal.
 func (o *Owner) Release(nowMs int64, successor string) bool {
 	o.now = nowMs
 	if o.releaseTo != nil {
@@ -226,8 +230,8 @@
 	return true
 }
 
-// Tick ends waits that have lasted too long. The daemon calls it a few times a
-// second.
+// Tick expires calls and leases, and proposes periodic work. The daemon calls it a few
+// times a second.
 func (o *Owner) Tick(nowMs int64) {
 	o.now = nowMs
 	if o.phase != holding {
@@ -238,9 +242,9 @@
 	o.tickLeases()
 	o.tickEnds()
 	o.tickCancels()
-	if nowMs >= o.nextSweepMs {
-		o.nextSweepMs = nowMs + sweepMs
-		o.sweep()
+	if nowMs >= o.nextGCMs {
+		o.nextGCMs = nowMs + gcIntervalMs
+		o.collectGarbage()
 	}
 }
 
@@ -251,27 +255,28 @@
 		After(outageRetryMs)
 }
 
-// became sets the owner to work after its claim was read back.
-func (o *Owner) became() {
+// startHolding begins the work of a holder once the claim was read back.
+func (o *Owner) startHolding() {
 	o.phase = holding
 	o.heldSinceMs = o.now
 	o.graceUntil = o.now + o.cfg.LeaseMs
-	o.nextSweepMs = o.now + sweepMs
+	o.nextGCMs = o.now + gcIntervalMs
 	for _, j := range o.st.jobs {
 		o.resumeJob(j)
 	}
 }
 
-// lose answers every waiting call: another daemon decides now.
-func (o *Owner) lose() {
+// loseShard answers every waiting call with Lost, because another daemon is the owner
+// now.
+func (o *Owner) loseShard() {
 	o.phase = lost
-	o.flight, o.urgent, o.normal, o.waiting = nil, nil, nil, 0
+	o.inFlight, o.urgent, o.normal, o.queuedBytes = nil, nil, nil, 0
 	for _, call := range o.waitingCalls() {
 		o.reply(Reply{Call: call, Lost: true})
 	}
 	clear(o.runs)
 	clear(o.uploads)
-	clear(o.ends)
+	clear(o.pendingEnds)
 	clear(o.cancels)
 }
 
@@ -283,19 +288,19 @@
 		}
 	}
 	for _, r := range o.runs {
-		add(r.askers)
+		add(r.grantWaiters)
 		add(r.waiters)
-		add(r.finishers)
+		add(r.finishWaiters)
 	}
 	for _, u := range o.uploads {
-		add(u.room)
-		add(u.commits)
+		add(u.chunkWaiters)
+		add(u.commitWaiters)
 	}
 	for _, c := range o.cancels {
 		add(c.calls)
 	}
 	batches := map[*endBatch]bool{}
-	for _, p := range o.ends {
+	for _, p := range o.pendingEnds {
 		for _, b := range p.batches {
 			if !batches[b] && !b.answered {
 				batches[b] = true
--- a/core/ledger/owner_cancel.go
+++ b/core/ledger/owner_cancel.go
@@ -2,30 +2,29 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// cancellation follows a job's cancel until no new item can start anywhere.
+// cancellation tracks the cancellation of a job until no new item can start on any host.
 type cancellation struct {
 	calls []waiter
-	// revoking is set once the cancel was read back: from then on no lease is
-	// given, and what decides between it and a completion is their order on the
-	// log.
+	// revoking is set once the cancel was read back. From then on no lease is given, and
+	// whether an item is cancelled or completed depends on the order on the log.
 	revoking bool
-	// leasesUntil is when every lease given before has lapsed. A steward counts
-	// a lease from before it sent its pull, the owner from when it answered, so
-	// the steward's ends first.
+	// leasesUntil is when every lease given before has expired. A dispatcher counts its
+	// lease from before it sent the pull, the owner from when it answered, so the lease
+	// ends first at the dispatcher.
 	leasesUntil int64
-	// graceUntil is when leases of a predecessor, whose stewards aren't known,
-	// have lapsed; holders are the stewards of leases given here.
-	graceUntil int64
-	holders    map[string]bool
-	// closing is set once no new item can start and the word for that is on its
-	// way to the log.
+	// graceUntil is when leases of a previous owner, whose dispatchers aren't known, have
+	// expired. dispatchers holds those with leases from this owner that haven't confirmed
+	// the revocation.
+	graceUntil  int64
+	dispatchers map[string]bool
+	// closing is set once no new item can start and the close of the job was proposed.
 	closing bool
 }
 
-// cancelWaitMs bounds how long a cancel waits.
+// cancelWaitMs bounds how long a call to CancelJob waits.
 const cancelWaitMs = 30_000
 
-// CancelJob steps a cancel in; it is answered once no new item will start.
+// CancelJob handles a cancel; the call is answered once no new item can start.
 func (o *Owner) CancelJob(nowMs int64, call CallID, name string) {
 	o.now = nowMs
 	j := o.st.jobs[name]
@@ -44,12 +43,12 @@
 	if c == nil {
 		c = &cancellation{}
 		o.cancels[name] = c
-		o.queue(&cancelProposal{job: name}, true)
+		o.propose(&cancelProposal{job: name}, true)
 	}
 	c.calls = append(c.calls, waiter{call: call, until: nowMs + cancelWaitMs})
 }
 
-// cancelProposal puts a cancel on the log.
+// cancelProposal writes a cancel to the log.
 type cancelProposal struct{ job string }
 
 func (p *cancelProposal) subject() subject { return jobSubject(p.job, true) }
@@ -64,21 +63,21 @@
 	return []Entry{{Cancel: &CancelEntry{Job: p.job}}}
 }
 
-func (p *cancelProposal) settled(o *Owner) {
+func (p *cancelProposal) done(o *Owner) {
 	j := o.st.jobs[p.job]
 	if j == nil || j.State != JobCancelling {
-		o.cancelDone(p.job)
+		o.finishCancel(p.job)
 		return
 	}
 	var grace int64
 	if s := o.scheds[p.job]; s != nil {
 		grace = s.graceUntil
 	}
-	c := o.beginRevoke(p.job, grace)
+	c := o.startRevocation(p.job, grace)
 	for key, l := range o.leases {
-		if key.job == p.job && l.handed {
+		if key.job == p.job && l.handedOut {
 			c.leasesUntil = max(c.leasesUntil, l.until)
-			c.holders[l.steward] = true
+			c.dispatchers[l.dispatcher] = true
 		}
 	}
 	o.dropSched(p.job)
@@ -94,56 +93,56 @@
 	return true
 }
 
-// beginRevoke has the daemon tell the stewards, and waits for their word or for
-// the leases to lapse.
-func (o *Owner) beginRevoke(name string, graceUntil int64) *cancellation {
+// startRevocation has the daemon revoke the job's leases at the dispatchers. The
+// cancellation waits for their confirmations or until the leases expire.
+func (o *Owner) startRevocation(name string, graceUntil int64) *cancellation {
 	c := o.cancels[name]
 	if c == nil {
 		c = &cancellation{}
 		o.cancels[name] = c
 	}
-	c.revoking, c.holders = true, map[string]bool{}
+	c.revoking, c.dispatchers = true, map[string]bool{}
 	c.graceUntil, c.leasesUntil = graceUntil, graceUntil
-	o.revoke = append(o.revoke, name)
+	o.revocations = append(o.revocations, name)
 	return c
 }
 
-// Revoked reports the stewards that have dropped the job: nothing of it will
-// start or run there. If one that was given a lease is missing, dead or out of
-// reach, its leases have to lapse: it may be paused and go on later.
-func (o *Owner) Revoked(nowMs int64, name string, stewards []string) {
+// Revoked reports the dispatchers that have dropped the job: none of its items will start
+// or run there. If a dispatcher that was given a lease is missing, because it is dead or
+// unreachable, its leases have to expire first: it may be paused and resume later.
+func (o *Owner) Revoked(nowMs int64, name string, dispatchers []string) {
 	o.now = nowMs
 	c := o.cancels[name]
 	if c == nil || !c.revoking {
 		return
 	}
-	for _, id := range stewards {
-		delete(c.holders, id)
+	for _, id := range dispatchers {
+		delete(c.dispatchers, id)
 	}
-	if len(c.holders) == 0 {
+	if len(c.dispatchers) == 0 {
 		c.leasesUntil = c.graceUntil
 	}
 	o.tickCancels()
 }
 
-// cancelDone follows once no new item can start. The callers are told when the
-// close was read back, not before: a successor that finds the job cancelling
-// knows nothing of the stewards' words and would tell a later reader so, after
-// the caller was told "cancelled".
-func (o *Owner) cancelDone(name string) {
+// finishCancel is called once no new item can start. The callers are answered only after
+// the close was read back: a successor that finds the job cancelling doesn't know of the
+// confirmations and would report "cancelling" to a reader after the caller had been told
+// "cancelled".
+func (o *Owner) finishCancel(name string) {
 	c := o.cancels[name]
 	if c == nil || c.closing {
 		return
 	}
 	if j := o.st.jobs[name]; j != nil && j.State == JobCancelling {
 		c.closing = true
-		o.queue(&closeProposal{job: name, state: JobCancelled}, true)
+		o.propose(&closeProposal{job: name, state: JobCancelled}, true)
 		return
 	}
 	o.answerCancel(name)
 }
 
-// answerCancel tells the callers of a cancel how the job ended.
+// answerCancel sends the callers of a cancel the job's final status.
 func (o *Owner) answerCancel(name string) {
 	c := o.cancels[name]
 	if c == nil {
@@ -154,8 +153,8 @@
 		reply = CancelReply{Status: o.status(j)}
 	}
 	for _, w := range c.calls {
-		told := reply
-		o.reply(Reply{Call: w.call, Cancel: &told})
+		replyCopy := reply
+		o.reply(Reply{Call: w.call, Cancel: &replyCopy})
 	}
 	delete(o.cancels, name)
 }
@@ -163,10 +162,10 @@
 func (o *Owner) tickCancels() {
 	for name, c := range o.cancels {
 		if c.revoking && !c.closing && o.now >= c.leasesUntil {
-			o.cancelDone(name)
+			o.finishCancel(name)
 			continue
 		}
-		c.calls = o.expire(c.calls, func(w waiter) {
+		c.calls = o.expireWaiters(c.calls, func(w waiter) {
 			refusal := logUnavailable().WithRun(outcome.MayHaveRun)
 			o.reply(Reply{Call: w.call, Cancel: &CancelReply{Refusal: refusal}})
 		})
--- a/core/ledger/owner_finish.go
+++ b/core/ledger/owner_finish.go
@@ -2,16 +2,17 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// AnyAttempt in a FinishRequest stands for whatever attempt its nonce was
-// granted: an entry host that stopped waiting for a grant frees the key so.
+// AnyAttempt in a FinishRequest stands for the attempt that was granted to the request's
+// nonce, whichever it is. An entry host that stopped waiting for a grant uses it to free
+// the key.
 const AnyAttempt = 0
 
-// frees tells whether the end leaves the key free.
+// frees reports whether the end makes the key free again.
 func (f *FinishRequest) frees() bool {
 	return f.Answer == nil && f.Refusal != nil && f.Refusal.Run == outcome.NotRun
 }
 
-// stateAfter is the state that the end leaves the request in.
+// stateAfter returns the request's state after the end.
 func (f *FinishRequest) stateAfter(repeatable bool) RequestState {
 	switch {
 	case f.Answer != nil:
@@ -22,8 +23,8 @@
 	return RequestFailed
 }
 
-// Finish steps the end of a run in. The first completion on the log is the
-// result, so the reply may hold another attempt's answer.
+// Finish handles the end of a run. The first completion on the log is the result, so the
+// reply may hold the answer of another attempt.
 func (o *Owner) Finish(nowMs int64, call CallID, req FinishRequest) {
 	o.now = nowMs
 	if req.Answer == nil && req.Refusal == nil {
@@ -41,49 +42,50 @@
 		o.awaitEnd(r, call)
 		return
 	}
-	o.end(r, call, &req)
+	o.recordEnd(r, call, &req)
 }
 
-func (o *Owner) end(r *run, call CallID, req *FinishRequest) {
-	if o.ringFull() {
-		o.figures.RingRefused++
-		o.finished(call, req, false)
+func (o *Owner) recordEnd(r *run, call CallID, req *FinishRequest) {
+	if o.queueFull() {
+		o.stats.RingRefused++
+		o.replyFinished(call, req, false)
 		return
 	}
 	r.end = req
-	for _, w := range r.askers { // it ended while its start was on the way
-		o.settle(w.call, req.Answer, req.Refusal)
+	for _, w := range r.grantWaiters { // ended before its start was read back
+		o.replySettled(w.call, req.Answer, req.Refusal)
 	}
-	r.askers = nil
+	r.grantWaiters = nil
 	o.awaitEnd(r, call)
-	o.queue(&finishProposal{run: r}, !r.begin.Repeatable && req.frees())
+	o.propose(&finishProposal{run: r}, !r.begin.Repeatable && req.frees())
 	if !req.frees() {
 		for _, w := range r.waiters {
-			o.settle(w.call, req.Answer, req.Refusal)
+			o.replySettled(w.call, req.Answer, req.Refusal)
 		}
 		r.waiters = nil
 	}
 }
 
-// awaitEnd answers at once while the log is out: the caller has its answer, and
-// the end stays in the ring until the log takes it.
+// awaitEnd lets the call wait until the end is durable. While the log is unavailable it
+// answers at once: the caller has its answer, and the end stays queued until the log
+// accepts it.
 func (o *Owner) awaitEnd(r *run, call CallID) {
 	if !o.LogOK() {
-		o.finished(call, r.end, false)
+		o.replyFinished(call, r.end, false)
 		return
 	}
-	r.finishers = append(r.finishers, waiter{call: call, until: o.now + callWaitMs})
+	r.finishWaiters = append(r.finishWaiters, waiter{call: call, until: o.now + callWaitMs})
 }
 
-func (o *Owner) finished(call CallID, f *FinishRequest, durable bool) {
+func (o *Owner) replyFinished(call CallID, f *FinishRequest, durable bool) {
 	o.reply(Reply{Call: call, Finish: &FinishReply{
 		Durable: durable, Answer: f.Answer, Refusal: f.Refusal,
 	}})
 }
 
-// lateRun handles an end whose key isn't running here: it has an end already,
-// or its start never got onto the log. It returns a run if there is something
-// to keep.
+// lateRun handles the end of a request that has no run here: the request has ended
+// already, or its start was never written to the log. It returns a run if there is
+// something to store.
 func (o *Owner) lateRun(call CallID, req *FinishRequest) *run {
 	kept := o.st.requests[req.Key]
 	switch {
@@ -93,14 +95,14 @@
 		}})
 		return nil
 	case kept != nil:
-		r := &run{attempt: kept.Attempt, granted: true, begin: kept.begin()}
+		r := &run{attempt: kept.Attempt, granted: true, begin: kept.beginRequest()}
 		o.runs[req.Key] = r
 		return r
 	case req.frees():
-		o.finished(call, req, true)
+		o.replyFinished(call, req, true)
 		return nil
 	case req.Begin.Key == "":
-		o.finished(call, req, false)
+		o.replyFinished(call, req, false)
 		return nil
 	}
 	r := &run{attempt: max(req.Attempt, 1), granted: true, begin: req.Begin}
@@ -108,32 +110,32 @@
 	return r
 }
 
-func (r *request) begin() BeginRequest {
+func (r *request) beginRequest() BeginRequest {
 	return BeginRequest{
 		Key: r.Key, Nonce: r.Nonce, Entry: r.Entry, Fingerprint: r.Fingerprint,
 		Profile: r.Profile, Repeatable: r.Repeatable,
 	}
 }
 
-// supersededEnd answers an end without a result of an attempt that is no longer
-// the current one: a later attempt decides.
+// supersededEnd answers an end without a result if its attempt is not the current one
+// (the later attempt decides) or was not granted. It reports whether it answered.
 func (o *Owner) supersededEnd(r *run, call CallID, req *FinishRequest) bool {
 	if req.Answer != nil {
 		return false
 	}
 	if req.Nonce == r.begin.Nonce && (req.Attempt == AnyAttempt || req.Attempt == r.attempt) {
 		if !r.granted {
-			r.withdrawn = true // freed when its start lands
-			o.finished(call, req, true)
+			r.refused = true // freed once its start is read back
+			o.replyFinished(call, req, true)
 			return true
 		}
 		return false
 	}
-	o.finished(call, req, true)
+	o.replyFinished(call, req, true)
 	return true
 }
 
-// boundAnswer replaces an answer that the log could not take.
+// boundAnswer replaces an answer that is too large for the log by a refusal.
 func boundAnswer(a *Answer, r *outcome.Refusal) (*Answer, *outcome.Refusal) {
 	if a == nil || len(a.Body) <= maxAnswerBytes {
 		return a, r
@@ -142,8 +144,8 @@
 		len(a.Body)).WithRun(outcome.Ran)
 }
 
-// finishProposal puts a run's end on the log, with its start if that isn't
-// there yet.
+// finishProposal writes the end of a run to the log, together with its start if that
+// isn't there yet.
 type finishProposal struct{ run *run }
 
 func (p *finishProposal) subject() subject { return requestSubject(p.run.begin.Key) }
@@ -170,8 +172,8 @@
 	}})
 }
 
-// freeEarlier frees the key of an earlier attempt, whose entry host died, when
-// the attempt after it didn't run either and never got onto the log.
+// freeEarlier frees the key of an earlier attempt, whose entry host died, if the
+// following attempt didn't run either and was never written to the log.
 func (o *Owner) freeEarlier(kept *request) []Entry {
 	if kept == nil || kept.State != RequestRunning {
 		return nil
@@ -179,21 +181,21 @@
 	return []Entry{{Finish: &FinishEntry{Key: kept.Key, Attempt: kept.Attempt, Free: true}}}
 }
 
-func (p *finishProposal) settled(o *Owner) {
+func (p *finishProposal) done(o *Owner) {
 	r := p.run
 	end := *r.end
 	if kept := o.st.requests[r.begin.Key]; kept != nil && !end.frees() {
 		end.Answer, end.Refusal = kept.Answer, kept.Refusal.refusal()
 	}
-	for _, w := range r.finishers {
-		o.finished(w.call, &end, true)
+	for _, w := range r.finishWaiters {
+		o.replyFinished(w.call, &end, true)
 	}
-	r.finishers = nil
-	o.freed(r)
+	r.finishWaiters = nil
+	o.endRun(r)
 }
 
-// withdraw keeps an end in the ring through an outage; one that the log finds
-// too large is kept as the word that it ran.
+// withdraw keeps an end queued during an outage. An answer that is too large for the log
+// is replaced by a refusal which says that the request ran.
 func (p *finishProposal) withdraw(_ *Owner, cause *outcome.Refusal) bool {
 	if cause.Code == outcome.TooLarge {
 		p.run.end.Answer, p.run.end.Refusal = nil, cause.WithRun(outcome.Ran)
@@ -201,7 +203,7 @@
 	return false
 }
 
-// Request reads a keyed request; ok is false if the key is unknown.
+// Request returns the state of a keyed request; ok is false if the key is unknown.
 func (o *Owner) Request(key string) (kept KeptRequest, ok bool) {
 	if r := o.runs[key]; r != nil {
 		if r.end != nil && !r.end.frees() {
--- a/core/ledger/owner_forget.go
+++ b/core/ledger/owner_forget.go
@@ -2,7 +2,7 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// forgetProposal drops one request or job whose kept time is over.
+// forgetProposal drops one request or job whose retention time is over.
 type forgetProposal struct {
 	subjectOf subject
 	entry     ForgetEntry
@@ -12,7 +12,8 @@
 
 func (p *forgetProposal) size() int { return objectOverhead }
 
-// entries is empty if the key has begun anew since it was found old.
+// entries returns nothing if the key has been used again since the proposal, or if the
+// request or job is gone.
 func (p *forgetProposal) entries(o *Owner) []Entry {
 	for _, key := range p.entry.Keys {
 		if r := o.st.requests[key]; r == nil || r.State == RequestRunning || o.runs[key] != nil {
@@ -27,6 +28,6 @@
 	return []Entry{{Forget: &p.entry}}
 }
 
-func (p *forgetProposal) settled(*Owner) {}
+func (p *forgetProposal) done(*Owner) {}
 
 func (p *forgetProposal) withdraw(*Owner, *outcome.Refusal) bool { return false }
--- a/core/ledger/owner_items.go
+++ b/core/ledger/owner_items.go
@@ -2,7 +2,7 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// pendingEnd is an item's end that waits to be read back.
+// pendingEnd proposes an item's end and waits until it is read back.
 type pendingEnd struct {
 	key     itemKey
 	change  ItemChange
@@ -17,20 +17,20 @@
 	answered bool
 }
 
-// FinishItems steps the ends of leased items in. It is answered once they were
-// read back, so that a steward keeps an end until it can't be lost any more; a
-// call sent again joins what it proposed before.
+// FinishItems handles the ends of leased items. The call is answered once they were read
+// back, so that a batch dispatcher keeps an end until it can't be lost. A repeated call
+// waits for the ends that an earlier one proposed.
 func (o *Owner) FinishItems(nowMs int64, call CallID, req FinishItemsRequest) {
 	o.now = nowMs
-	if o.ringFull() { // the steward keeps its ends until there is room
-		o.figures.RingRefused += uint64(len(req.Ends))
+	if o.queueFull() { // the dispatcher keeps its ends and sends them again
+		o.stats.RingRefused += uint64(len(req.Ends))
 		refusal := logUnavailable().WithRun(outcome.Ran)
 		o.reply(Reply{Call: call, Ends: &FinishItemsReply{Refusal: refusal}})
 		return
 	}
 	b := &endBatch{call: call, until: nowMs + callWaitMs, left: 1}
 	for i := range req.Ends {
-		o.itemEnd(req.Steward, &req.Ends[i], b)
+		o.handleItemEnd(req.Steward, &req.Ends[i], b)
 	}
 	o.endDone(b)
 }
@@ -43,47 +43,47 @@
 	}
 }
 
-func (o *Owner) itemEnd(steward string, e *ItemEnd, b *endBatch) {
+func (o *Owner) handleItemEnd(dispatcher string, e *ItemEnd, b *endBatch) {
 	key := itemKey{e.Ref.Job, e.Ref.Index}
 	s := o.scheds[key.job]
 	_, it := o.st.item(key.job, key.index)
 	if s == nil || it == nil || it.ended() || s.job.State != JobAccepted {
-		return // ended or cancelled before: the first on the log stands
+		return // ended or cancelled already: the first one on the log is the result
 	}
-	if p := o.ends[key]; p != nil {
+	if p := o.pendingEnds[key]; p != nil {
 		b.left++
 		p.batches = append(p.batches, b)
 		return
 	}
 	l := o.leases[key]
-	current := l != nil && l.steward == steward && l.attempt == e.Ref.Attempt
+	current := l != nil && l.dispatcher == dispatcher && l.attempt == e.Ref.Attempt
 	if e.Answer == nil && !current && l != nil {
-		return // a failed attempt of a lapsed lease; a later one decides
+		return // failed attempt of an expired lease: the later attempt decides
 	}
 	if o.handBack(s, key, it, e, l) {
 		return
 	}
 	if l == nil {
-		l = &lease{steward: steward, attempt: e.Ref.Attempt}
+		l = &lease{dispatcher: dispatcher, attempt: e.Ref.Attempt}
 		o.leases[key] = l
 		s.leased++
 	}
 	l.ending = true
 	b.left++
-	o.proposeEnd(key, o.judge(s, key, it, e), b)
+	o.proposeEnd(key, o.changeForEnd(s, key, it, e), b)
 }
 
-// handBack returns an item that needs no record: unfinished, without tokens to
-// keep, and repeatable.
+// handBack returns an item to waiting if that needs no record: it is unfinished,
+// repeatable and has no new tokens to store. It reports whether no record is needed.
 func (o *Owner) handBack(s *sched, key itemKey, it *ItemBody, e *ItemEnd, l *lease) bool {
-	idle := e.Answer == nil && !e.Crashed && !e.Final && len(e.Progress) <= len(it.Progress) &&
+	nothingToRecord := e.Answer == nil && !e.Crashed && !e.Final && len(e.Progress) <= len(it.Progress) &&
 		(e.Refusal == nil || e.Refusal.Run == outcome.NotRun)
-	if !idle || !s.job.Repeatable {
+	if !nothingToRecord || !s.job.Repeatable {
 		return false
 	}
 	if l != nil {
 		o.dropLease(key)
-		o.putBack(key)
+		o.requeueItem(key)
 	}
 	return true
 }
@@ -99,8 +99,8 @@
 	return ch
 }
 
-// judge turns the end of an attempt into the item's next state.
-func (o *Owner) judge(s *sched, key itemKey, it *ItemBody, e *ItemEnd) ItemChange {
+// changeForEnd returns the change of an item that follows from the end of an attempt.
+func (o *Owner) changeForEnd(s *sched, key itemKey, it *ItemBody, e *ItemEnd) ItemChange {
 	ch := o.change(key, e.Ref.Attempt, ItemWaiting, nil)
 	if len(e.Progress) > len(it.Progress) {
 		ch.Progress = e.Progress
@@ -115,33 +115,33 @@
 		ch.State, ch.Answer = ItemCompleted, answer
 		return ch
 	}
-	o.judgeFailure(s, e, &ch)
+	o.changeForFailure(s, e, &ch)
 	return ch
 }
 
-func (o *Owner) judgeFailure(s *sched, e *ItemEnd, ch *ItemChange) {
+func (o *Owner) changeForFailure(s *sched, e *ItemEnd, ch *ItemChange) {
 	refusal := e.Refusal
 	if refusal == nil {
 		refusal = unknownOutcome()
 	}
 	if e.Crashed {
-		ch.crashed(e.Alone)
+		ch.recordCrash(e.Alone)
 	}
-	// A steward hands an item back without a refusal only if it may start again:
+	// A dispatcher hands an item back without a refusal only if the item may start again:
 	// a non-repeatable one that a target received ends as may_have_run instead.
 	handedBack := e.Refusal == nil && !e.Crashed
 	switch {
 	case e.Final:
 		ch.fail(refusal)
 	case handedBack || refusal.Run == outcome.NotRun:
-		// waits for its next attempt
+		// stays waiting for its next attempt
 	case !s.job.Repeatable:
 		ch.fail(refusal.WithRun(mayHaveRunAtLeast(refusal.Run)))
 	case e.Crashed && ch.Crashes >= o.cfg.Limits().CrashLimit:
 		ch.fail(outcome.Refuse(outcome.Condemned,
 			"the item crashed %d targets while it ran there alone", ch.Crashes).WithRun(outcome.MayHaveRun))
 	case e.Crashed && !e.Alone:
-		// the crash may be another request's
+		// another request may have caused the crash
 	default:
 		ch.Failures++
 		if ch.Failures >= s.job.MaxAttempts {
@@ -150,9 +150,9 @@
 	}
 }
 
-// crashed marks the item as one to run alone; only a crash while it was alone
-// on the target counts against it.
-func (ch *ItemChange) crashed(alone bool) {
+// recordCrash marks the item to run alone. Only a crash while it was alone on the target
+// is counted.
+func (ch *ItemChange) recordCrash(alone bool) {
 	ch.Suspect = true
 	if alone {
 		ch.Crashes++
@@ -175,8 +175,8 @@
 	if b != nil {
 		p.batches = []*endBatch{b}
 	}
-	o.ends[key] = p
-	o.queue(p, false)
+	o.pendingEnds[key] = p
+	o.propose(p, false)
 }
 
 func (p *pendingEnd) subject() subject { return jobSubject(p.key.job, false) }
@@ -196,8 +196,8 @@
 	return []Entry{{Ends: &ItemEnds{Changes: []ItemChange{p.change}}}}
 }
 
-func (p *pendingEnd) settled(o *Owner) {
-	delete(o.ends, p.key)
+func (p *pendingEnd) done(o *Owner) {
+	delete(o.pendingEnds, p.key)
 	o.dropLease(p.key)
 	for _, b := range p.batches {
 		o.endDone(b)
@@ -208,15 +208,15 @@
 	}
 	_, it := o.st.item(p.key.job, p.key.index)
 	if it != nil && !it.ended() {
-		o.putBack(p.key)
+		o.requeueItem(p.key)
 		return
 	}
-	delete(s.tries, p.key.index)
+	delete(s.attempts, p.key.index)
 	o.closeIfDone(s.job)
 }
 
-// withdraw keeps an end in the ring through an outage; one that the log finds
-// too large is kept as the word that it ran.
+// withdraw keeps an end queued during an outage. An end that is too large for the log is
+// replaced by a failure which says that the item ran.
 func (p *pendingEnd) withdraw(_ *Owner, cause *outcome.Refusal) bool {
 	if cause.Code == outcome.TooLarge {
 		p.change.Progress = nil
@@ -225,10 +225,10 @@
 	return false
 }
 
-// tickEnds lets calls whose ends wait for the log return: the steward sends
-// them again and joins what is queued.
+// tickEnds answers calls whose ends have waited too long for the log. The dispatcher
+// sends them again and then waits for the queued ends.
 func (o *Owner) tickEnds() {
-	for _, p := range o.ends {
+	for _, p := range o.pendingEnds {
 		kept := p.batches[:0]
 		for _, b := range p.batches {
 			if o.now >= b.until && !b.answered {
--- a/core/ledger/owner_job.go
+++ b/core/ledger/owner_job.go
@@ -2,10 +2,10 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// rateWindowMs is how long a job's speed is measured for its forecast.
+// rateWindowMs is the time over which a job's rate is measured for its forecast.
 const rateWindowMs = 10_000
 
-// tickRate updates the estimate of items ended a millisecond.
+// tickRate updates the estimate of items ended per millisecond.
 func (s *sched) tickRate(now int64) {
 	span := now - s.rateSince
 	if span < rateWindowMs {
@@ -20,7 +20,7 @@
 	s.rateSince, s.rateEnded = now, ended
 }
 
-// status is a job's counts as of now.
+// status returns a job's current status.
 func (o *Owner) status(j *job) JobStatus {
 	st := JobStatus{
 		Job: j.Job, Profile: j.Profile, State: j.State, Items: j.Items,
@@ -44,7 +44,7 @@
 
 func noJob() *outcome.Refusal { return outcome.Refuse(outcome.NotFound, "no such job") }
 
-// Job reads a job's status.
+// Job returns a job's status, or a NotFound refusal.
 func (o *Owner) Job(nowMs int64, name string) (JobStatus, *outcome.Refusal) {
 	o.now = nowMs
 	j := o.st.jobs[name]
@@ -54,7 +54,7 @@
 	return o.status(j), nil
 }
 
-// Jobs reads the status of all jobs on the shard.
+// Jobs returns the status of all jobs on the shard.
 func (o *Owner) Jobs() []JobStatus {
 	var out []JobStatus
 	for _, j := range o.st.jobs {
@@ -63,7 +63,7 @@
 	return out
 }
 
-// result shapes an item as a caller reads it.
+// result returns an item as shown to a caller.
 func (o *Owner) result(j *job, index int, it *ItemBody) ItemResult {
 	r := ItemResult{
 		CustomID: it.Item.CustomID, State: it.State, Attempts: it.Attempts,
@@ -81,7 +81,7 @@
 	return r
 }
 
-// Item reads one item by its custom id.
+// Item returns one item by its custom id, or a NotFound refusal.
 func (o *Owner) Item(name, customID string) (ItemResult, *outcome.Refusal) {
 	j := o.st.jobs[name]
 	if j == nil {
@@ -97,25 +97,25 @@
 	return ItemResult{}, outcome.Refuse(outcome.NotFound, "no such item")
 }
 
-// defaultPageBytes bounds a page of results unless the reader says otherwise.
+// defaultPageBytes bounds a page of results if the request has no bound.
 const defaultPageBytes = 1 << 20
 
-// Results reads ended items in line order.
+// Results returns a page of ended items in line order.
 func (o *Owner) Results(req ResultsRequest) ResultsReply {
 	j := o.st.jobs[req.Job]
 	if j == nil {
 		return ResultsReply{Refusal: noJob()}
 	}
 	reply := ResultsReply{Items: j.Items, Next: max(req.From, 0)}
-	room := int64(req.MaxBytes)
-	if room <= 0 {
-		room = defaultPageBytes
+	bytesLeft := int64(req.MaxBytes)
+	if bytesLeft <= 0 {
+		bytesLeft = defaultPageBytes
 	}
-	for reply.Next < j.Items && room > 0 {
+	for reply.Next < j.Items && bytesLeft > 0 {
 		_, it := o.st.item(req.Job, reply.Next)
 		if it != nil && (it.ended() || j.State == JobCancelled) {
 			r := o.result(j, reply.Next, it)
-			room -= it.size()
+			bytesLeft -= it.size()
 			reply.Results = append(reply.Results, r)
 		}
 		reply.Next++
@@ -126,7 +126,7 @@
 // closeIfDone proposes the end of a job whose items have all ended.
 func (o *Owner) closeIfDone(j *job) {
 	if j.State == JobAccepted && j.completed+j.failed >= j.Items {
-		o.queue(&closeProposal{job: j.Job, state: JobEnded}, false)
+		o.propose(&closeProposal{job: j.Job, state: JobEnded}, false)
 	}
 }
 
@@ -151,7 +151,7 @@
 	return []Entry{{Ended: &EndedEntry{Job: p.job, State: p.state}}}
 }
 
-func (p *closeProposal) settled(o *Owner) {
+func (p *closeProposal) done(o *Owner) {
 	if j := o.st.jobs[p.job]; j != nil && j.State == JobEnded {
 		o.dropSched(p.job)
 	}
@@ -162,7 +162,7 @@
 
 func (p *closeProposal) withdraw(*Owner, *outcome.Refusal) bool { return false }
 
-// dropSched ends the handing out of a job's items.
+// dropSched stops handing out a job's items and drops their leases.
 func (o *Owner) dropSched(name string) {
 	s := o.scheds[name]
 	if s == nil {
--- a/core/ledger/owner_lease.go
+++ b/core/ledger/owner_lease.go
@@ -2,46 +2,47 @@
 
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
-// lease is an item in a steward's hands. It lives in the owner's memory only:
-// if the owner dies, its successor waits a lease's time before it hands out
-// items again, and the ledger keeps one end whoever ran the item.
+// lease is an item that a batch dispatcher holds. It exists only in the owner's memory:
+// if the owner dies, its successor waits for one lease time before it hands out items
+// again, and the ledger stores one end of the item, whichever dispatcher ran it.
 type lease struct {
-	steward string
-	attempt int
-	until   int64
-	// handed tells that the steward was given the item. For a non-repeatable
-	// item that is so only once its start was read back.
-	handed bool
-	// handedIn is the Seq of the pull whose reply handed a non-repeatable item
-	// over; 0 if that isn't known.
-	handedIn uint64
-	// inherited tells that a predecessor put the item's start on the log, and may
-	// have handed it over or not.
+	dispatcher string
+	attempt    int
+	until      int64
+	// handedOut reports that the dispatcher was given the item. A non-repeatable item is
+	// handed out only after its start was read back.
+	handedOut bool
+	// handedOutSeq is the Seq of the pull whose reply handed out a non-repeatable item; 0
+	// if it isn't known.
+	handedOutSeq uint64
+	// inherited reports that a previous owner wrote the item's start to the log; it may
+	// or may not have handed the item out.
 	inherited bool
-	// ending tells that an end waits to be read back.
+	// ending reports that an end of the item waits to be read back.
 	ending bool
 }
 
-// unknownRouteMs is how long a route may lack a target group before its items
-// fail: a daemon may take a job under a configuration that its owner gets a few
+// unservedRouteMs is how long a route may lack a target group before its items fail: a
+// daemon may accept a job under a configuration that the shard's owner receives a few
 // seconds later.
-const unknownRouteMs = 10_000
+const unservedRouteMs = 10_000
 
-// Pull hands items to a steward and renews what it holds already.
+// Pull hands out items to a batch dispatcher and renews the leases of those that it
+// holds.
 func (o *Owner) Pull(nowMs int64, req PullRequest) PullReply {
 	o.now = nowMs
-	reply := PullReply{LeaseMs: o.cfg.LeaseMs, Cancelled: o.renew(&req)}
-	o.takeBackUnseen(&req)
-	b := &basket{shard: o.cfg.Shard, term: o.term, steward: req.Steward, seq: req.Seq, max: req.Max, room: req.MaxBytes}
+	reply := PullReply{LeaseMs: o.cfg.LeaseMs, Cancelled: o.renewLeases(&req)}
+	o.reclaimUndelivered(&req)
+	b := &pullBatch{shard: o.cfg.Shard, term: o.term, dispatcher: req.Steward, seq: req.Seq, max: req.Max, bytesLeft: req.MaxBytes}
 	o.takeReady(b)
-	offers := o.offers(req.Group)
-	if !o.ringFull() {
-		o.takeWaiting(b, offers)
+	candidates := o.candidates(req.Group)
+	if !o.queueFull() {
+		o.takeWaiting(b, candidates)
 	}
-	for _, of := range offers {
-		n := of.lane.len()
+	for _, cand := range candidates {
+		n := cand.queue.len()
 		reply.Backlog += n
-		due := of.sched.job.DueMs
+		due := cand.sched.job.DueMs
 		if n > 0 && (reply.EarliestDueMs == 0 || due < reply.EarliestDueMs) {
 			reply.EarliestDueMs = due
 		}
@@ -50,34 +51,35 @@
 	return reply
 }
 
-// basket collects a pull's items.
-type basket struct {
-	shard   int
-	term    uint64
-	steward string
-	seq     uint64
-	max     int
-	room    int
-	items   []LeasedItem
-	// started counts items whose start was proposed for a later pull.
+// pullBatch collects the items of a pull.
+type pullBatch struct {
+	shard      int
+	term       uint64
+	dispatcher string
+	seq        uint64
+	max        int
+	bytesLeft  int
+	items      []LeasedItem
+	// started counts items whose start was proposed, to be handed out by a later pull.
 	started int
 }
 
-func (b *basket) full() bool { return len(b.items)+b.started >= b.max || b.room <= 0 }
+func (b *pullBatch) full() bool { return len(b.items)+b.started >= b.max || b.bytesLeft <= 0 }
 
-// renew prolongs the leases that the steward lists and returns those it should
-// stop: cancelled, ended, or handed to another steward meanwhile.
-func (o *Owner) renew(req *PullRequest) []ItemRef {
+// renewLeases renews the leases of the items that the dispatcher lists. It returns those
+// that the dispatcher should stop: they were cancelled, have ended, or were handed to
+// another dispatcher meanwhile.
+func (o *Owner) renewLeases(req *PullRequest) []ItemRef {
 	var stop []ItemRef
 	for _, ref := range req.Running {
-		if !o.renewOne(req.Steward, ref) {
+		if !o.renewLease(req.Steward, ref) {
 			stop = append(stop, ref)
 		}
 	}
 	return stop
 }
 
-func (o *Owner) renewOne(steward string, ref ItemRef) bool {
+func (o *Owner) renewLease(dispatcher string, ref ItemRef) bool {
 	key := itemKey{ref.Job, ref.Index}
 	s := o.scheds[ref.Job]
 	_, it := o.st.item(ref.Job, ref.Index)
@@ -86,75 +88,76 @@
 	}
 	l := o.leases[key]
 	if l == nil && !s.job.Repeatable {
-		return false // its start isn't on the log, or was taken back
+		return false // its start isn't on the log, or the item was reclaimed
 	}
 	if l == nil {
-		// A predecessor's lease, or one that lapsed while the steward was out
-		// of reach: it goes on, and pop skips the item's place in its lane.
-		l = &lease{steward: steward, attempt: ref.Attempt, handed: true}
+		// The lease is from a previous owner, or expired while the dispatcher could not
+		// be reached. It continues, and handOut skips the item when it is popped from its
+		// queue.
+		l = &lease{dispatcher: dispatcher, attempt: ref.Attempt, handedOut: true}
 		o.leases[key] = l
 		s.leased++
-		s.tries[ref.Index] = max(s.tries[ref.Index], ref.Attempt)
+		s.attempts[ref.Index] = max(s.attempts[ref.Index], ref.Attempt)
 	}
-	if l.steward != steward || l.attempt != ref.Attempt {
+	if l.dispatcher != dispatcher || l.attempt != ref.Attempt {
 		return false
 	}
 	l.until = o.now + o.cfg.LeaseMs
 	return true
 }
 
-// takeReady hands over non-repeatable items whose start was read back.
-func (o *Owner) takeReady(b *basket) {
-	keys := o.ready[b.steward]
+// takeReady hands out non-repeatable items whose start was read back.
+func (o *Owner) takeReady(b *pullBatch) {
+	keys := o.ready[b.dispatcher]
 	for len(keys) > 0 && !b.full() {
 		key := keys[0]
 		keys = keys[1:]
 		l := o.leases[key]
 		s := o.scheds[key.job]
 		_, it := o.st.item(key.job, key.index)
-		if s == nil || it == nil || it.ended() || !l.waitsFor(b.steward) {
+		if s == nil || it == nil || it.ended() || !l.readyFor(b.dispatcher) {
 			continue
 		}
-		l.handed, l.handedIn = true, b.seq
+		l.handedOut, l.handedOutSeq = true, b.seq
 		l.until = o.now + o.cfg.LeaseMs
 		b.add(s, key, it, l.attempt)
 	}
 	if len(keys) == 0 {
-		delete(o.ready, b.steward)
+		delete(o.ready, b.dispatcher)
 		return
 	}
-	o.ready[b.steward] = keys
+	o.ready[b.dispatcher] = keys
 }
 
-// takeBackUnseen returns non-repeatable items to waiting that were handed over in
-// a reply which the steward never got: it lives, so they would stay running for
-// ever. They certainly never started:
+// reclaimUndelivered returns to waiting the non-repeatable items that were handed out in
+// a reply which the dispatcher never received. As the dispatcher is live, they would
+// otherwise stay running forever. They certainly never started:
 //
-//   - The steward's list is of a later pull than the one that handed the item
-//     over, and was made when that one's reply had been taken in or thrown away.
-//     Had it been taken in, the item would be listed until its end was read back
-//     here, and then it has no lease. A list that was late on its way has a lower
-//     number, and doesn't count, however long ago it was sent.
-//   - An item that a predecessor started is taken back only if the list comes
-//     with this owner's term or a later one. The steward has dropped everything
-//     from earlier terms since before it made the list: what the predecessor had
-//     handed over by then is in the list, what it hands over later, paused until
-//     then or late on its way, is thrown away. Only this steward can have had the
-//     item, since another is given it under a start of its own, which would be
-//     the one that was folded here.
-//   - The lease is over too: a steward may start an item only within the lease,
+//   - The dispatcher's list belongs to a later pull than the one that handed the item
+//     out, and was made after the reply to that pull had been processed or discarded.
+//     Had it been processed, the item would be listed until its end was read back
+//     here, and then it has no lease. A list that was delayed has a lower number and
+//     is ignored, however long ago it was sent.
+//   - An item that a previous owner started is reclaimed only if the list comes with
+//     this owner's term or a later one. The dispatcher has discarded everything from
+//     earlier terms since before it made the list: items that the previous owner had
+//     handed out by then are in the list, items that it hands out later, because it
+//     was paused or its reply was delayed, are discarded. No other dispatcher can have
+//     the item, because it would be given the item under a start of its own, and that
+//     start would be the one applied here.
+//   - The lease has expired too: a dispatcher may start an item only within the lease,
 //     measured from before it sent the pull.
 //
-// The word that the item waits again goes on the log like any end, so an owner
-// that has lost its shard takes nothing back.
-func (o *Owner) takeBackUnseen(req *PullRequest) {
+// That the item is waiting again is written to the log like any end, so an owner that has
+// lost its shard can't reclaim anything.
+func (o *Owner) reclaimUndelivered(req *PullRequest) {
 	if !req.HeldWhole {
 		return
 	}
 	var held map[itemKey]bool
 	for key, l := range o.leases {
 		s := o.scheds[key.job]
-		if l.steward != req.Steward || l.ending || !o.missable(l, req) || o.now < l.until || s == nil {
+		if l.dispatcher != req.Steward || l.ending || !o.provesUndelivered(l, req) || o.now < l.until || s == nil {
 			continue
 		}
 		if held == nil {
@@ -167,13 +170,13 @@
 	}
 }
 
-// missable tells whether a list that lacks the lease's item proves that the
-// steward never got it.
-func (o *Owner) missable(l *lease, req *PullRequest) bool {
+// provesUndelivered reports whether the absence of the lease's item from the list in the
+// request proves that the dispatcher never received it.
+func (o *Owner) provesUndelivered(l *lease, req *PullRequest) bool {
 	if l.inherited {
 		return req.Terms[o.cfg.Shard] >= o.term
 	}
-	return l.handedIn != 0 && l.handedIn < req.Seq
+	return l.handedOutSeq != 0 && l.handedOutSeq < req.Seq
 }
 
 func (r *PullRequest) heldKeys() map[itemKey]bool {
@@ -184,15 +187,15 @@
 	return keys
 }
 
-// waitsFor tells whether the lease's item was started for the steward and is
-// still to be handed over. One whose time lapsed is on its way back to waiting
-// and must not be: another steward may be given it next.
-func (l *lease) waitsFor(steward string) bool {
-	return l != nil && l.steward == steward && !l.handed && !l.ending
+// readyFor reports whether the lease's item was started for the dispatcher and can be
+// handed out to it. An item with an expired lease is being returned to waiting and must
+// not be handed out: another dispatcher may get it next.
+func (l *lease) readyFor(dispatcher string) bool {
+	return l != nil && l.dispatcher == dispatcher && !l.handedOut && !l.ending
 }
 
-func (b *basket) add(s *sched, key itemKey, it *ItemBody, attempt int) {
-	b.room -= len(it.Item.Body)
+func (b *pullBatch) add(s *sched, key itemKey, it *ItemBody, attempt int) {
+	b.bytesLeft -= len(it.Item.Body)
 	b.items = append(b.items, LeasedItem{
 		Ref:  ItemRef{Job: key.job, Index: key.index, Attempt: attempt},
 		Item: it.Item, Profile: s.job.Profile, DueMs: s.job.DueMs,
@@ -200,44 +203,44 @@
 	})
 }
 
-func (o *Owner) takeWaiting(b *basket, offers []offer) {
+func (o *Owner) takeWaiting(b *pullBatch, candidates []candidate) {
 	for nth := 0; !b.full(); nth++ {
-		i := o.pick(offers, nth)
+		i := o.pick(candidates, nth)
 		if i < 0 {
 			return
 		}
-		of := offers[i]
-		if !of.sched.job.Repeatable && !o.LogOK() {
-			of.lane = &lane{} // needs the log to start; leave the lane alone
-			offers[i] = of
+		cand := candidates[i]
+		if !cand.sched.job.Repeatable && !o.LogOK() {
+			cand.queue = &itemQueue{} // starting needs the log: skip the queue in this pull
+			candidates[i] = cand
 			continue
 		}
-		o.hand(b, of)
+		o.handOut(b, cand)
 	}
 }
 
-func (o *Owner) hand(b *basket, of offer) {
-	s := of.sched
-	key := itemKey{s.job.Job, of.lane.pop()}
+func (o *Owner) handOut(b *pullBatch, cand candidate) {
+	s := cand.sched
+	key := itemKey{s.job.Job, cand.queue.pop()}
 	_, it := o.st.item(key.job, key.index)
 	if it == nil || it.ended() || o.leases[key] != nil {
 		return
 	}
-	attempt := max(it.Attempts, s.tries[key.index]) + 1
-	s.tries[key.index] = attempt
+	attempt := max(it.Attempts, s.attempts[key.index]) + 1
+	s.attempts[key.index] = attempt
 	s.served++
 	o.served[s.caller]++
 	s.leased++
-	o.figures.Items++
-	l := &lease{steward: b.steward, attempt: attempt, until: o.now + o.cfg.LeaseMs}
+	o.stats.Items++
+	l := &lease{dispatcher: b.dispatcher, attempt: attempt, until: o.now + o.cfg.LeaseMs}
 	o.leases[key] = l
 	if s.job.Repeatable {
-		l.handed = true
+		l.handedOut = true
 		b.add(s, key, it, attempt)
 		return
 	}
 	b.started++
-	o.queue(&itemStart{key: key, lease: l}, true)
+	o.propose(&itemStart{key: key, lease: l}, true)
 }
 
 func (o *Owner) dropLease(key itemKey) {
@@ -250,9 +253,9 @@
 	}
 }
 
-// tickLeases returns lapsed leases to waiting. A non-repeatable item that was
-// handed out stays with its steward while that lives and names it (see
-// takeBackUnseen); once the steward is dead it fails as one that may have run.
+// tickLeases returns the items of expired leases to waiting. A non-repeatable item that
+// was handed out stays with its dispatcher while that is live (see reclaimUndelivered for
+// the exception); once the dispatcher is dead, the item fails as one that may have run.
 func (o *Owner) tickLeases() {
 	for key, l := range o.leases {
 		if l.ending || o.now < l.until {
@@ -263,7 +266,7 @@
 			o.dropLease(key)
 			continue
 		}
-		o.lapse(s, key, l)
+		o.expireLease(s, key, l)
 	}
 	for _, s := range o.scheds {
 		o.tickRoutes(s)
@@ -271,56 +274,56 @@
 	}
 }
 
-func (o *Owner) lapse(s *sched, key itemKey, l *lease) {
+func (o *Owner) expireLease(s *sched, key itemKey, l *lease) {
 	if s.job.Repeatable {
 		o.dropLease(key)
-		o.putBack(key)
+		o.requeueItem(key)
 		return
 	}
-	if !l.handed {
+	if !l.handedOut {
 		l.ending = true
 		o.proposeEnd(key, o.change(key, l.attempt, ItemWaiting, nil), nil)
 		return
 	}
-	if o.cfg.Live(l.steward) {
+	if o.cfg.Live(l.dispatcher) {
 		return
 	}
 	l.ending = true
 	o.proposeEnd(key, o.change(key, l.attempt, ItemFailed, unknownOutcome()), nil)
 }
 
-// tickRoutes fails the items of a route that no target group has served for a
-// while. Only time counts in which this daemon could have heard of a group and
-// an item waited for it: the configuration travels on the log, so in an outage
-// the one in force here may be old, and an item that comes back to its lane must
-// not be failed for what was so an hour ago.
+// tickRoutes fails the items of a route that no target group has served for
+// unservedRouteMs. Only time counts during which the log was available and an item was
+// waiting in the queue: the configuration travels on the log, so the one in force here
+// may be outdated during an outage, and an item that returns to its queue must not fail
+// because the route had no target group an hour ago.
 func (o *Owner) tickRoutes(s *sched) {
-	for _, l := range s.routes {
-		if s.job.State != JobAccepted || !o.trim(s, l) || !o.LogOK() {
-			l.unknownSince = 0
+	for _, q := range s.routes {
+		if s.job.State != JobAccepted || !o.trim(s, q) || !o.LogOK() {
+			q.unservedSince = 0
 			continue
 		}
-		_, it := o.st.item(s.job.Job, l.head())
+		_, it := o.st.item(s.job.Job, q.head())
 		if _, ok := o.cfg.GroupOf(it.Item); ok {
-			l.unknownSince = 0
+			q.unservedSince = 0
 			continue
 		}
-		if l.unknownSince == 0 {
-			l.unknownSince = o.now
+		if q.unservedSince == 0 {
+			q.unservedSince = o.now
 		}
-		if o.now-l.unknownSince >= unknownRouteMs {
-			o.failRoute(s, l)
+		if o.now-q.unservedSince >= unservedRouteMs {
+			o.failRoute(s, q)
 		}
 	}
 }
 
-// failBurst bounds how many items of an unserved route fail in one tick.
-const failBurst = 256
+// maxFailuresPerTick bounds how many items of an unserved route fail in one tick.
+const maxFailuresPerTick = 256
 
-func (o *Owner) failRoute(s *sched, l *lane) {
+func (o *Owner) failRoute(s *sched, q *itemQueue) {
 	refusal := outcome.Refuse(outcome.UnknownTarget, "no target group serves this item")
-	for n := 0; n < failBurst && l.len() > 0; n++ {
-		key := itemKey{s.job.Job, l.pop()}
+	for n := 0; n < maxFailuresPerTick && q.len() > 0; n++ {
+		key := itemKey{s.job.Job, q.pop()}
 		_, it := o.st.item(key.job, key.index)
 		if it == nil || it.ended() || o.leases[key] != nil {
 			continue
@@ -331,7 +334,7 @@
 	}
 }
 
-// itemStart puts the start of a non-repeatable item on the log.
+// itemStart writes the start of a non-repeatable item to the log.
 type itemStart struct {
 	key   itemKey
 	lease *lease
@@ -341,37 +344,37 @@
 
 func (p *itemStart) size() int { return objectOverhead }
 
-func (p *itemStart) moot(o *Owner) bool {
+func (p *itemStart) obsolete(o *Owner) bool {
 	s := o.scheds[p.key.job]
 	return s == nil || s.job.State != JobAccepted || o.leases[p.key] != p.lease || p.lease.ending
 }
 
 func (p *itemStart) entries(o *Owner) []Entry {
-	if p.moot(o) {
+	if p.obsolete(o) {
 		return nil
 	}
 	return []Entry{{Starts: &ItemStarts{Marks: []ItemMark{{
-		Job: p.key.job, Index: p.key.index, Attempt: p.lease.attempt, Steward: p.lease.steward,
+		Job: p.key.job, Index: p.key.index, Attempt: p.lease.attempt, Steward: p.lease.dispatcher,
 	}}}}}
 }
 
-func (p *itemStart) settled(o *Owner) {
+func (p *itemStart) done(o *Owner) {
 	_, it := o.st.item(p.key.job, p.key.index)
-	if p.moot(o) || it == nil || it.Started != p.lease.steward {
+	if p.obsolete(o) || it == nil || it.Started != p.lease.dispatcher {
 		return
 	}
 	p.lease.until = o.now + o.cfg.LeaseMs
-	o.ready[p.lease.steward] = append(o.ready[p.lease.steward], p.key)
+	o.ready[p.lease.dispatcher] = append(o.ready[p.lease.dispatcher], p.key)
 }
 
 // withdraw returns the item to waiting: its start is certainly not on the log.
 func (p *itemStart) withdraw(o *Owner, _ *outcome.Refusal) bool {
 	if o.leases[p.key] == p.lease && !p.lease.ending {
 		o.dropLease(p.key)
-		o.putBack(p.key)
+		o.requeueItem(p.key)
 	}
 	return true
 }
 
-// HasReady tells whether items started for the steward wait to be pulled.
-func (o *Owner) HasReady(steward string) bool { return len(o.ready[steward]) > 0 }
+// HasReady reports whether items started for the dispatcher are ready to be pulled.
+func (o *Owner) HasReady(dispatcher string) bool { return len(o.ready[dispatcher]) > 0 }
--- a/core/ledger/owner_request.go
+++ b/core/ledger/owner_request.go
@@ -9,29 +9,29 @@
 	begin BeginRequest
 }
 
-// run is a keyed request that is being executed, or is about to be.
+// run is a keyed request that is being executed or is about to be.
 type run struct {
 	begin   BeginRequest
 	attempt int
-	// granted tells that the entry host was told to run it. A non-repeatable
-	// run is granted only once its start was read back as valid.
+	// granted reports that the entry host was told to run the request. A non-repeatable
+	// request is granted only after its start was read back as valid.
 	granted bool
-	// withdrawn tells that the entry host was told "not run" while the start
-	// might still land on the log; then the key is freed again.
-	withdrawn bool
-	// end is the first end that was reported, not yet read back.
+	// refused reports that the entry host was answered "not run" while the start could
+	// still appear on the log. If it does, the key is freed again.
+	refused bool
+	// end is the first end that was reported; it has not been read back yet.
 	end *FinishRequest
 
-	askers    []waiter // the same arrival, asking again
-	waiters   []waiter // other arrivals of the key
-	finishers []waiter
+	grantWaiters  []waiter // calls of the arrival itself that wait for the grant
+	waiters       []waiter // calls of other arrivals of the key
+	finishWaiters []waiter // calls that wait until the end is durable
 }
 
-// Begin steps a keyed arrival in.
+// Begin handles an arrival of a keyed request.
 func (o *Owner) Begin(nowMs int64, call CallID, req BeginRequest) {
 	o.now = nowMs
 	if r := o.runOf(req.Key); r != nil {
-		o.join(r, call, req)
+		o.joinRun(r, call, req)
 		return
 	}
 	kept := o.st.requests[req.Key]
@@ -40,17 +40,17 @@
 		return
 	}
 	if kept.Fingerprint != req.Fingerprint {
-		o.settle(call, nil, conflict(req.Key))
+		o.replySettled(call, nil, conflict(req.Key))
 		return
 	}
-	if kept.reopens() && kept.Nonce != req.Nonce {
+	if kept.retryable() && kept.Nonce != req.Nonce {
 		o.startRun(call, req, kept.Attempt+1)
 		return
 	}
-	o.settle(call, kept.Answer, kept.Refusal.refusal())
+	o.replySettled(call, kept.Answer, kept.Refusal.refusal())
 }
 
-// runOf returns the run of the key, also one that a predecessor granted.
+// runOf returns the run of the key, including one that a previous owner granted, or nil.
 func (o *Owner) runOf(key string) *run {
 	if r := o.runs[key]; r != nil {
 		return r
@@ -67,9 +67,9 @@
 	return r
 }
 
-// reopens tells whether a failed request may be tried again by a new arrival:
-// its caller was told of a failure, and repeating it is allowed and may help.
-func (r *request) reopens() bool {
+// retryable reports whether a new arrival may retry a failed request: the request is
+// repeatable, and its failure may be temporary.
+func (r *request) retryable() bool {
 	if r.State != RequestFailed || !r.Repeatable {
 		return false
 	}
@@ -89,85 +89,86 @@
 		"the request was started and its outcome is not known").WithRun(outcome.MayHaveRun)
 }
 
-func (o *Owner) settle(call CallID, a *Answer, r *outcome.Refusal) {
+func (o *Owner) replySettled(call CallID, a *Answer, r *outcome.Refusal) {
 	o.reply(Reply{Call: call, Begin: &BeginReply{Verdict: Settled, Answer: a, Refusal: r}})
 }
 
-func (o *Owner) grant(call CallID, attempt int) {
+func (o *Owner) replyGranted(call CallID, attempt int) {
 	o.reply(Reply{Call: call, Begin: &BeginReply{Verdict: Granted, Attempt: attempt}})
 }
 
-// startRun begins an attempt. A repeatable one is granted at once and its start
-// follows in the background, so that an outage of the log doesn't stop it.
+// startRun begins an attempt. A repeatable request is granted at once and its start is
+// written to the log in the background, so that an outage of the log doesn't block it.
 func (o *Owner) startRun(call CallID, req BeginRequest, attempt int) {
 	if !req.Repeatable && !o.LogOK() {
-		o.settle(call, nil, logUnavailable())
+		o.replySettled(call, nil, logUnavailable())
 		return
 	}
 	r := &run{begin: req, attempt: attempt}
 	o.runs[req.Key] = r
-	o.begin(r, call)
+	o.proposeStart(r, call)
 }
 
-func (o *Owner) begin(r *run, call CallID) {
+func (o *Owner) proposeStart(r *run, call CallID) {
 	p := &startProposal{run: r, attempt: r.attempt}
 	if r.begin.Repeatable {
 		r.granted = true
-		o.grant(call, r.attempt)
-		if !o.ringFull() {
-			o.queue(p, false)
+		o.replyGranted(call, r.attempt)
+		if !o.queueFull() {
+			o.propose(p, false)
 		}
 		return
 	}
-	r.askers = append(r.askers, waiter{call: call, until: o.now + callWaitMs})
-	o.queue(p, true)
+	r.grantWaiters = append(r.grantWaiters, waiter{call: call, until: o.now + callWaitMs})
+	o.propose(p, true)
 }
 
-// join handles an arrival of a key that is running.
-func (o *Owner) join(r *run, call CallID, req BeginRequest) {
+// joinRun handles an arrival of a key that has a run.
+func (o *Owner) joinRun(r *run, call CallID, req BeginRequest) {
 	switch {
 	case r.begin.Fingerprint != req.Fingerprint:
-		o.settle(call, nil, conflict(req.Key))
+		o.replySettled(call, nil, conflict(req.Key))
 	case r.end != nil && !r.end.frees():
-		o.settle(call, r.end.Answer, r.end.Refusal)
+		o.replySettled(call, r.end.Answer, r.end.Refusal)
 	case r.begin.Nonce == req.Nonce && r.end == nil:
-		o.askAgain(r, call)
+		o.repeatReply(r, call)
 	case req.WaitMs <= 0 && o.cfg.Live(r.begin.Entry):
 		o.reply(Reply{Call: call, Begin: &BeginReply{Verdict: StillRunning}})
 	default:
 		r.waiters = append(r.waiters, waiter{call: call, until: o.now + req.WaitMs, begin: req})
-		o.checkEntry(r)
+		o.checkEntryHost(r)
 	}
 }
 
-// askAgain gives the same arrival the same word. A grant may be repeated: the
-// entry host asks again only if it did not get the first one.
-func (o *Owner) askAgain(r *run, call CallID) {
+// repeatReply gives a repeated call of the same arrival the same reply. A grant may be
+// sent again, because the entry host repeats the call only if it didn't receive the first
+// reply.
+func (o *Owner) repeatReply(r *run, call CallID) {
 	switch {
-	case r.withdrawn:
-		o.settle(call, nil, logUnavailable())
+	case r.refused:
+		o.replySettled(call, nil, logUnavailable())
 	case r.granted:
-		o.grant(call, r.attempt)
+		o.replyGranted(call, r.attempt)
 	default:
-		r.askers = append(r.askers, waiter{call: call, until: o.now + callWaitMs})
+		r.grantWaiters = append(r.grantWaiters, waiter{call: call, until: o.now + callWaitMs})
 	}
 }
 
-// checkEntry looks after a run whose entry host may have died: a repeatable one
-// is granted to the next caller as a new attempt. A non-repeatable one that was
-// granted is never granted again, whoever asks: its callers learn that it may
-// have run. One that was not granted yet is freed once its start has landed.
-func (o *Owner) checkEntry(r *run) {
+// checkEntryHost handles a run whose entry host may have died. A repeatable request is
+// granted to the next waiting arrival as a new attempt. A non-repeatable request that was
+// granted is never granted again; its waiting arrivals are told that it may have run. A
+// non-repeatable request that was not granted yet is freed once its start was read back.
+func (o *Owner) checkEntryHost(r *run) {
 	if len(r.waiters) == 0 || r.end != nil || o.cfg.Live(r.begin.Entry) {
 		return
 	}
 	if !r.begin.Repeatable {
 		if !r.granted {
-			r.withdrawn = true
+			r.refused = true
 			return
 		}
 		for _, w := range r.waiters {
-			o.settle(w.call, nil, unknownOutcome())
+			o.replySettled(w.call, nil, unknownOutcome())
 		}
 		r.waiters = nil
 		return
@@ -176,27 +177,27 @@
 	r.waiters = r.waiters[1:]
 	r.begin = next.begin
 	r.attempt++
-	o.begin(r, next.call)
+	o.proposeStart(r, next.call)
 }
 
-// tickRuns ends waits. A start that was not read back in time is refused as not
-// run, which is true, because the entry host sends nothing before the grant.
+// tickRuns expires waiting calls. A start that was not read back in time is refused as
+// not run, which is correct, because the entry host sends nothing before the grant.
 func (o *Owner) tickRuns() {
 	for _, r := range o.runs {
-		o.checkEntry(r)
-		r.waiters = o.expire(r.waiters, func(w waiter) {
+		o.checkEntryHost(r)
+		r.waiters = o.expireWaiters(r.waiters, func(w waiter) {
 			o.reply(Reply{Call: w.call, Begin: &BeginReply{Verdict: StillRunning}})
 		})
-		asked := len(r.askers)
-		r.askers = o.expire(r.askers, func(w waiter) { o.settle(w.call, nil, logUnavailable()) })
-		if asked > 0 && len(r.askers) == 0 && !r.granted {
-			r.withdrawn = true
+		waiting := len(r.grantWaiters)
+		r.grantWaiters = o.expireWaiters(r.grantWaiters, func(w waiter) { o.replySettled(w.call, nil, logUnavailable()) })
+		if waiting > 0 && len(r.grantWaiters) == 0 && !r.granted {
+			r.refused = true
 		}
-		r.finishers = o.expire(r.finishers, func(w waiter) { o.finished(w.call, r.end, false) })
+		r.finishWaiters = o.expireWaiters(r.finishWaiters, func(w waiter) { o.replyFinished(w.call, r.end, false) })
 	}
 }
 
-func (o *Owner) expire(ws []waiter, end func(waiter)) []waiter {
+func (o *Owner) expireWaiters(ws []waiter, end func(waiter)) []waiter {
 	var kept []waiter
 	for _, w := range ws {
 		if o.now < w.until {
@@ -208,7 +209,7 @@
 	return kept
 }
 
-// startProposal puts an attempt's start on the log.
+// startProposal writes the start of an attempt to the log.
 type startProposal struct {
 	run     *run
 	attempt int
@@ -218,13 +219,13 @@
 
 func (p *startProposal) size() int { return len(p.run.begin.Key) + objectOverhead }
 
-func (p *startProposal) moot() bool {
+func (p *startProposal) obsolete() bool {
 	r := p.run
-	return r.attempt != p.attempt || r.end != nil || (r.withdrawn && !r.granted)
+	return r.attempt != p.attempt || r.end != nil || (r.refused && !r.granted)
 }
 
 func (p *startProposal) entries(o *Owner) []Entry {
-	if p.moot() {
+	if p.obsolete() {
 		return nil
 	}
 	return []Entry{{Start: &StartEntry{Request: p.run.body()}}}
@@ -238,25 +239,25 @@
 	}
 }
 
-func (p *startProposal) settled(o *Owner) {
+func (p *startProposal) done(o *Owner) {
 	r := p.run
 	if r.attempt != p.attempt || r.granted || r.end != nil {
 		return
 	}
 	kept := o.st.requests[r.begin.Key]
-	if !r.withdrawn {
+	if !r.refused {
 		r.granted = true
-		for _, w := range r.askers {
-			o.grant(w.call, r.attempt)
+		for _, w := range r.grantWaiters {
+			o.replyGranted(w.call, r.attempt)
 		}
-		r.askers = nil
+		r.grantWaiters = nil
 		return
 	}
 	if kept != nil && kept.State == RequestRunning && kept.Nonce == r.begin.Nonce {
-		o.queue(&freeProposal{run: r}, true)
+		o.propose(&freeProposal{run: r}, true)
 		return
 	}
-	o.freed(r)
+	o.endRun(r)
 }
 
 func (p *startProposal) withdraw(o *Owner, cause *outcome.Refusal) bool {
@@ -264,16 +265,16 @@
 	if r.begin.Repeatable {
 		return false
 	}
-	for _, w := range r.askers {
-		o.settle(w.call, nil, cause)
+	for _, w := range r.grantWaiters {
+		o.replySettled(w.call, nil, cause)
 	}
-	r.askers, r.withdrawn = nil, true
-	o.freed(r)
+	r.grantWaiters, r.refused = nil, true
+	o.endRun(r)
 	return true
 }
 
-// freed ends a run that no target got; the first waiter starts anew.
-func (o *Owner) freed(r *run) {
+// endRun removes the run; the calls of the waiting arrivals are handled anew.
+func (o *Owner) endRun(r *run) {
 	delete(o.runs, r.begin.Key)
 	waiters := r.waiters
 	r.waiters = nil
@@ -282,8 +283,8 @@
 	}
 }
 
-// freeProposal frees the key of a start that landed after its caller was told
-// that nothing ran.
+// freeProposal frees the key of a start that appeared on the log after its caller was
+// told that the request did not run.
 type freeProposal struct{ run *run }
 
 func (p *freeProposal) subject() subject { return requestSubject(p.run.begin.Key) }
@@ -294,6 +295,6 @@
 	return []Entry{{Finish: &FinishEntry{Key: p.run.begin.Key, Attempt: p.run.attempt, Free: true}}}
 }
 
-func (p *freeProposal) settled(o *Owner) { o.freed(p.run) }
+func (p *freeProposal) done(o *Owner) { o.endRun(p.run) }
 
 func (p *freeProposal) withdraw(*Owner, *outcome.Refusal) bool { return false }
--- a/core/ledger/owner_sched.go
+++ b/core/ledger/owner_sched.go
@@ -6,64 +6,68 @@
 	"strings"
 )
 
-// itemKey names an item on this shard.
+// itemKey identifies an item on this shard.
 type itemKey struct {
 	job   string
 	index int
 }
 
-// sched is the volatile side of an accepted job: which items wait.
+// sched is the scheduling state of an accepted job, which exists only in the owner's
+// memory.
 type sched struct {
 	job    *job
 	caller string
-	// graceUntil is when leases of a predecessor have surely lapsed.
+	// graceUntil is when all leases given by a previous owner have expired.
 	graceUntil int64
-	routes     map[string]*lane
+	routes     map[string]*itemQueue
 	leased     int
 	// served counts items handed out, for fairness between jobs.
 	served float64
-	// tries is the last attempt handed out, where that is above the recorded one.
-	tries map[int]int
-	// rate* estimate the items ended a millisecond.
+	// attempts maps an item to the last attempt handed out, if it is above the recorded
+	// one.
+	attempts map[int]int
+	// rateSince, rateEnded and rate estimate the number of items that end per
+	// millisecond.
 	rateSince int64
 	rateEnded int
 	rate      float64
 }
 
-// lane holds the waiting items of a job that go to the same target group.
-type lane struct {
-	// again holds items handed back; they go first. fresh items follow in order.
-	again []int
-	fresh []int
-	// unknownSince is when the route was first found to have no target group.
-	unknownSince int64
+// itemQueue holds the waiting items of a job that go to the same target group.
+type itemQueue struct {
+	// requeued holds items that were returned to waiting; they are handed out first. The
+	// items in fresh follow in order.
+	requeued []int
+	fresh    []int
+	// unservedSince is when the route was first found to have no target group.
+	unservedSince int64
 }
 
-func (l *lane) len() int { return len(l.again) + len(l.fresh) }
+func (q *itemQueue) len() int { return len(q.requeued) + len(q.fresh) }
 
-func (l *lane) head() int {
-	if len(l.again) > 0 {
-		return l.again[0]
+func (q *itemQueue) head() int {
+	if len(q.requeued) > 0 {
+		return q.requeued[0]
 	}
-	return l.fresh[0]
+	return q.fresh[0]
 }
 
-func (l *lane) pop() int {
-	if len(l.again) > 0 {
-		i := l.again[0]
-		l.again = l.again[1:]
+func (q *itemQueue) pop() int {
+	if len(q.requeued) > 0 {
+		i := q.requeued[0]
+		q.requeued = q.requeued[1:]
 		return i
 	}
-	i := l.fresh[0]
-	l.fresh = l.fresh[1:]
+	i := q.fresh[0]
+	q.fresh = q.fresh[1:]
 	return i
 }
 
-// servicePrefix begins the URL of an item for a plain service.
+// servicePrefix is the start of an item's URL for a plain service.
 const servicePrefix = "/v1/services/"
 
-// routeOf tells items apart by what their target group follows from: the
-// service in the URL, or else the model in the body.
+// routeOf returns the part of an item that determines its target group: the service in
+// the URL, or else the URL and the model in the body.
 func routeOf(it *Item) string {
 	if rest, ok := strings.CutPrefix(it.URL, servicePrefix); ok {
 		name, _, _ := strings.Cut(rest, "/")
@@ -83,8 +87,8 @@
 	return caller
 }
 
-// findRoutes works the routes of a chunk's items out, once. It is done as each
-// chunk lands, so that accepting a large job doesn't hold up its shard.
+// findRoutes computes the routes of a chunk's items, once. This is done as each chunk is
+// read back, so that accepting a large job doesn't block its shard.
 func (o *Owner) findRoutes(c *chunk) {
 	if len(c.routes) == len(c.items) {
 		return
@@ -97,7 +101,7 @@
 	}
 }
 
-// intern keeps one copy of each route.
+// intern returns a shared copy of the route.
 func (o *Owner) intern(route string) string {
 	if kept, ok := o.routeNames[route]; ok {
 		return kept
@@ -106,12 +110,13 @@
 	return route
 }
 
-// addSched begins to hand out a job's items, after the grace time.
+// addSched starts scheduling a job's items; they are handed out once the grace period is
+// over.
 func (o *Owner) addSched(j *job, graceUntil int64) *sched {
 	caller := callerOf(j.Job)
 	s := &sched{
 		job: j, caller: caller, graceUntil: graceUntil,
-		routes: map[string]*lane{}, tries: map[int]int{}, rateSince: o.now,
+		routes: map[string]*itemQueue{}, attempts: map[int]int{}, rateSince: o.now,
 		served: o.leastServed(caller),
 	}
 	s.rateEnded = j.completed + j.failed
@@ -126,9 +131,9 @@
 	return s
 }
 
-// leastServed puts a new job level with the least served one of its caller, and
-// a new caller with the least served caller, so that newcomers neither wait nor
-// make up for the past.
+// leastServed returns the served count with which a new job starts: that of the least
+// served job of its caller. A new caller starts with the count of the least served
+// caller. So a newcomer neither waits nor catches up on the past.
 func (o *Owner) leastServed(caller string) float64 {
 	least, leastCaller := math.Inf(1), math.Inf(1)
 	known := false
@@ -152,8 +157,8 @@
 	return v
 }
 
-// schedule puts an item in its lane; one that a predecessor started and that
-// may not be repeated stays with its steward until its fate is known.
+// schedule adds an item to its queue. A non-repeatable item that a previous owner started
+// stays leased to its dispatcher until its outcome is known.
 func (o *Owner) schedule(s *sched, c *chunk, i int) {
 	it, index := &c.items[i], c.first+i
 	if it.ended() {
@@ -161,124 +166,125 @@
 	}
 	if it.Started != "" {
 		o.leases[itemKey{s.job.Job, index}] = &lease{
-			steward: it.Started, attempt: it.Attempts, until: s.graceUntil, handed: true, inherited: true,
+			dispatcher: it.Started, attempt: it.Attempts, until: s.graceUntil, handedOut: true, inherited: true,
 		}
 		s.leased++
 		return
 	}
-	l := s.lane(c.routes[i])
-	l.fresh = append(l.fresh, index)
+	q := s.queueFor(c.routes[i])
+	q.fresh = append(q.fresh, index)
 }
 
-func (s *sched) lane(route string) *lane {
-	l := s.routes[route]
-	if l == nil {
-		l = &lane{}
-		s.routes[route] = l
+func (s *sched) queueFor(route string) *itemQueue {
+	q := s.routes[route]
+	if q == nil {
+		q = &itemQueue{}
+		s.routes[route] = q
 	}
-	return l
+	return q
 }
 
-// resumeJob takes up a job that a predecessor left.
+// resumeJob continues a job of a previous owner.
 func (o *Owner) resumeJob(j *job) {
 	switch j.State {
 	case JobAccepted:
 		o.addSched(j, o.graceUntil)
 	case JobCancelling:
-		o.beginRevoke(j.Job, o.graceUntil)
+		o.startRevocation(j.Job, o.graceUntil)
 	}
 }
 
-// putBack returns an unended item to its lane, ahead of fresh ones.
-func (o *Owner) putBack(key itemKey) {
+// requeueItem returns an item that hasn't ended to its queue, ahead of fresh ones.
+func (o *Owner) requeueItem(key itemKey) {
 	s := o.scheds[key.job]
 	_, it := o.st.item(key.job, key.index)
 	if s == nil || it == nil || it.ended() {
 		return
 	}
-	l := s.lane(routeOf(&it.Item))
-	l.again = append(l.again, key.index)
+	q := s.queueFor(routeOf(&it.Item))
+	q.requeued = append(q.requeued, key.index)
 }
 
 const (
-	// similarDueMs is the width of a class of due times within which jobs share
-	// by fairness instead of by order.
+	// similarDueMs is the width of a class of due times. Jobs of the same class are
+	// ordered by fairness and not by due time.
 	similarDueMs = 15 * 60 * 1000
-	// fairShare: every so many items one goes by fairness among all jobs
-	// whatever their due time, so that no job waits for a large one to end.
+	// fairShare: one in fairShare items is chosen by fairness among all jobs, whatever
+	// their due time, so that no job has to wait for a large one to end.
 	fairShare = 4
 )
 
-// offer is a lane that a pull may take from.
-type offer struct {
+// candidate is a queue from which a pull may take items.
+type candidate struct {
 	sched *sched
-	lane  *lane
+	queue *itemQueue
 	class int64
 }
 
-// offers lists the lanes of the target group that have waiting items.
-func (o *Owner) offers(group string) []offer {
-	var out []offer
+// candidates returns the queues of the target group that have waiting items.
+func (o *Owner) candidates(group string) []candidate {
+	var out []candidate
 	for _, s := range o.scheds {
 		if s.job.State != JobAccepted || o.now < s.graceUntil {
 			continue
 		}
-		for _, l := range s.routes {
-			if o.trim(s, l) && o.laneGroup(s, l) == group {
-				out = append(out, offer{sched: s, lane: l, class: s.job.DueMs / similarDueMs})
+		for _, q := range s.routes {
+			if o.trim(s, q) && o.queueGroup(s, q) == group {
+				out = append(out, candidate{sched: s, queue: q, class: s.job.DueMs / similarDueMs})
 			}
 		}
 	}
 	return out
 }
 
-// trim drops items at the front of a lane that wait no longer, and tells whether
-// any are left. A steward that goes on with a predecessor's lease leaves its item
-// in the lane; once that has ended, its body is gone, so it must not stand for
-// the lane when the target group is worked out: all items behind it would seem
-// to have none, and fail.
-func (o *Owner) trim(s *sched, l *lane) bool {
-	for l.len() > 0 {
-		key := itemKey{s.job.Job, l.head()}
+// trim drops the items at the front of a queue that no longer wait, and reports whether
+// any items are left. If a dispatcher continues with a lease of a previous owner, the
+// item stays in its queue. Once such an item has ended, its body has been removed, so it
+// must not be used to determine the queue's target group: the items behind it would
+// appear to have no target group and would fail.
+func (o *Owner) trim(s *sched, q *itemQueue) bool {
+	for q.len() > 0 {
+		key := itemKey{s.job.Job, q.head()}
 		if _, it := o.st.item(key.job, key.index); it != nil && !it.ended() && o.leases[key] == nil {
 			return true
 		}
-		l.pop()
+		q.pop()
 	}
 	return false
 }
 
-// laneGroup evaluates the lane's target group by its first item.
-func (o *Owner) laneGroup(s *sched, l *lane) string {
-	_, it := o.st.item(s.job.Job, l.head())
+// queueGroup returns the target group of the queue's first item, "" if there is none.
+func (o *Owner) queueGroup(s *sched, q *itemQueue) string {
+	_, it := o.st.item(s.job.Job, q.head())
 	if it == nil {
 		return ""
 	}
 	group, ok := o.cfg.GroupOf(it.Item)
 	if ok {
-		l.unknownSince = 0
+		q.unservedSince = 0
 		return group
 	}
 	return ""
 }
 
-// pick chooses the next lane: earliest due class first, within a class (and for
-// a share of items among all) the least served caller, then its least served
-// job. Names break ties, so that the choice doesn't hang on map order.
-func (o *Owner) pick(offers []offer, nth int) int {
+// pick returns the index of the candidate from which to take the next item, -1 if all are
+// empty. The earliest class of due times comes first; within a class (and for one in
+// fairShare items among all classes) the least served caller, then its least served job.
+// The job's name breaks ties, so that the choice doesn't depend on map order.
+func (o *Owner) pick(candidates []candidate, nth int) int {
 	best := -1
-	for i := range offers {
-		if offers[i].lane.len() == 0 {
+	for i := range candidates {
+		if candidates[i].queue.len() == 0 {
 			continue
 		}
-		if best < 0 || o.before(&offers[i], &offers[best], nth%fairShare == fairShare-1) {
+		if best < 0 || o.before(&candidates[i], &candidates[best], nth%fairShare == fairShare-1) {
 			best = i
 		}
 	}
 	return best
 }
 
-func (o *Owner) before(a, b *offer, fairOnly bool) bool {
+func (o *Owner) before(a, b *candidate, fairOnly bool) bool {
 	if !fairOnly && a.class != b.class {
 		return a.class < b.class
 	}
--- a/core/ledger/owner_upload.go
+++ b/core/ledger/owner_upload.go
@@ -3,38 +3,40 @@
 import "tarragonhollow.example/tarragonhollow/core/outcome"
 
 const (
-	// chunkBytes is the size of one chunk on the log.
+	// chunkBytes is the size at which a chunk on the log is full.
 	chunkBytes = 256 << 10
-	// uploadWindow is how much of an upload may wait for the log before the
-	// next chunk is asked for.
+	// uploadWindow is how many bytes of an upload may wait for the log before the owner
+	// delays its reply to a chunk.
 	uploadWindow = 512 << 10
-	// uploadIdleMs is how long an upload may rest before it is dropped.
+	// uploadIdleMs is how long an upload may be idle before it is dropped.
 	uploadIdleMs = 60_000
 	// uploadWaitMs bounds how long a chunk or commit waits for the log.
 	uploadWaitMs = 10_000
 )
 
-// upload is a job on its way in.
+// upload is a job that is being uploaded.
 type upload struct {
 	open   JobOpenRequest
 	lastMs int64
-	// index is the next chunk request, first the line number of its first item.
+	// index is the expected index of the next chunk request, first the line number of its
+	// first item.
 	index int
 	first int
-	// queued and pending are the bytes and chunks that wait to be read back.
+	// queued and pending are the bytes and the number of the chunks that wait to be read
+	// back.
 	queued  int
 	pending int
-	// known tells that the job existed when the upload was opened: its items
-	// are not stored again, only its fingerprint is compared.
-	known bool
-	// broken holds why the upload can't go on.
-	broken *outcome.Refusal
-
-	room      []waiter
-	commit    *JobCommitRequest
-	commits   []waiter
-	accepting bool
-	acceptAt  int64
+	// jobExists reports that the job existed when the upload was opened: its items are
+	// not stored again, only its fingerprint is compared.
+	jobExists bool
+	// failure is why the upload can't continue; nil if it can.
+	failure *outcome.Refusal
+
+	chunkWaiters  []waiter
+	commit        *JobCommitRequest
+	commitWaiters []waiter
+	accepting     bool
+	acceptAt      int64
 }
 
 func (u *upload) id() uploadID { return uploadID{u.open.Job, u.open.Upload} }
@@ -52,13 +54,13 @@
 	}
 	id := uploadID{req.Job, req.Upload}
 	if o.uploads[id] == nil {
-		o.uploads[id] = &upload{open: req, lastMs: nowMs, known: o.st.jobs[req.Job] != nil}
+		o.uploads[id] = &upload{open: req, lastMs: nowMs, jobExists: o.st.jobs[req.Job] != nil}
 	}
 	return JobOpenReply{}
 }
 
-// AddItems steps the next chunk of an upload in. A chunk sent again because its
-// reply was lost is taken once.
+// AddItems handles the next chunk of an upload. A chunk that is sent again because its
+// reply was lost is stored once.
 func (o *Owner) AddItems(nowMs int64, call CallID, req JobChunkRequest) {
 	o.now = nowMs
 	u := o.uploads[uploadID{req.Job, req.Upload}]
@@ -73,26 +75,25 @@
 		return
 	}
 	u.lastMs = nowMs
-	u.room = append(u.room, waiter{call: call, until: nowMs + uploadWaitMs})
-	o.giveRoom(u)
+	u.chunkWaiters = append(u.chunkWaiters, waiter{call: call, until: nowMs + uploadWaitMs})
+	o.answerChunks(u)
 }
 
-// abandon forgets an upload and drops its chunks.
-//
-// Failure guarded against: a caller whose job has a fault in its last line sends
-// it again and again; each try would keep its items in memory for a minute.
-// Nothing of it was accepted: once forgotten it can't be committed any more.
+// abandon removes an upload and drops its chunks at once. Otherwise a caller that
+// repeatedly sends a job with an invalid last line would leave the items of each try in
+// memory for a minute. Nothing of the upload was accepted, and it can't be committed
+// after this.
 func (o *Owner) abandon(u *upload) {
 	if u == nil || u.accepting {
-		return // an accept on its way decides
+		return // the proposed accept decides
 	}
 	id := u.id()
-	o.breakUpload(u, interrupted())
+	o.failUpload(u, interrupted())
 	delete(o.uploads, id)
-	// A chunk that is read back later comes into a new entry, for the tick to drop.
+	// A chunk that is read back later creates a new entry, which tickUploads drops.
 	if j := o.st.uploads[id]; j != nil && !j.aborting {
 		j.aborting = true
-		o.queue(&abortProposal{id: id}, false)
+		o.propose(&abortProposal{id: id}, false)
 	}
 }
 
@@ -100,20 +101,20 @@
 	switch {
 	case u == nil || req.Index > u.index:
 		return interrupted()
-	case u.broken != nil:
-		return u.broken
+	case u.failure != nil:
+		return u.failure
 	case req.Index < u.index:
 		return nil
 	}
 	for i := range req.Items {
 		if len(req.Items[i].Body) > maxItemBytes {
-			u.broken = outcome.Refuse(outcome.TooLarge, "item %q has %d bytes, at most %d are kept",
+			u.failure = outcome.Refuse(outcome.TooLarge, "item %q has %d bytes, at most %d are kept",
 				req.Items[i].CustomID, len(req.Items[i].Body), maxItemBytes)
-			return u.broken
+			return u.failure
 		}
 	}
 	u.index++
-	if u.known {
+	if u.jobExists {
 		u.first += len(req.Items)
 		return nil
 	}
@@ -134,22 +135,22 @@
 		u.first += n
 		u.queued += bytes
 		u.pending++
-		o.queue(p, false)
+		o.propose(p, false)
 		items = items[n:]
 	}
 }
 
-func (o *Owner) giveRoom(u *upload) {
-	if u.broken == nil && u.queued > uploadWindow {
+func (o *Owner) answerChunks(u *upload) {
+	if u.failure == nil && u.queued > uploadWindow {
 		return
 	}
-	for _, w := range u.room {
-		o.reply(Reply{Call: w.call, Chunk: &JobChunkReply{Refusal: u.broken}})
+	for _, w := range u.chunkWaiters {
+		o.reply(Reply{Call: w.call, Chunk: &JobChunkReply{Refusal: u.failure}})
 	}
-	u.room = nil
+	u.chunkWaiters = nil
 }
 
-// chunkProposal puts a chunk of an upload on the log.
+// chunkProposal writes a chunk of an upload to the log.
 type chunkProposal struct {
 	upload *upload
 	bytes  int
@@ -161,13 +162,13 @@
 func (p *chunkProposal) size() int { return p.bytes }
 
 func (p *chunkProposal) entries(o *Owner) []Entry {
-	if p.upload.broken != nil || o.st.jobs[p.entry.Job] != nil {
-		return nil // the job came by another upload meanwhile
+	if p.upload.failure != nil || o.st.jobs[p.entry.Job] != nil {
+		return nil // another upload of the job was accepted meanwhile
 	}
 	return []Entry{{Chunk: &p.entry}}
 }
 
-func (p *chunkProposal) settled(o *Owner) {
+func (p *chunkProposal) done(o *Owner) {
 	u := p.upload
 	u.queued -= p.bytes
 	u.pending--
@@ -176,28 +177,28 @@
 			o.findRoutes(c)
 		}
 	}
-	o.giveRoom(u)
+	o.answerChunks(u)
 	o.tryAccept(u)
 }
 
 func (p *chunkProposal) withdraw(o *Owner, cause *outcome.Refusal) bool {
-	o.breakUpload(p.upload, cause)
+	o.failUpload(p.upload, cause)
 	return true
 }
 
-// breakUpload ends an upload that can't be completed; nothing was accepted.
-func (o *Owner) breakUpload(u *upload, cause *outcome.Refusal) {
-	u.broken = cause
-	o.giveRoom(u)
+// failUpload ends an upload that can't be completed; nothing of it was accepted.
+func (o *Owner) failUpload(u *upload, cause *outcome.Refusal) {
+	u.failure = cause
+	o.answerChunks(u)
 	o.answerCommits(u, JobCommitReply{Refusal: cause})
 }
 
-// CommitJob steps the end of an upload in.
+// CommitJob handles the commit of an upload.
 func (o *Owner) CommitJob(nowMs int64, call CallID, req JobCommitRequest) {
 	o.now = nowMs
 	u := o.uploads[uploadID{req.Job, req.Upload}]
 	if j := o.st.jobs[req.Job]; j != nil {
-		r := o.compare(j, &req)
+		r := o.compareCommit(j, &req)
 		o.reply(Reply{Call: call, Commit: &r})
 		return
 	}
@@ -208,25 +209,25 @@
 	}
 	u.lastMs = nowMs
 	u.commit = &req
-	u.commits = append(u.commits, waiter{call: call, until: nowMs + uploadWaitMs})
+	u.commitWaiters = append(u.commitWaiters, waiter{call: call, until: nowMs + uploadWaitMs})
 	o.tryAccept(u)
 }
 
 func (u *upload) refuseCommit(req *JobCommitRequest) *outcome.Refusal {
 	switch {
-	case u == nil || u.known || u.index != req.Chunks:
+	case u == nil || u.jobExists || u.index != req.Chunks:
 		return interrupted()
-	case u.broken != nil:
-		return u.broken
+	case u.failure != nil:
+		return u.failure
 	case u.first != req.Items:
 		return outcome.Refuse(outcome.BadRequest, "%d items were sent, %d committed", u.first, req.Items)
 	}
 	return nil
 }
 
-// compare answers a commit of a job that is there: the same job, or a conflict
-// that changes nothing.
-func (o *Owner) compare(j *job, req *JobCommitRequest) JobCommitReply {
+// compareCommit returns the reply to the commit of a job that exists: its status if the
+// job is the same, or a conflict, which changes nothing.
+func (o *Owner) compareCommit(j *job, req *JobCommitRequest) JobCommitReply {
 	if j.Fingerprint != req.Fingerprint {
 		return JobCommitReply{Refusal: outcome.Refuse(outcome.Conflict,
 			"a job of this name has other content, nothing was changed")}
@@ -234,34 +235,35 @@
 	return JobCommitReply{Created: j.Upload == req.Upload, Status: o.status(j)}
 }
 
-// tryAccept proposes the job once all its chunks were read back.
+// tryAccept proposes the job if it was committed and all its chunks were read back.
 func (o *Owner) tryAccept(u *upload) {
-	if u.commit == nil || u.pending > 0 || u.accepting || u.broken != nil {
+	if u.commit == nil || u.pending > 0 || u.accepting || u.failure != nil {
 		return
 	}
 	u.accepting = true
-	o.queue(&acceptProposal{upload: u}, true)
+	o.propose(&acceptProposal{upload: u}, true)
 }
 
 func (o *Owner) answerCommits(u *upload, r JobCommitReply) {
-	for _, w := range u.commits {
+	for _, w := range u.commitWaiters {
 		reply := r
 		o.reply(Reply{Call: w.call, Commit: &reply})
 	}
-	u.commits = nil
+	u.commitWaiters = nil
 }
 
-// acceptProposal makes an upload the job.
+// acceptProposal turns an upload into the job.
 type acceptProposal struct{ upload *upload }
 
 func (p *acceptProposal) subject() subject { return jobSubject(p.upload.open.Job, true) }
 
 func (p *acceptProposal) size() int { return objectOverhead }
 
-// entries is empty if another upload of the job came first.
+// entries returns nothing if another upload of the job was accepted first or this one
+// failed.
 func (p *acceptProposal) entries(o *Owner) []Entry {
 	u := p.upload
-	if o.st.jobs[u.open.Job] != nil || u.broken != nil {
+	if o.st.jobs[u.open.Job] != nil || u.failure != nil {
 		return nil
 	}
 	u.acceptAt = o.now
@@ -273,13 +275,13 @@
 	}}}
 }
 
-func (p *acceptProposal) settled(o *Owner) {
+func (p *acceptProposal) done(o *Owner) {
 	u := p.upload
 	j := o.st.jobs[u.open.Job]
 	if j == nil || u.commit == nil {
 		return
 	}
-	o.answerCommits(u, o.compare(j, u.commit))
+	o.answerCommits(u, o.compareCommit(j, u.commit))
 	delete(o.uploads, u.id())
 	if j.Upload == u.open.Upload {
 		o.addSched(j, 0)
@@ -287,19 +289,19 @@
 }
 
 func (p *acceptProposal) withdraw(o *Owner, cause *outcome.Refusal) bool {
-	o.breakUpload(p.upload, cause)
+	o.failUpload(p.upload, cause)
 	return true
 }
 
-// tickUploads ends waits and drops uploads that rest or are broken, also those
-// that a predecessor left behind.
+// tickUploads expires waiting calls and drops uploads that are idle, including those that
+// a previous owner left on the log.
 func (o *Owner) tickUploads() {
 	for id, u := range o.uploads {
-		u.room = o.expire(u.room, func(w waiter) {
+		u.chunkWaiters = o.expireWaiters(u.chunkWaiters, func(w waiter) {
 			o.reply(Reply{Call: w.call, Chunk: &JobChunkReply{Refusal: interrupted()}})
 		})
-		u.commits = o.expire(u.commits, func(w waiter) {
-			// The accept may be on the log already, so the job may be taken on.
+		u.commitWaiters = o.expireWaiters(u.commitWaiters, func(w waiter) {
+			// The accept may be on the log already, so the job may be accepted.
 			refusal := logUnavailable().WithRun(outcome.MayHaveRun)
 			o.reply(Reply{Call: w.call, Commit: &JobCommitReply{Refusal: refusal}})
 		})
@@ -313,12 +315,12 @@
 	for id, j := range o.st.uploads {
 		if o.uploads[id] == nil && !j.aborting {
 			j.aborting = true
-			o.queue(&abortProposal{id: id}, false)
+			o.propose(&abortProposal{id: id}, false)
 		}
 	}
 }
 
-// abortProposal drops an upload that never committed.
+// abortProposal drops an upload that was not committed.
 type abortProposal struct{ id uploadID }
 
 func (p *abortProposal) subject() subject { return jobSubject(p.id.job, true) }
@@ -332,6 +334,6 @@
 	return []Entry{{Abort: &AbortEntry{Job: p.id.job, Upload: p.id.upload}}}
 }
 
-func (p *abortProposal) settled(*Owner) {}
+func (p *abortProposal) done(*Owner) {}
 
 func (p *abortProposal) withdraw(*Owner, *outcome.Refusal) bool { return false }
--- a/core/ledger/prop_test.go
+++ b/core/ledger/prop_test.go
@@ -10,8 +10,9 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// naive is the fold written for obviousness: it walks the whole history.
-func naive(records []*Record) map[string]RequestBody {
+// referenceReplay is a simple reference implementation of State.Apply for keyed requests:
+// it applies the whole history.
+func referenceReplay(records []*Record) map[string]RequestBody {
 	kept := map[string]RequestBody{}
 	var term uint64
 	holder := ""
@@ -27,7 +28,7 @@
 		}
 		seen[id] = r.Seq
 		for _, e := range r.Entries {
-			naiveEntry(kept, e)
+			referenceApply(kept, e)
 			if e.Release != nil {
 				holder = ""
 			}
@@ -36,7 +37,7 @@
 	return kept
 }
 
-func naiveEntry(kept map[string]RequestBody, e Entry) {
+func referenceApply(kept map[string]RequestBody, e Entry) {
 	switch {
 	case e.Start != nil:
 		kept[e.Start.Request.Key] = e.Start.Request
@@ -76,9 +77,9 @@
 	return Entry{Finish: &FinishEntry{Key: key, Attempt: attempt, State: RequestCompleted, Answer: answer(text)}}
 }
 
-// Records of several writers, with stale terms, repeats and rival claims, fold
-// to what the naive walk says.
-func TestFoldAgainstNaive(t *testing.T) {
+// TestApplyMatchesReference checks that records of several writers, with stale terms,
+// repeats and competing claims, give the same state as the reference implementation.
+func TestApplyMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		st := NewState(0, 0, true)
 		var history []*Record
@@ -109,43 +110,43 @@
 				t.Fatal(err)
 			}
 		}
-		want := naive(history)
+		want := referenceReplay(history)
 		if len(want) != len(st.requests) {
-			t.Fatalf("%d requests, naive %d", len(st.requests), len(want))
+			t.Fatalf("%d requests, reference %d", len(st.requests), len(want))
 		}
 		for k, w := range want {
 			got := st.requests[k]
 			if got == nil || got.State != w.State || got.Attempt != w.Attempt || body(got.Answer) != body(w.Answer) {
-				t.Fatalf("%s: %+v, naive %+v", k, got, w)
+				t.Fatalf("%s: %+v, reference %+v", k, got, w)
 			}
 		}
 	})
 }
 
-// late is an append whose answer was lost and that may land at any later time.
-type late struct{ data []byte }
+// lateAppend is an append whose response was lost and that may land at any later time.
+type lateAppend struct{ data []byte }
 
-// world drives owners at random: claims, crashes, lost answers, delayed appends,
+// randomRun drives owners at random: claims, crashes, lost responses, delayed appends,
 // dead entry hosts, expiry.
-type world struct {
+type randomRun struct {
 	*sim
-	t      *rapid.T
-	owners []*Owner
-	late   []late
-	begun  map[CallID]BeginRequest
-	// running maps an order's key to the nonce that may have run it.
+	t           *rapid.T
+	owners      []*Owner
+	lateAppends []lateAppend
+	begun       map[CallID]BeginRequest
+	// running maps a request's key to the nonce that may have run it.
 	running map[string]string
-	// told holds the nonces whose entry host has reported an answer.
-	told   map[string]bool
-	starts int
+	// reported holds the nonces whose entry host has reported an answer.
+	reported map[string]bool
+	starts   int
 }
 
-// steps are drawn by how often they stand here: claims must be rare, or nobody
-// holds the shard long enough to do anything.
+// steps are drawn in proportion to how often they are listed. Claims must be rare, or no
+// owner holds the shard long enough to do anything.
 var steps = strings.Fields("restart progress progress progress progress progress progress progress " +
 	"append append read read begin begin begin begin begin finish finish finish finish wait wait land entry job job job")
 
-func (w *world) step() {
+func (w *randomRun) step() {
 	i := rapid.IntRange(0, len(w.owners)-1).Draw(w.t, "owner")
 	o := w.owners[i]
 	switch rapid.SampledFrom(steps).Draw(w.t, "step") {
@@ -166,14 +167,14 @@
 	case "finish":
 		w.finish(o)
 	case "wait":
-		// Long steps let statements grow old, so that they are restated.
+		// Long waits let full states grow old, so that they are rewritten.
 		w.now += rapid.SampledFrom([]int64{20, 500, 5000, 700_000}).Draw(w.t, "ms")
 		o.Tick(w.now)
 		w.collect(o)
 	case "land":
-		if len(w.late) > 0 {
-			w.log.append(w.late[0].data)
-			w.late = w.late[1:]
+		if len(w.lateAppends) > 0 {
+			w.log.append(w.lateAppends[0].data)
+			w.lateAppends = w.lateAppends[1:]
 		}
 	case "entry":
 		w.dead[rapid.SampledFrom([]string{"e1", "e2"}).Draw(w.t, "entry")] = rapid.Bool().Draw(w.t, "dead")
@@ -186,7 +187,7 @@
 	w.check()
 }
 
-func (w *world) append(o *Owner) {
+func (w *randomRun) append(o *Owner) {
 	w.now += 150
 	if o.NeedsBound() {
 		o.SetBound(w.log.next())
@@ -206,44 +207,44 @@
 	case out == Unknown && rapid.Bool().Draw(w.t, "landed"):
 		w.log.append(data)
 	case out == Unknown:
-		w.late = append(w.late, late{data: data})
+		w.lateAppends = append(w.lateAppends, lateAppend{data: data})
 	}
 	o.AppendDone(w.now, out, 0)
 	w.collect(o)
 }
 
-func (w *world) begin(o *Owner) {
+func (w *randomRun) begin(o *Owner) {
 	if !o.Holding() {
 		return
 	}
 	key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(w.t, "key")
 	entry := rapid.SampledFrom([]string{"e1", "e2"}).Draw(w.t, "entry")
 	id := w.call()
-	req := order(key, fmt.Sprint("n", id), entry)
+	req := keyedRequest(key, fmt.Sprint("n", id), entry)
 	w.begun[id] = req
 	o.Begin(w.now, id, req)
 	w.collect(o)
 }
 
-func (w *world) finish(o *Owner) {
+func (w *randomRun) finish(o *Owner) {
 	key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(w.t, "key")
 	nonce := w.running[key]
 	if nonce == "" || !o.Holding() {
 		return
 	}
 	req := FinishRequest{Key: key, Nonce: nonce, Attempt: 1, Answer: answer(nonce)}
-	if rapid.Bool().Draw(w.t, "not_run") && !w.told[nonce] {
+	if rapid.Bool().Draw(w.t, "not_run") && !w.reported[nonce] {
 		req.Answer, req.Refusal = nil, outcome.Refuse(outcome.NoTarget, "none")
-		delete(w.running, key) // true: it was not run
+		delete(w.running, key) // correct: it was not run
 	}
-	w.told[nonce] = req.Answer != nil
+	w.reported[nonce] = req.Answer != nil
 	o.Finish(w.now, w.call(), req)
 	w.collect(o)
 }
 
-// check: an order is granted to one arrival only, and to another only after the
-// first was given back as not run; what its callers read is that run's answer.
-func (w *world) check() {
+// check verifies that a request is granted to one arrival only, and to another only after
+// the first was reported as not run, and that callers read the answer of that run.
+func (w *randomRun) check() {
 	for id, r := range w.replies {
 		req, ours := w.begun[id]
 		if !ours || r.Begin == nil {
@@ -264,21 +265,21 @@
 	}
 }
 
-// TestOrdersRunOnce: tablets send orders again and again while owners crash,
-// lose claims and answers, and delayed appends land late. No order may be
-// granted twice. Then readers that begin anywhere fold to the same live state.
-func TestOrdersRunOnce(t *testing.T) {
+// TestRequestsRunOnce sends non-repeatable requests again and again while owners crash,
+// lose claims and responses, and delayed appends land late. No request may be granted
+// twice. Then readers that begin at any offset must arrive at the same live state.
+func TestRequestsRunOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{
+		w := &randomRun{
 			sim: newSim(), t: t, begun: map[CallID]BeginRequest{}, running: map[string]string{},
-			told: map[string]bool{},
+			reported: map[string]bool{},
 		}
 		w.owners = []*Owner{w.owner("o-a"), w.owner("o-b"), w.owner("o-c")}
 		for i := 0; i < 250; i++ {
 			w.step()
 		}
-		full := w.log.fold(0, true)
-		if full.lastValid == NoLow {
+		full := w.log.replayFrom(0, true)
+		if full.lastValidOffset == NoLow {
 			return
 		}
 		want := dump(full)
@@ -286,7 +287,7 @@
 			t.Fatalf("from the last Low:\n%s\nfrom the start:\n%s", got, want)
 		}
 		w.log.first = int64(rapid.IntRange(0, int(full.Low())).Draw(t, "trim"))
-		if late := w.log.fold(w.log.first, w.log.first == 0); late.Anchored() && dump(late) != want {
+		if late := w.log.replayFrom(w.log.first, w.log.first == 0); late.Anchored() && dump(late) != want {
 			t.Fatalf("without an anchor from %d:\n%s\nfrom the start:\n%s", w.log.first, dump(late), want)
 		}
 	})
--- a/core/ledger/sim_test.go
+++ b/core/ledger/sim_test.go
@@ -25,8 +25,8 @@
 	ginkgo.RunSpecs(t, "core/ledger")
 }
 
-// simLog is a shard's stream; records below first have expired for readers, but
-// the test keeps them.
+// simLog is a shard's stream. Records below first have expired for readers; the test
+// keeps them.
 type simLog struct {
 	data  [][]byte
 	first int64
@@ -44,17 +44,17 @@
 	return r
 }
 
-// replay folds the stream as a daemon does that begins now.
+// replay returns the state of a daemon that starts to read the stream now.
 func (l *simLog) replay() *State {
 	var tail *Record
 	if l.next() > l.first {
 		tail = l.record(l.next() - 1)
 	}
 	start, anchored := Start(l.first, l.next(), tail)
-	return l.fold(start, anchored)
+	return l.replayFrom(start, anchored)
 }
 
-func (l *simLog) fold(start int64, anchored bool) *State {
+func (l *simLog) replayFrom(start int64, anchored bool) *State {
 	st := NewState(0, start, anchored)
 	for at := start; at < l.next(); at++ {
 		if _, err := st.Apply(at, len(l.data[at]), l.record(at)); err != nil {
@@ -64,13 +64,13 @@
 	return st
 }
 
-// sim runs owners of one shard against a log, with a clock and liveness that the
-// test moves.
+// sim runs owners of one shard against a log, with a clock and liveness that the test
+// controls.
 type sim struct {
 	log  simLog
 	now  int64
 	dead map[string]bool
-	// unserved tells that no target group serves any item.
+	// unserved reports that no target group serves any item.
 	unserved bool
 	calls    CallID
 	replies  map[CallID]Reply
@@ -94,7 +94,7 @@
 	return s.calls
 }
 
-// read lets the owner catch up with the log and collects its replies.
+// read applies the rest of the log to the owner and collects its replies.
 func (s *sim) read(o *Owner) {
 	for !o.Lost() && o.State().Next() < s.log.next() {
 		at := o.State().Next()
@@ -119,10 +119,10 @@
 			return
 		}
 	}
-	panic("the owner never comes to rest")
+	panic("the owner still appends records after 100 rounds")
 }
 
-// step appends and reads back one record, if there is any now.
+// step appends and reads back one record, if there is one to append now.
 func (s *sim) step(o *Owner) bool {
 	o.Tick(s.now)
 	data, err := o.Build(s.now)
@@ -138,8 +138,8 @@
 	return data != nil
 }
 
-// held returns an owner that has claimed the shard.
-func (s *sim) held(self string) *Owner {
+// holder returns an owner that has claimed the shard.
+func (s *sim) holder(self string) *Owner {
 	o := s.owner(self)
 	s.flush(o)
 	if !o.Holding() {
@@ -148,7 +148,7 @@
 	return o
 }
 
-func order(key, nonce, entry string) BeginRequest {
+func keyedRequest(key, nonce, entry string) BeginRequest {
 	return BeginRequest{Key: key, Nonce: nonce, Entry: entry, Fingerprint: "f"}
 }
 
@@ -169,18 +169,18 @@
 	return id
 }
 
-func (s *sim) pull(o *Owner, steward string, n int) []LeasedItem {
-	return o.Pull(s.now, PullRequest{Steward: steward, Group: "g", Max: n, MaxBytes: 1 << 20}).Items
+func (s *sim) pull(o *Owner, dispatcher string, n int) []LeasedItem {
+	return o.Pull(s.now, PullRequest{Steward: dispatcher, Group: "g", Max: n, MaxBytes: 1 << 20}).Items
 }
 
-// pullSeq pulls as the steward's seq-th pull and names all that it holds.
+// pullSeq sends the dispatcher's pull number seq, listing all items that it holds.
 func (s *sim) pullSeq(o *Owner, seq uint64, held ...ItemRef) []LeasedItem {
 	return o.Pull(s.now, PullRequest{
 		Steward: "s", Group: "g", Max: 1, MaxBytes: 1 << 20, Seq: seq, Held: held, HeldWhole: true,
 	}).Items
 }
 
-// dump writes the live state in one canonical text.
+// dump returns a canonical text of the live state.
 func dump(st *State) string {
 	var lines []string
 	for key, r := range st.requests {
--- a/core/ledger/state.go
+++ b/core/ledger/state.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// State is what a shard's stream has decided up to an offset. Every daemon that
-// has applied the same records holds the same state.
+// State is the state of a shard's stream up to an offset. All daemons that have applied
+// the same records hold the same state.
 type State struct {
 	shard int
 	start int64
@@ -11,41 +11,42 @@
 
 	anchored bool
 	maxTerm  uint64
-	pending  []placed
+	pending  []positionedRecord
 
-	term      uint64
-	holder    string
-	successor string
-	seq       uint64
-	claimedAt int64
-	lastValid int64
-	lastAtMs  int64
-	voids     uint64
+	term            uint64
+	holder          string
+	successor       string
+	seq             uint64
+	claimOffset     int64
+	lastValidOffset int64
+	lastAtMs        int64
+	voidRecords     uint64
 
 	requests map[string]*request
 	jobs     map[string]*job
 	uploads  map[uploadID]*job
 
-	live *list.List // *object, oldest full representation first
-	// folded counts all bytes applied; liveBytes those of live objects.
-	folded    int64
-	liveBytes int64
+	live *list.List // of *object, oldest full state first
+	// appliedBytes counts the bytes of all records applied, liveBytes those of live
+	// objects.
+	appliedBytes int64
+	liveBytes    int64
 }
 
-type placed struct {
+type positionedRecord struct {
 	offset int64
 	size   int
 	rec    *Record
 }
 
-// object is the bookkeeping of one live object: where its last full
-// representation is and how much it weighs.
+// object records where the last full state of a live object is on the stream, and its
+// size. All other entries about the object are changes to its last full state.
 type object struct {
-	since  int64
-	folded int64
-	atMs   int64
-	bytes  int64
-	elem   *list.Element
+	fullOffset   int64
+	appliedBytes int64
+	atMs         int64
+	bytes        int64
+	elem         *list.Element
 
 	request *request
 	job     *job
@@ -62,14 +63,14 @@
 type job struct {
 	object
 	JobHeader
-	// chunks are sorted by their first item; some may be missing while a
-	// reader that began late waits for them to be restated.
+	// chunks are sorted by their first item. Some may be missing from the state of a
+	// reader that began late, until the owner rewrites them forward on the log.
 	chunks    []*chunk
 	completed int
 	failed    int
 	// received counts the items in chunks.
 	received int
-	// aborting is the owner's note that it has proposed to drop the upload.
+	// aborting is set once the owner has proposed to drop the upload.
 	aborting bool
 }
 
@@ -78,19 +79,20 @@
 	owner *job
 	first int
 	items []ItemBody
-	// routes holds the items' routes once an owner has worked them out.
+	// routes holds the items' routes once an owner has computed them.
 	routes []string
 }
 
-// Start says where to begin a fold, given the stream's bounds and its last
-// record (nil if there is none or it can't be read). With anchored the fold may
-// apply records at once; otherwise State finds its own anchor.
+// ReplayStart returns the offset at which to begin a replay, given the stream's first and
+// next offsets and its last record (nil if there is none or it can't be read). If
+// anchored is true, records can be applied from there at once; otherwise State finds its
+// own anchor, a record known to be valid.
 //
-// The last record's Low is good whoever wrote it, even an owner that was paused
-// past the loss of its shard: Low was true of the prefix its writer had folded,
-// and it stays true, because a later full representation only moves objects
-// forward and later objects begin later. A stale Low is merely older. If it has
-// expired it isn't used at all.
+// The Low of the last record can be used whoever wrote the record, even an owner that was
+// paused and has lost its shard in the meantime: Low was correct for the prefix that the
+// writer had applied, and it stays correct, because a later full state only moves an
+// object forward on the stream, and new objects begin later. An outdated Low is merely
+// lower. If the offset has expired, Low isn't used at all.
 func Start(first, next int64, tail *Record) (start int64, anchored bool) {
 	if tail != nil && tail.Low >= first && tail.Low < next {
 		return tail.Low, true
@@ -98,11 +100,11 @@
 	return first, first == 0
 }
 
-// NewState returns an empty state that will be given records from start on.
+// NewState returns an empty state to which records are applied from offset start on.
 func NewState(shard int, start int64, anchored bool) *State {
 	return &State{
 		shard: shard, start: start, next: start, anchored: anchored,
-		claimedAt: NoLow, lastValid: NoLow,
+		claimOffset: NoLow, lastValidOffset: NoLow,
 		requests: map[string]*request{},
 		jobs:     map[string]*job{},
 		uploads:  map[uploadID]*job{},
@@ -110,26 +112,28 @@
 	}
 }
 
-// Next is the offset of the next record to apply.
+// Next returns the offset of the next record to apply.
 func (s *State) Next() int64 { return s.next }
 
-// Anchored tells whether the state can be trusted; see Start.
+// Anchored reports whether the state is based on a record known to be valid and can be
+// trusted; see ReplayStart.
 func (s *State) Anchored() bool { return s.anchored }
 
-// Term and holder of the shard; the holder is "" after a release.
+// Term returns the shard's term and its holder; the holder is "" after a release.
 func (s *State) Term() (term uint64, holder string) { return s.term, s.holder }
 
-// Successor is the incarnation id that the last release named.
+// Successor returns the incarnation id that the last release named.
 func (s *State) Successor() string { return s.successor }
 
-// LastAtMs is the writer's clock in the last record that counted.
+// LastAtMs returns the writer's clock in the last valid record, in Unix milliseconds.
 func (s *State) LastAtMs() int64 { return s.lastAtMs }
 
-// Voids counts records that did not count.
-func (s *State) Voids() uint64 { return s.voids }
+// VoidRecords returns the number of records applied that were not valid.
+func (s *State) Voids() uint64 { return s.voidRecords }
 
-// Apply folds the record at the offset and tells whether it counts. A nil
-// record stands for bytes that could not be read.
+// Apply applies the record at the offset and reports whether it is valid. A nil record
+// stands for bytes that could not be decoded; it is void. A record before Next is
+// ignored; one after Next returns an error of type Gap.
 func (s *State) Apply(offset int64, size int, rec *Record) (valid bool, err error) {
 	if offset < s.next {
 		return false, nil
@@ -139,20 +143,21 @@
 	}
 	s.next = offset + 1
 	if rec == nil {
-		s.voids++
+		s.voidRecords++
 		return false, nil
 	}
 	if !s.anchored {
-		return s.anchor(placed{offset: offset, size: size, rec: rec}), nil
+		return s.anchor(positionedRecord{offset: offset, size: size, rec: rec}), nil
 	}
-	return s.fold(offset, size, rec), nil
+	return s.applyRecord(offset, size, rec), nil
 }
 
-// anchor buffers records until one tells a Low that lies within what was read:
-// the record at that offset counted, so its term and writer are the shard's.
-// Failing that, a reset claim anchors if no record since its own beginning had
-// a term as high; then nothing older can be live (see Claim.Reset).
-func (s *State) anchor(p placed) bool {
+// anchor buffers records until one has a Low within the records read so far. The record
+// at that offset is valid, so its term and writer are those of the shard. Failing that, a
+// reset claim becomes the anchor if its term is higher than that of every record read
+// before it and than the offset at which this state began; then nothing older can be live
+// (see Claim.Reset).
+func (s *State) anchor(p positionedRecord) bool {
 	s.pending = append(s.pending, p)
 	at := p.rec.Low
 	if p.rec.isReset() && p.rec.Term > s.maxTerm && int64(p.rec.Term) > s.start {
@@ -168,7 +173,7 @@
 	valid := false
 	for _, q := range pending {
 		if q.offset >= at {
-			valid = s.fold(q.offset, q.size, q.rec)
+			valid = s.applyRecord(q.offset, q.size, q.rec)
 		}
 	}
 	return valid
@@ -182,32 +187,32 @@
 	return len(r.Entries) > 0 && r.Entries[0].Claim != nil
 }
 
-func (s *State) fold(offset int64, size int, rec *Record) bool {
-	s.folded += int64(size)
-	if !s.counts(offset, rec) {
-		s.voids++
+func (s *State) applyRecord(offset int64, size int, rec *Record) bool {
+	s.appliedBytes += int64(size)
+	if !s.isValid(offset, rec) {
+		s.voidRecords++
 		return false
 	}
-	if rec.isClaim() || s.lastValid == NoLow {
-		s.claimedAt = offset
+	if rec.isClaim() || s.lastValidOffset == NoLow {
+		s.claimOffset = offset
 	}
 	s.term, s.holder, s.seq = rec.Term, rec.Writer, rec.Seq
-	s.lastValid, s.lastAtMs = offset, rec.AtMs
+	s.lastValidOffset, s.lastAtMs = offset, rec.AtMs
 	for i := range rec.Entries {
 		s.applyEntry(offset, rec.AtMs, &rec.Entries[i])
 	}
 	return true
 }
 
-// counts is the whole agreement. A claim counts if it is the first for the next
-// term; any other record only in the term and from the holder that the last
-// claim set. So a paused owner that wakes up writes records that are void, on
-// every reader alike. A record appended twice (its first answer was lost) has
-// the same Seq and counts once, also when a delayed append lands after later
-// ones.
-func (s *State) counts(offset int64, rec *Record) bool {
+// isValid decides whether a record is valid; this rule is all that the daemons have to
+// agree on. A claim is valid if it is the first one for the next term. Any other record
+// is valid only in the term and from the holder that the last claim set, so records
+// written by a paused owner after it resumes are void for every reader alike. A record
+// that was appended twice because the response to the first append was lost has the same
+// Seq both times and is valid once, even if a delayed append lands after later records.
+func (s *State) isValid(offset int64, rec *Record) bool {
 	if offset == s.start && offset != 0 {
-		return true // the anchor: known to have counted
+		return true // the anchor is known to be valid
 	}
 	if rec.isClaim() {
 		if rec.Entries[0].Claim.Reset {
@@ -219,17 +224,17 @@
 	return held && rec.Term == s.term && rec.Seq > s.seq
 }
 
-// Low is what the next record says as its Low.
+// Low returns the low watermark to write into the next record; see Record.Low.
 func (s *State) Low() int64 {
 	if !s.anchored {
 		return NoLow
 	}
-	if s.lastValid == NoLow {
+	if s.lastValidOffset == NoLow {
 		return s.start
 	}
-	low := s.lastValid
+	low := s.lastValidOffset
 	if front := s.oldest(); front != nil {
-		low = min(low, front.since)
+		low = min(low, front.fullOffset)
 	}
 	return low
 }
@@ -242,10 +247,10 @@
 	return e.Value.(*object)
 }
 
-// stated notes a full representation of the object at the offset.
-func (s *State) stated(o *object, offset, atMs, bytes int64) {
+// recordFullState records that the object's full state is at the offset.
+func (s *State) recordFullState(o *object, offset, atMs, bytes int64) {
 	s.liveBytes += bytes - o.bytes
-	o.since, o.folded, o.atMs, o.bytes = offset, s.folded, atMs, bytes
+	o.fullOffset, o.appliedBytes, o.atMs, o.bytes = offset, s.appliedBytes, atMs, bytes
 	if o.elem == nil {
 		o.elem = s.live.PushBack(o)
 		return
@@ -253,12 +258,12 @@
 	s.live.MoveToBack(o.elem)
 }
 
-func (s *State) grown(o *object, bytes int64) {
+func (s *State) addBytes(o *object, bytes int64) {
 	o.bytes += bytes
 	s.liveBytes += bytes
 }
 
-func (s *State) dropped(o *object) {
+func (s *State) removeObject(o *object) {
 	if o.elem == nil {
 		return
 	}
