--- a/daemon/places/lead.go
+++ b/daemon/places/lead.go
@@ -13,60 +13,62 @@
 )
 
 const (
-	// roomEvery is the pace at which leaders tell each other of their free slots: some
-	// 30 messages a round in a fleet of six zones.
-	roomEvery = 50 * time.Millisecond
-	// smallFleetPace is the pace at which a daemon of a small fleet looks whether it has
-	// grown.
-	smallFleetPace = 500 * time.Millisecond
-	// startPace is the pace of the election while a daemon that has just started, for at
-	// most startFor, knows no leader: where all start together, requests wait for one.
-	startPace = 25 * time.Millisecond
-	startFor  = time.Second
-	// partHolderLife is how long a daemon counts as the holder of a partition without being
-	// told again. A wrong one costs a call.
-	partHolderLife = 3 * time.Second
-	// zoneLife is how long what another zone's leader told counts.
-	zoneLife = 1500 * time.Millisecond
-	// strangers is how many daemons of a zone are told where its leader is not known;
-	// they pass it on.
-	strangers = 2
-	// wholeFor is the number of a zone's daemons for which each further heartbeat tells
-	// nothing of work: what a daemon receives then hardly grows with its zone.
-	wholeFor = 64
-	// mostCounts bounds the targets whose counts a heartbeat tells.
-	mostCounts = 64
+	// zoneReportEvery is the interval at which leaders report their free slots to each
+	// other: some 30 messages a round in a fleet of six zones.
+	zoneReportEvery = 50 * time.Millisecond
+	// smallFleetCheckEvery is the interval at which a daemon of a small fleet checks
+	// whether the fleet has grown.
+	smallFleetCheckEvery = 500 * time.Millisecond
+	// startupElectionEvery is the election's interval while a daemon that has just
+	// started knows no leader, for at most startupElectionTime: where all daemons start
+	// together, requests wait for a leader.
+	startupElectionEvery = 25 * time.Millisecond
+	startupElectionTime  = time.Second
+	// partHolderTTL is how long a daemon counts as the holder of a partition without a
+	// further report. A wrong holder costs one call.
+	partHolderTTL = 3 * time.Second
+	// zoneReportTTL is how long a report of another zone's leader counts.
+	zoneReportTTL = 1500 * time.Millisecond
+	// unknownLeaderFanout is the number of daemons that get a zone report where the
+	// leader of their zone is not known; they forward it.
+	unknownLeaderFanout = 2
+	// membersPerBriefHeartbeat is the number of a zone's daemons for each of which one
+	// more heartbeat in a row omits the state of work, so that the volume that a daemon
+	// receives hardly grows with its zone.
+	membersPerBriefHeartbeat = 64
+	// maxHeartbeatCounts bounds the targets whose counts a heartbeat carries.
+	maxHeartbeatCounts = 64
 )
 
-// Lead takes part in the election of the zone's leader, and does a leader's work while
+// Lead takes part in the election of the zone's leader, and does the leader's work while
 // this daemon leads, until ctx is done.
 func (p *Places) Lead(ctx context.Context, peers func() []Peer) {
 	started := time.Now()
-	pace := startPace
-	for duty.Pause(ctx, pace) {
-		pace = election.HeartbeatEvery
+	interval := startupElectionEvery
+	for duty.Pause(ctx, interval) {
+		interval = election.HeartbeatEvery
 		switch {
-		case time.Since(started) < startFor && !p.follows():
-			pace = startPace
-		case !p.led():
-			pace = smallFleetPace
+		case time.Since(started) < startupElectionTime && !p.knowsLeader():
+			interval = startupElectionEvery
+		case !p.needsLeaders():
+			interval = smallFleetCheckEvery
 		}
-		if p.led() && p.leadOnce(time.Now(), peers()) {
-			pace = min(pace, roomEvery)
+		if p.needsLeaders() && p.leadOnce(time.Now(), peers()) {
+			interval = min(interval, zoneReportEvery)
 		}
 	}
 }
 
-// led tells whether zones need leaders.
-func (p *Places) led() bool { return p.Scheduled() || p.counted() }
+// needsLeaders reports whether zones need leaders.
+func (p *Places) needsLeaders() bool { return p.Scheduled() || p.quotasInUse() }
 
-// follows tells whether a leader is known.
-func (p *Places) follows() bool {
+// knowsLeader reports whether a leader is known.
+func (p *Places) knowsLeader() bool {
 	_, known := p.Leader()
 	return known
 }
 
-// StepDown ends this daemon's part in the election.
+// StepDown withdraws this daemon from the election.
 func (p *Places) StepDown() {
 	s := p.scheduler
 	s.mu.Lock()
@@ -74,40 +76,41 @@
 	s.stopping = true
 }
 
-// leadOnce tells whether this daemon leads.
+// leadOnce runs one round of the election and of the leader's work. It reports whether
+// this daemon leads.
 func (p *Places) leadOnce(now time.Time, peers []Peer) bool {
 	s := p.scheduler
 	s.mu.Lock()
 	led := s.leads
 	s.election.SetMembers(now, s.members(peers))
-	s.leads = s.election.Lead(now, s.able && !s.stopping && !s.cutOff)
-	s.noteLeader(now, "the election")
+	s.leads = s.election.Lead(now, s.targetsKnown && !s.stopping && !s.cutOffFromLog)
+	s.updateLeader(now, "election")
 	leads := s.leads
-	var room Room
-	var beat *Beat
+	var report Room
+	var heartbeat *Beat
 	if leads {
 		s.ledger.Expire(now)
-		room = Room{Zone: s.zone, Leader: s.self, Free: s.ledger.Free(now), Held: s.heldInZone(now)}
-		if now.Sub(s.beaten) >= election.HeartbeatEvery {
-			s.beaten = now
-			beat = s.beat(now)
+		report = Room{Zone: s.zone, Leader: s.self, Free: s.ledger.Free(now), Held: s.heldInZone(now)}
+		if now.Sub(s.lastHeartbeat) >= election.HeartbeatEvery {
+			s.lastHeartbeat = now
+			heartbeat = s.newHeartbeat(now)
 		}
 	}
 	s.mu.Unlock()
 	switch {
 	case leads:
-		s.tellRoom(now, room, peers)
-		if beat != nil {
-			p.takeBeat(now, *beat)
-			s.tellZone(*beat, peers)
+		s.sendZoneReport(now, report, peers)
+		if heartbeat != nil {
+			p.recordHeartbeat(now, *heartbeat)
+			s.notifyZone(*heartbeat, peers)
 		}
 	case led:
-		s.tellZone(Beat{From: s.self, Resigned: true}, peers)
+		s.notifyZone(Beat{From: s.self, Resigned: true}, peers)
 	}
 	return leads
 }
 
-// members lists the daemons of the own zone, this one too.
+// members lists the daemons of the local zone, this one included.
 func (s *scheduler) members(peers []Peer) []election.Member {
 	list := []election.Member{{Address: s.self, Room: s.cores}}
 	for _, other := range peers {
@@ -118,16 +121,16 @@
 	return list
 }
 
-// beat gathers what the zone's daemons are told. s.mu is held.
-func (s *scheduler) beat(now time.Time) *Beat {
+// newHeartbeat returns the next heartbeat for the zone's daemons. s.mu is held.
+func (s *scheduler) newHeartbeat(now time.Time) *Beat {
 	b := &Beat{From: s.self, Leaders: s.otherLeaders(now), Roles: s.roles}
-	s.beats++
-	if b.Brief = s.beats%(1+len(s.election.Ordered())/wholeFor) != 0; b.Brief {
+	s.heartbeats++
+	if b.Brief = s.heartbeats%(1+len(s.election.Ordered())/membersPerBriefHeartbeat) != 0; b.Brief {
 		return b
 	}
-	b.Counts, b.Doubts, b.Held = s.ledger.Fullest(mostCounts), s.ledger.Doubts(now), s.heldInZone(now)
-	for _, z := range s.zones {
-		if now.Sub(z.at) > zoneLife {
+	b.Counts, b.Doubts, b.Held = s.ledger.Fullest(maxHeartbeatCounts), s.ledger.Doubts(now), s.heldInZone(now)
+	for _, z := range s.zoneStates {
+		if now.Sub(z.at) > zoneReportTTL {
 			continue
 		}
 		for holder, work := range z.held {
@@ -137,11 +140,11 @@
 	return b
 }
 
-// otherLeaders lists the leaders of the other zones that this one, a leader, hears.
-// s.mu is held.
+// otherLeaders lists the leaders of the other zones whose reports this daemon, a leader,
+// receives. s.mu is held.
 func (s *scheduler) otherLeaders(now time.Time) []string {
 	var list []string
-	for _, z := range s.zones {
+	for _, z := range s.zoneStates {
 		if now.Sub(z.at) <= election.Silence {
 			list = append(list, z.leader)
 		}
@@ -149,13 +152,13 @@
 	return list
 }
 
-// Leader returns the peer address of the own zone's leader, perhaps this daemon's.
+// Leader returns the peer address of the local zone's leader, which may be this daemon.
 func (p *Places) Leader() (address string, found bool) {
 	return p.scheduler.currentLeader(time.Now())
 }
 
-// OtherLeaders returns the leaders of the other zones: those that this daemon hears as a
-// leader, or those that its leader told of lately.
+// OtherLeaders returns the leaders of the other zones: on a leader those that report to
+// it, on another daemon those that its leader named within zoneReportTTL.
 func (p *Places) OtherLeaders() []string {
 	s := p.scheduler
 	now := time.Now()
@@ -164,33 +167,33 @@
 	if s.leads {
 		return s.otherLeaders(now)
 	}
-	if now.Sub(s.rolesAt) > zoneLife {
+	if now.Sub(s.rolesAt) > zoneReportTTL {
 		return nil
 	}
-	return slices.Clone(s.others)
+	return slices.Clone(s.remoteLeaders)
 }
 
-// NoteCall tells how a call to the own zone's leader ended, about whatever it was; late:
-// it ran out of time.
+// RecordCall records how a call to the local zone's leader ended, whatever its purpose;
+// late reports that it ran out of time.
 func (p *Places) NoteCall(leader string, err error, late bool) {
-	p.scheduler.noteCall(leader, err, late)
+	p.scheduler.recordCall(leader, err, late)
 }
 
-// heldInZone gathers the held work of the zone's daemons. s.mu is held.
+// heldInZone returns the held work of the zone's daemons by holder. s.mu is held.
 func (s *scheduler) heldInZone(now time.Time) map[string]HeldWork {
 	held := map[string]HeldWork{}
-	for holder, w := range s.holders {
+	for holder, last := range s.holderStates {
 		switch {
-		case now.Sub(w.at) > slots.LeaseLife:
-			delete(s.holders, holder)
-		case !w.held.empty():
-			held[holder] = w.held
+		case now.Sub(last.at) > slots.LeaseLife:
+			delete(s.holderStates, holder)
+		case !last.held.empty():
+			held[holder] = last.held
 		}
 	}
 	return held
 }
 
-func (s *scheduler) tellZone(b Beat, peers []Peer) {
+func (s *scheduler) notifyZone(b Beat, peers []Peer) {
 	for _, other := range peers {
 		if other.Zone == s.zone {
 			s.caller.Notify(other.Address, beatMethod, b)
@@ -198,9 +201,9 @@
 	}
 }
 
-// tellRoom tells the leaders of the other zones of the free slots, or some daemons of
-// a zone whose leader is not known.
-func (s *scheduler) tellRoom(now time.Time, r Room, peers []Peer) {
+// sendZoneReport sends the free slots to the leaders of the other zones, or to some
+// daemons of a zone whose leader is not known.
+func (s *scheduler) sendZoneReport(now time.Time, r Room, peers []Peer) {
 	zones := map[string][]string{}
 	for _, other := range peers {
 		if other.Zone != s.zone {
@@ -212,7 +215,7 @@
 			s.caller.Notify(leader, roomMethod, r)
 			continue
 		}
-		for range strangers {
+		for range unknownLeaderFanout {
 			s.caller.Notify(members[rand.IntN(len(members))], roomMethod, r)
 		}
 	}
@@ -222,22 +225,22 @@
 func (s *scheduler) leaderOf(now time.Time, zone string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	z := s.zones[zone]
+	z := s.zoneStates[zone]
 	if z == nil || now.Sub(z.at) > election.Silence {
 		return "", false
 	}
 	return z.leader, true
 }
 
-// hearRoom takes another zone's word, or passes it on to the leader.
-func (s *scheduler) hearRoom(now time.Time, r Room) {
+// applyZoneReport records another zone's report, or forwards it to the leader.
+func (s *scheduler) applyZoneReport(now time.Time, r Room) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Zone == s.zone {
 		return
 	}
 	if s.leads {
-		s.zones[r.Zone] = &zoneWord{leader: r.Leader, held: r.Held, at: now}
+		s.zoneStates[r.Zone] = &zoneState{leader: r.Leader, held: r.Held, at: now}
 		s.ledger.HearRoom(now, r.Zone, r.Leader, r.Free)
 		return
 	}
@@ -247,60 +250,61 @@
 	}
 }
 
-// hearReport takes a daemon's leases.
-func (s *scheduler) hearReport(now time.Time, r Report) {
+// applyLeaseReport applies a daemon's leases.
+func (s *scheduler) applyLeaseReport(now time.Time, r Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.holders[r.Holder]
-	if w == nil || w.incarnation != r.Incarnation {
-		w = &holderWord{incarnation: r.Incarnation}
-		s.holders[r.Holder] = w
+	last := s.holderStates[r.Holder]
+	if last == nil || last.incarnation != r.Incarnation {
+		last = &holderState{incarnation: r.Incarnation}
+		s.holderStates[r.Holder] = last
 	}
-	if r.Number < w.number {
-		// A later report was taken before: only the ends are news.
+	if r.Number < last.number {
+		// A later report was applied before: only the ended leases are new.
 		s.ledger.End(now, r.Holder, r.Ended)
 		return
 	}
-	w.number, w.held, w.at = r.Number, r.Held, now
+	last.number, last.held, last.at = r.Number, r.Held, now
 	s.ledger.Report(now, r.Holder, r.Running, r.Ended)
 }
 
-// hearBeat takes a leader's heartbeat.
-func (p *Places) hearBeat(now time.Time, b Beat) {
+// applyHeartbeat applies a leader's heartbeat.
+func (p *Places) applyHeartbeat(now time.Time, b Beat) {
 	s := p.scheduler
 	s.mu.Lock()
 	if b.Resigned {
 		s.election.Resigned(now, b.From)
-		s.noteLeader(now, "it resigned")
+		s.updateLeader(now, "resigned")
 		s.mu.Unlock()
 		return
 	}
 	s.election.Heard(now, b.From)
-	s.noteLeader(now, "its heartbeat")
+	s.updateLeader(now, "heartbeat")
 	follows := s.leader == b.From
 	if follows {
-		s.others, s.roles, s.rolesAt = b.Leaders, b.Roles, now
-		s.noteDaemons(b.Daemons)
+		s.remoteLeaders, s.roles, s.rolesAt = b.Leaders, b.Roles, now
+		s.recordFleetSize(b.Daemons)
 	}
 	s.mu.Unlock()
 	if follows {
-		p.takeBeat(now, b)
+		p.recordHeartbeat(now, b)
 	}
 }
 
 // Zone is what a daemon knows of the daemons of its zone.
 type Zone struct {
-	// Leads tells that this daemon leads it; Leader is who does, "" for nobody.
+	// Leads reports that this daemon leads the zone; Leader is the leader's peer address,
+	// "" for none.
 	Leads  bool
 	Leader string
-	// Roles are as the leader gave them at ReceivedAt.
+	// Roles are those that the leader assigned, as received at ReceivedAt.
 	Roles
 	ReceivedAt time.Time
-	// Members are the zone's daemons, those that lead before others first.
+	// Members are the zone's daemons, in the order in which they would lead.
 	Members []string
 }
 
-// OwnZone returns what is known of the own zone.
+// LocalZone returns what is known of the local zone.
 func (p *Places) OwnZone() Zone {
 	s := p.scheduler
 	s.mu.Lock()
@@ -309,66 +313,67 @@
 	return Zone{Leads: s.leads, Leader: leader, Roles: s.roles, ReceivedAt: s.rolesAt, Members: s.election.Ordered()}
 }
 
-// SetRoles takes the roles that this daemon, as the leader, gives.
+// SetRoles sets the roles that this daemon assigns; it does nothing unless this daemon
+// leads.
 func (p *Places) SetRoles(r Roles) {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leads {
 		s.roles, s.rolesAt = r, time.Now()
-		s.noteDaemons(r.Daemons)
+		s.recordFleetSize(r.Daemons)
 	}
 }
 
-// noteDaemons takes the size of the fleet. A leader that has just come forward does not
-// know it yet.
-func (s *scheduler) noteDaemons(n int) {
+// recordFleetSize records the size of the fleet. A new leader does not know it yet.
+func (s *scheduler) recordFleetSize(n int) {
 	if n > 0 {
-		s.daemons.Store(int64(n))
+		s.leaderFleetSize.Store(int64(n))
 	}
 }
 
-// Daemons returns the size of the fleet as a leader of the zone told it, 0 for unknown.
-func (p *Places) Daemons() int { return int(p.scheduler.daemons.Load()) }
+// LeaderFleetSize returns the size of the fleet as reported by a leader of the zone, 0
+// for unknown.
+func (p *Places) Daemons() int { return int(p.scheduler.leaderFleetSize.Load()) }
 
-// SetCutOff tells whether this daemon does not reach the log while another daemon of its
-// zone does. It leaves the lead to that one.
+// SetCutOffFromLog sets whether this daemon does not reach the log while another daemon
+// of its zone does. This daemon then leaves the leadership to that one.
 //
-// Failure guarded against: the leader goes on to give out targets that have left, since
-// their entries no longer reach it.
+// Failure guarded against: the leader goes on granting slots at targets that have been
+// removed, since their entries no longer reach it.
 func (p *Places) SetCutOff(cutOff bool) {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cutOff = cutOff
+	s.cutOffFromLog = cutOff
 }
 
-// PartHolder returns the peer address of the daemon that held a partition of batch work
-// for certain a moment ago, this one perhaps.
+// PartHolder returns the peer address of the daemon, possibly this one, that certainly
+// held a partition of batch work within the last partHolderTTL.
 func (p *Places) PartHolder(part int) (string, bool) {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, known := s.partHolders[part]
-	return h.address, known && time.Since(h.at) < partHolderLife
+	return h.address, known && time.Since(h.at) < partHolderTTL
 }
 
-// PartHolders lists the daemons that held any partition a moment ago.
+// PartHolders lists the daemons that held any partition within the last partHolderTTL.
 func (p *Places) PartHolders() []string {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
 	for _, h := range s.partHolders {
-		if time.Since(h.at) < partHolderLife && !slices.Contains(list, h.address) {
+		if time.Since(h.at) < partHolderTTL && !slices.Contains(list, h.address) {
 			list = append(list, h.address)
 		}
 	}
 	return list
 }
 
-// noteHolders takes who holds which partitions. s.mu is held.
-func (s *scheduler) noteHolders(now time.Time, held map[string]HeldWork) {
+// recordPartHolders records the holders of partitions. s.mu is held.
+func (s *scheduler) recordPartHolders(now time.Time, held map[string]HeldWork) {
 	for holder, work := range held {
 		for _, part := range work.Parts {
 			s.partHolders[part] = partHolder{holder, now}
@@ -376,27 +381,27 @@
 	}
 }
 
-// takeBeat keeps what the leader tells of work, for when it can't be asked. In a small
-// fleet the daemons tell each other of that.
-func (p *Places) takeBeat(now time.Time, b Beat) {
+// recordHeartbeat keeps the state of work that the leader reports, for the time when the
+// leader can't be reached. In a small fleet the daemons report that to each other.
+func (p *Places) recordHeartbeat(now time.Time, b Beat) {
 	if !p.Scheduled() || b.Brief {
 		return
 	}
 	p.scheduler.mu.Lock()
-	p.scheduler.noteHolders(now, b.Held)
+	p.scheduler.recordPartHolders(now, b.Held)
 	p.scheduler.mu.Unlock()
-	word := board.Word{From: "zone " + p.zone, Zone: p.zone, Doubts: b.Doubts}
+	report := board.Word{From: "zone " + p.zone, Zone: p.zone, Doubts: b.Doubts}
 	for holder, work := range b.Held {
 		if holder != p.self {
-			word.Held = append(word.Held, work.Items...)
-			word.Parts = append(word.Parts, work.Parts...)
+			report.Held = append(report.Held, work.Items...)
+			report.Parts = append(report.Parts, work.Parts...)
 		}
 	}
 	p.mu.Lock()
-	p.beats++
-	word.Number = p.beats
-	word.Counts = p.board.Less(b.Counts)
-	p.board.Hear(now, word)
+	p.heartbeats++
+	report.Number = p.heartbeats
+	report.Counts = p.board.Less(b.Counts)
+	p.board.Hear(now, report)
 	p.mu.Unlock()
 	duty.Wake(p.changed)
 }
--- a/daemon/places/leases.go
+++ b/daemon/places/leases.go
@@ -12,78 +12,81 @@
 	"tarragonhollow.example/tarragonhollow/daemon/duty"
 )
 
-// reportGather is how long ends are gathered into one report: much less than the time
-// that a request spends at a target, since the slot stays taken for as long.
-const reportGather = 3 * time.Millisecond
+// reportLinger is how long ended leases are collected into one report: much less than the
+// time that a request spends at a target, since the slot stays taken for that long.
+const reportLinger = 3 * time.Millisecond
 
-// noLease is the number of no lease: an end that tells of the target alone.
+// noLease is the number that stands for no lease, in an end that reports only the
+// target's outcome.
 const noLease = 0
 
-// ownLease is a slot that this daemon's work takes.
-type ownLease struct {
+// localLease is a slot that this daemon's work takes.
+type localLease struct {
 	target roster.Target
 	batch  bool
-	// by is the peer address of the leader that gave it, "" if nobody did.
-	by string
+	// grantedBy is the peer address of the leader that granted it, "" for none.
+	grantedBy string
 }
 
-// ownEnd is an end that is still to be told.
-type ownEnd struct {
+// localEnd is an ended lease that has not been reported yet.
+type localEnd struct {
 	slots.Ended
-	// zone is the target's zone, by the leader that gave the lease.
-	zone, by string
+	// zone is the target's zone, grantedBy the leader that granted the lease.
+	zone, grantedBy string
 }
 
-// ownLeases are the leases of this daemon. It is safe for concurrent use.
-type ownLeases struct {
-	// told tells whether there are leaders to tell; in a small fleet there are none.
-	told func() bool
-	// news has a token when a leader has to be told, yielding when work has to give way.
-	news     chan struct{}
-	yielding chan<- struct{}
+// localLeases are the leases of this daemon. It is safe for concurrent use.
+type localLeases struct {
+	// scheduled reports whether there are leaders to report to; in a small fleet there
+	// are none.
+	scheduled func() bool
+	// reportDue holds a token when a leader needs a report; preempting gets one when
+	// local batch work is preempted.
+	reportDue  chan struct{}
+	preempting chan<- struct{}
 
 	mu      sync.Mutex
 	last    uint64
-	running map[uint64]ownLease
-	ended   []ownEnd
+	running map[uint64]localLease
+	ended   []localEnd
 	held    HeldWork
-	// yields counts the batch items that must give way, by start of their target.
-	yields map[roster.Start]int
-	// reports numbers the reports; spoke tells whether the last one to the leader said
-	// anything.
-	reports uint64
-	spoke   bool
+	// preemptions counts the preempted batch items by target start.
+	preemptions map[roster.Start]int
+	// reports numbers the reports; reportedWork reports whether the last one to the
+	// zone's leader named any lease or held work.
+	reports      uint64
+	reportedWork bool
 }
 
-func newOwnLeases(told func() bool, yielding chan<- struct{}) *ownLeases {
-	// Numbers begin anywhere: a daemon that starts again must not use one again that
+func newLocalLeases(scheduled func() bool, preempting chan<- struct{}) *localLeases {
+	// Numbers start at a random value: a restarted daemon must not reuse a number that
 	// may still count.
-	return &ownLeases{told: told, news: make(chan struct{}, 1), yielding: yielding, last: rand.Uint64() >> 1,
-		running: map[uint64]ownLease{}, yields: map[roster.Start]int{}}
+	return &localLeases{scheduled: scheduled, reportDue: make(chan struct{}, 1), preempting: preempting, last: rand.Uint64() >> 1,
+		running: map[uint64]localLease{}, preemptions: map[roster.Start]int{}}
 }
 
-func (o *ownLeases) wake() { duty.Wake(o.news) }
+func (o *localLeases) wake() { duty.Wake(o.reportDue) }
 
-// next returns a new lease's number.
-func (o *ownLeases) next() uint64 {
+// next returns the number of a new lease.
+func (o *localLeases) next() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.last++
 	return o.last
 }
 
-// begin counts a lease. One that no leader gave is told soon.
-func (o *ownLeases) begin(number uint64, lease ownLease) {
+// begin counts a lease. One that no leader granted is reported soon.
+func (o *localLeases) begin(number uint64, lease localLease) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.running[number] = lease
-	if lease.by == "" && o.told() {
+	if lease.grantedBy == "" && o.scheduled() {
 		o.wake()
 	}
 }
 
-// end ends a lease; what it says of the target is told.
-func (o *ownLeases) end(number uint64, result routing.Outcome, took time.Duration) {
+// end ends a lease and queues its outcome for the next report.
+func (o *localLeases) end(number uint64, result routing.Outcome, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lease, known := o.running[number]
@@ -91,121 +94,123 @@
 		return
 	}
 	delete(o.running, number)
-	o.tell(ownEnd{
+	o.queueEnd(localEnd{
 		Ended: slots.Ended{Number: number, Target: string(lease.target.Start), Outcome: result, Took: took},
-		zone:  lease.target.Zone, by: lease.by,
+		zone:  lease.target.Zone, grantedBy: lease.grantedBy,
 	})
 }
 
-// tell keeps an end for the next report. o.mu is held.
-func (o *ownLeases) tell(e ownEnd) {
-	if !o.told() {
+// queueEnd keeps an ended lease for the next report. o.mu is held.
+func (o *localLeases) queueEnd(e localEnd) {
+	if !o.scheduled() {
 		return
 	}
 	o.ended = append(o.ended, e)
 	o.wake()
 }
 
-// doubt has the target of a lease that goes on doubted.
-func (o *ownLeases) doubt(number uint64) {
+// reportDegraded reports the target of a running lease as degraded.
+func (o *localLeases) reportDegraded(number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lease, known := o.running[number]
 	if !known {
 		return
 	}
-	o.tell(ownEnd{
+	o.queueEnd(localEnd{
 		Ended: slots.Ended{Number: noLease, Target: string(lease.target.Start), Outcome: routing.SoftFailed},
-		zone:  lease.target.Zone, by: lease.by,
+		zone:  lease.target.Zone, grantedBy: lease.grantedBy,
 	})
 }
 
-// abandon gives a slot back that a leader may have given without being heard.
-func (o *ownLeases) abandon(number uint64, by string) {
+// abandon returns a slot that a leader may have granted although its answer did not
+// arrive.
+func (o *localLeases) abandon(number uint64, grantedBy string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.tell(ownEnd{Ended: slots.Ended{Number: number}, by: by})
+	o.queueEnd(localEnd{Ended: slots.Ended{Number: number}, grantedBy: grantedBy})
 }
 
-// hold takes what others must not run; see Places.SetHeld.
-func (o *ownLeases) hold(held HeldWork) {
+// setHeldWork sets the work that others must not run; see Places.SetHeldWork.
+func (o *localLeases) setHeldWork(held HeldWork) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := len(held.Items) > 0 || len(o.held.Items) > 0
+	changed := len(held.Items) > 0 || len(o.held.Items) > 0
 	o.held = held
-	if news && o.told() {
+	if changed && o.scheduled() {
 		o.wake()
 	}
 }
 
-// yield notes the leases that must give way.
-func (o *ownLeases) yield(numbers []uint64) {
+// preempt records the leases that are preempted.
+func (o *localLeases) preempt(numbers []uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, number := range numbers {
 		if lease, runs := o.running[number]; runs {
-			o.yields[lease.target.Start]++
-			duty.Wake(o.yielding)
+			o.preemptions[lease.target.Start]++
+			duty.Wake(o.preempting)
 		}
 	}
 }
 
-// takeYields returns, once, how many batch items must give way at each target.
-func (o *ownLeases) takeYields() map[roster.Start]int {
+// takePreemptions returns, once, how many batch items are preempted at each target.
+func (o *localLeases) takePreemptions() map[roster.Start]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	yields := o.yields
-	o.yields = map[roster.Start]int{}
-	return yields
+	preemptions := o.preemptions
+	o.preemptions = map[roster.Start]int{}
+	return preemptions
 }
 
-// reportsTo makes the reports that are due, by leader: that of the own zone is told of
-// all work in the zone, another one of what it gave.
-func (o *ownLeases) reportsTo(zone, leader string) map[string]*Report {
+// reportsTo builds the reports that are due, by leader: the local zone's leader gets all
+// work in the zone, any other leader the leases that it granted.
+func (o *localLeases) reportsTo(zone, leader string) map[string]*Report {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.reports++
 	due := dueReports{zone: zone, leader: leader, number: o.reports, reports: map[string]*Report{}}
 	for number, lease := range o.running {
-		r := due.of(lease.target.Zone, lease.by)
+		r := due.reportFor(lease.target.Zone, lease.grantedBy)
 		r.Running = append(r.Running, slots.Running{Number: number, Target: string(lease.target.Start), Batch: lease.batch})
 	}
 	for _, e := range o.ended {
-		r := due.of(e.zone, e.by)
+		r := due.reportFor(e.zone, e.grantedBy)
 		r.Ended = append(r.Ended, e.Ended)
 	}
 	o.ended = nil
 	if !o.held.empty() {
-		due.of(zone, leader).Held = o.held
+		due.reportFor(zone, leader).Held = o.held
 	}
-	o.tellEnd(&due)
+	o.addFinalReport(&due)
 	return due.reports
 }
 
-// tellEnd has the own zone's leader told once that nothing runs or is held any more.
-func (o *ownLeases) tellEnd(due *dueReports) {
-	speaks := due.reports[due.leader] != nil
-	if !speaks && o.spoke && due.leader != "" {
-		due.of(due.zone, due.leader)
+// addFinalReport adds one empty report to the local zone's leader once nothing runs or is
+// held any more.
+func (o *localLeases) addFinalReport(due *dueReports) {
+	hasWork := due.reports[due.leader] != nil
+	if !hasWork && o.reportedWork && due.leader != "" {
+		due.reportFor(due.zone, due.leader)
 	}
-	o.spoke = speaks
+	o.reportedWork = hasWork
 }
 
-// dueReports gathers reports by the leader that gets them.
+// dueReports collects reports by the leader that receives them.
 type dueReports struct {
 	zone, leader string
 	number       uint64
 	reports      map[string]*Report
 }
 
-// of returns the report that tells of a lease in a zone, given by a leader.
-func (d *dueReports) of(zone, by string) *Report {
-	address := by
+// reportFor returns the report that covers a lease in a zone, granted by a leader.
+func (d *dueReports) reportFor(zone, grantedBy string) *Report {
+	address := grantedBy
 	if zone == d.zone {
 		address = d.leader
 	}
 	if address == "" {
-		return &Report{} // nobody to tell: it lapses, or the next leader is told
+		return &Report{} // no receiver: the lease expires, or the next leader gets a report
 	}
 	if d.reports[address] == nil {
 		d.reports[address] = &Report{Number: d.number}
@@ -213,7 +218,7 @@
 	return d.reports[address]
 }
 
-// Report tells the leaders of the own leases until ctx is done.
+// ReportLeases reports this daemon's leases to the leaders until ctx is done.
 func (p *Places) Report(ctx context.Context) {
 	renew := time.NewTicker(slots.ReportEvery)
 	defer renew.Stop()
@@ -222,9 +227,9 @@
 		case <-ctx.Done():
 			return
 		case <-renew.C:
-		case <-p.scheduler.own.news:
+		case <-p.scheduler.leases.reportDue:
 		}
-		if !duty.Pause(ctx, reportGather) {
+		if !duty.Pause(ctx, reportLinger) {
 			return
 		}
 		if p.Scheduled() {
@@ -233,13 +238,13 @@
 	}
 }
 
-// report tells the leaders of the own leases once.
+// report sends the reports that are due once.
 func (s *scheduler) report(now time.Time) {
 	leader, _ := s.currentLeader(now)
-	for address, r := range s.own.reportsTo(s.zone, leader) {
+	for address, r := range s.leases.reportsTo(s.zone, leader) {
 		r.Holder, r.Incarnation = s.self, s.incarnation
 		if address == s.self {
-			s.hearReport(now, *r)
+			s.applyLeaseReport(now, *r)
 			continue
 		}
 		s.caller.Notify(address, reportMethod, *r)
--- a/daemon/places/places.go
+++ b/daemon/places/places.go
@@ -1,5 +1,5 @@
-// Package places is the daemon's view of the targets: which there are, how many
-// requests of the whole fleet run at each, and where the next one goes.
+// Package places is the daemon's view of the targets: which targets exist, how many
+// requests the whole fleet runs at each of them, and which target gets the next request.
 package places
 
 import (
@@ -24,77 +24,78 @@
 type Options struct {
 	// Host is the daemon's name, Zone its availability zone.
 	Host, Zone string
-	// PeerAddress is where other daemons reach it.
+	// PeerAddress is the address at which other daemons reach this one.
 	PeerAddress string
-	// Fleet tells how many daemons there are; nil is one.
+	// FleetSize returns the number of daemons; nil means one.
 	Fleet func() int
-	// Lean tells whether the zone is so large that most of its daemons hold only a sample
-	// of the targets, chosen by a daemon that knows all; nil is no.
+	// LargeZone reports whether the zone is so large that most of its daemons hold only a
+	// sample of the targets, chosen by a daemon that knows all of them; nil means no.
 	Lean func() bool
-	// Counted tells whether accounts' requests are counted, for which zones need leaders
-	// in a small fleet too; nil is no.
+	// QuotasInUse reports whether requests are counted against account quotas, which
+	// requires zone leaders in a small fleet too; nil means no.
 	Counted func() bool
-	// Peers calls the other daemons; nil in a fleet of one. Cores is the processor
-	// time that this one may use.
+	// Peers calls the other daemons; nil in a fleet of one. Cores is the processor time
+	// that this daemon may use, in cores.
 	Peers peer.Caller
 	Cores float64
-	// AskTime bounds the asking for a slot; default 40 ms.
+	// SlotTimeout bounds one call to a leader for a slot; default 40 ms.
 	AskTime time.Duration
 	Logger  *zap.Logger
 	// Metrics receives the counters; may be nil.
 	Metrics *metrics.Set
 }
 
-// Places is safe for concurrent use.
+// Places is the daemon's view of the targets. It is safe for concurrent use.
 type Places struct {
-	// self is the own peer address.
-	self  string
-	zone  string
-	fleet func() int
-	lean  func() bool
-	// counted tells whether a small fleet needs leaders.
-	counted func() bool
-	logger  *zap.Logger
+	// self is this daemon's peer address.
+	self      string
+	zone      string
+	fleetSize func() int
+	largeZone func() bool
+	// quotasInUse reports whether account quotas require leaders in a small fleet too.
+	quotasInUse func() bool
+	logger      *zap.Logger
 
 	mu     sync.Mutex
 	roster *roster.Roster
 	board  *board.Board
-	// beats numbers the heartbeats of the zone's leader.
-	beats  uint64
-	groups map[string]*group
-	// used holds the targets that may get work: all of them, or a sample.
-	used map[roster.Start]roster.Target
-	// pool is what samples for other daemons are taken from, nil unless all targets of a
-	// large zone are known. built is the version of the roster that it and used are made
-	// from.
-	pool  *pool
-	built uint64
-	// known tells of the first list of targets, listed of each change of used.
-	known, listed duty.News
-	// starts holds those where own work runs, used or not.
+	// heartbeats numbers the heartbeats of the zone's leader.
+	heartbeats uint64
+	groups     map[string]*group
+	// eligible holds the targets that may get work: all of them, or a sample.
+	eligible map[roster.Start]roster.Target
+	// pool is the set of targets from which samples for other daemons are drawn; nil
+	// unless all targets of a large zone are known. builtVersion is the version of the
+	// roster from which pool and eligible were built.
+	pool         *pool
+	builtVersion uint64
+	// listReceived notifies of the first list of targets, targetsChanged of each change
+	// of eligible.
+	listReceived, targetsChanged duty.News
+	// starts holds the target starts at which this daemon's work runs, eligible or not.
 	starts starts
-	// expiry wakes the view when lapsed targets count as gone.
-	expiry *time.Timer
-	gone   func(address string)
-	// held names the items that another daemon must not run, parts the partitions
-	// that this one holds for certain; see board.Word.
-	held  []uint64
-	parts []int
+	// expiry fires when expired targets count as removed.
+	expiry    *time.Timer
+	onRemoved func(address string)
+	// heldItems are the items that no other daemon may run, heldParts the partitions that
+	// this daemon certainly holds; both are part of the load report (see package board).
+	heldItems []uint64
+	heldParts []int
 
-	// wordAge is how old the words of the daemons that tell each change may be, in
-	// nanoseconds.
-	wordAge atomic.Int64
+	// loadReportAge is the maximum age, in nanoseconds, of the load reports of daemons
+	// that report each change.
+	loadReportAge atomic.Int64
 
-	// dirty holds a token when own counts changed; changed wakes the batch
-	// runner when room may have come or gone.
+	// dirty holds a token when the local counts changed; changed wakes the batch runner
+	// when slots may have become free or taken.
 	dirty   chan struct{}
 	changed chan struct{}
 
 	scheduler *scheduler
 }
 
-// neverBuilt is no version of a roster.
-const neverBuilt = math.MaxUint64
+// noVersion is a value that no version of a roster has.
+const noVersion = math.MaxUint64
 
 // group is one target group.
 type group struct {
@@ -117,107 +118,107 @@
 		o.Metrics = metrics.NewSet()
 	}
 	if o.AskTime <= 0 {
-		o.AskTime = defaultAskTime
+		o.AskTime = defaultSlotTimeout
 	}
 	p := &Places{
-		self: o.PeerAddress, zone: o.Zone, fleet: o.Fleet, lean: o.Lean, counted: o.Counted, logger: o.Logger,
+		self: o.PeerAddress, zone: o.Zone, fleetSize: o.Fleet, largeZone: o.Lean, quotasInUse: o.Counted, logger: o.Logger,
 		roster: roster.New(), board: board.New(o.Host, o.Zone),
-		groups: map[string]*group{}, used: map[roster.Start]roster.Target{}, starts: starts{},
+		groups: map[string]*group{}, eligible: map[roster.Start]roster.Target{}, starts: starts{},
 		dirty: make(chan struct{}, 1), changed: make(chan struct{}, 1),
-		gone: func(string) {}, built: neverBuilt,
+		onRemoved: func(string) {}, builtVersion: noVersion,
 	}
 	p.scheduler = newScheduler(o, p.Scheduled, p.changed)
 	return p
 }
 
-// OnGone sets what is called with the address of a target that left for good.
-// It is set before the view is used.
-func (p *Places) OnGone(gone func(address string)) { p.gone = gone }
+// OnRemoved sets the function that is called with the address of a target that was
+// removed. It must be called before the view is used.
+func (p *Places) OnGone(removed func(address string)) { p.onRemoved = removed }
 
-// Update changes the roster and works out the groups anew.
+// Update changes the roster and rebuilds the groups if the roster's version changed.
 func (p *Places) Update(change func(now time.Time, r *roster.Roster)) {
 	now := time.Now()
 	p.mu.Lock()
 	change(now, p.roster)
-	if p.roster.Version(now) == p.built {
+	if p.roster.Version(now) == p.builtVersion {
 		p.mu.Unlock()
-		return // heartbeats without news
+		return // only heartbeats, nothing changed
 	}
-	left := p.rebuild(now)
+	removed := p.rebuild(now)
 	replaced := p.starts.replaced(p.roster.Current)
 	p.mu.Unlock()
-	for _, t := range left {
-		p.gone(t.Address)
+	for _, t := range removed {
+		p.onRemoved(t.Address)
 	}
 	p.endReplaced(replaced)
-	p.known.Tell()
-	p.listed.Tell()
+	p.listReceived.Tell()
+	p.targetsChanged.Tell()
 	duty.Wake(p.changed)
 }
 
-// endReplaced ends the work at targets that have started again.
-func (p *Places) endReplaced(replaced []*runningStart) {
-	for _, at := range replaced {
-		p.logger.Info("target_started_again", zap.String("target", at.id), zap.Int("work_ended", at.work))
-		at.end()
+// endReplaced cancels the work at targets that have restarted.
+func (p *Places) endReplaced(replaced []*activeStart) {
+	for _, start := range replaced {
+		p.logger.Info("target_started_again", zap.String("target", start.id), zap.Int("work_ended", start.inFlight))
+		start.cancel()
 	}
 }
 
-// rebuild works the groups out and returns the targets that are no longer used.
+// rebuild rebuilds the groups and returns the targets that are no longer eligible.
 func (p *Places) rebuild(now time.Time) []roster.Target {
 	usable, until := p.roster.Usable(now)
-	p.built = p.roster.Version(now)
+	p.builtVersion = p.roster.Version(now)
 	p.pool = nil
-	held := usable
-	if p.lean() && p.roster.Complete() {
+	eligible := usable
+	if p.largeZone() && p.roster.Complete() {
 		p.pool = newPool(p.zone, usable)
-		held = p.pool.sample(p.board.Self())
+		eligible = p.pool.sample(p.board.Self())
 	}
-	left := p.hold(held)
+	removed := p.setEligible(eligible)
 	p.scheduler.setTargets(p.zoneTargets(usable), len(usable) > 0 && p.roster.Complete())
 	p.armExpiry(now, until)
-	return left
+	return removed
 }
 
-// hold takes the targets that may get work, and returns those that may no longer.
-func (p *Places) hold(held []roster.Target) []roster.Target {
-	// A first list is told in one line a group: with thousands of targets a line for
-	// each would keep a small host from serving when it starts.
-	first := len(p.used) == 0
-	members := map[string][]roster.Target{}
-	next := make(map[roster.Start]roster.Target, len(held))
-	for _, t := range held {
-		members[t.Group] = append(members[t.Group], t)
+// setEligible sets the targets that may get work and returns those that no longer may.
+func (p *Places) setEligible(eligible []roster.Target) []roster.Target {
+	// The first list is logged with one line per group: with thousands of targets, a line
+	// per target would keep a small host from serving when it starts.
+	first := len(p.eligible) == 0
+	byGroup := map[string][]roster.Target{}
+	next := make(map[roster.Start]roster.Target, len(eligible))
+	for _, t := range eligible {
+		byGroup[t.Group] = append(byGroup[t.Group], t)
 		next[t.Start] = t
-		if _, known := p.used[t.Start]; !known && !first {
+		if _, known := p.eligible[t.Start]; !known && !first {
 			p.logger.Info("target_in", zap.String("target", t.ID), zap.Int64("born", t.Born), zap.String("group", t.Group),
 				zap.String("address", t.Address), zap.String("zone", t.Zone))
 		}
 	}
-	var left []roster.Target
-	for start, t := range p.used {
+	var removed []roster.Target
+	for start, t := range p.eligible {
 		if _, stays := next[start]; !stays {
 			p.logger.Info("target_out", zap.String("target", t.ID), zap.Int64("born", t.Born), zap.String("group", t.Group))
-			left = append(left, t)
+			removed = append(removed, t)
 		}
 	}
-	p.used = next
+	p.eligible = next
 	if first {
-		for name, targets := range members {
+		for name, targets := range byGroup {
 			p.logger.Info("targets_loaded", zap.String("group", name), zap.Int("count", len(targets)))
 		}
 	}
-	p.setGroups(members)
-	return left
+	p.setGroups(byGroup)
+	return removed
 }
 
-func (p *Places) setGroups(members map[string][]roster.Target) {
+func (p *Places) setGroups(byGroup map[string][]roster.Target) {
 	for name := range p.groups {
-		if _, stays := members[name]; !stays {
-			members[name] = nil
+		if _, stays := byGroup[name]; !stays {
+			byGroup[name] = nil
 		}
 	}
-	for name, targets := range members {
+	for name, targets := range byGroup {
 		list := make([]routing.Target, 0, len(targets))
 		slots := 0
 		for _, t := range targets {
@@ -235,7 +236,7 @@
 	}
 }
 
-// zoneTargets lists the targets of the own zone by group.
+// zoneTargets lists the targets of the local zone by group.
 func (p *Places) zoneTargets(usable []roster.Target) map[string][]slots.Target {
 	list := map[string][]slots.Target{}
 	for _, t := range usable {
@@ -257,20 +258,20 @@
 	p.expiry = time.AfterFunc(until.Sub(now), func() { p.Update(func(time.Time, *roster.Roster) {}) })
 }
 
-// Address returns the own peer address.
+// Address returns this daemon's peer address.
 func (p *Places) Address() string { return p.self }
 
-// Known tells whether the list of targets was read at all.
+// TargetsKnown reports whether the list of targets has been read at least once.
 func (p *Places) Known() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Known()
 }
 
-// AwaitKnown waits until the list of targets was read, or ctx is done.
+// AwaitTargets waits until the list of targets has been read, or ctx is done.
 func (p *Places) AwaitKnown(ctx context.Context) {
 	for {
-		known := p.known.Next()
+		known := p.listReceived.Next()
 		if p.Known() {
 			return
 		}
@@ -282,7 +283,7 @@
 	}
 }
 
-// Has tells whether the group has any usable target.
+// HasTargets reports whether the group has any usable target.
 func (p *Places) Has(group string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,21 +291,22 @@
 	return g != nil && len(g.targets) > 0
 }
 
-// SetHeld tells the other daemons which items they must not run and which partitions
-// this one holds for certain; see board.Word. Partitions go out with the next word.
+// SetHeldWork publishes to the other daemons which items they must not run and which
+// partitions this daemon certainly holds (see package board). Changed partitions alone
+// send no report at once; they are part of the next one.
 func (p *Places) SetHeld(items []uint64, parts []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.parts = parts
-	p.scheduler.own.hold(HeldWork{items, parts})
-	if len(items) == 0 && len(p.held) == 0 {
+	p.heldParts = parts
+	p.scheduler.leases.setHeldWork(HeldWork{items, parts})
+	if len(items) == 0 && len(p.heldItems) == 0 {
 		return
 	}
-	p.held = items
+	p.heldItems = items
 	duty.Wake(p.dirty)
 }
 
-// PartsElsewhere returns the partitions that other daemons hold for certain.
+// PartsElsewhere returns the partitions that other daemons certainly hold.
 func (p *Places) PartsElsewhere() map[int]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -318,32 +320,32 @@
 	return p.board.HeldElsewhere(time.Now())
 }
 
-// Yields returns, by start of a target, how many own batch items must give way to
-// online work now. Each is told once where the zone's leader says so.
+// Preemptions returns, by target start, how many of this daemon's batch items online work
+// preempts now. Where the zone's leader sends the notices, each of them is returned once.
 func (p *Places) Yields() map[roster.Start]int {
 	if p.Scheduled() {
-		return p.scheduler.own.takeYields()
+		return p.scheduler.leases.takePreemptions()
 	}
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	yields := map[roster.Start]int{}
+	preemptions := map[roster.Start]int{}
 	for start := range p.board.Counts() {
-		t, known := p.used[roster.Start(start)]
+		t, known := p.eligible[roster.Start(start)]
 		if !known {
 			continue
 		}
 		if n := p.board.Yield(now, start, t.Slots); n > 0 {
-			yields[t.Start] = n
+			preemptions[t.Start] = n
 		}
 	}
-	return yields
+	return preemptions
 }
 
-// Changed has a token when targets or counts changed.
+// Changed returns a channel that holds a token when targets or counts changed.
 func (p *Places) Changed() <-chan struct{} { return p.changed }
 
-func (p *Places) touched() {
+func (p *Places) notifyChange() {
 	duty.Wake(p.dirty)
 	duty.Wake(p.changed)
 }
--- a/daemon/places/places_test.go
+++ b/daemon/places/places_test.go
@@ -25,24 +25,24 @@
 
 const limit = 10 * time.Second
 
-// wire hands the calls of daemons to each other. It takes no time, but for what the
-// test cuts.
-type wire struct {
+// network passes the calls between daemons in one process, without delay. The test may
+// cut addresses off.
+type network struct {
 	fakepeer.Receivers
 
 	mu sync.Mutex
 	// calls counts the calls by method.
 	calls map[string]int
-	// cut tells whether calls to an address are lost.
+	// cut holds the addresses to which calls are lost.
 	cut map[string]bool
 }
 
-func newWire() *wire {
-	return &wire{calls: map[string]int{}, cut: map[string]bool{}}
+func newNetwork() *network {
+	return &network{calls: map[string]int{}, cut: map[string]bool{}}
 }
 
 // Call implements peer.Caller.
-func (w *wire) Call(ctx context.Context, address, method string, args, reply any) error {
+func (w *network) Call(ctx context.Context, address, method string, args, reply any) error {
 	w.mu.Lock()
 	w.calls[method]++
 	cut := w.cut[address]
@@ -55,7 +55,7 @@
 }
 
 // Notify implements peer.Caller.
-func (w *wire) Notify(address, method string, args any) {
+func (w *network) Notify(address, method string, args any) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -63,13 +63,13 @@
 	}()
 }
 
-func (w *wire) setCut(address string, cut bool) {
+func (w *network) setCut(address string, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut[address] = cut
 }
 
-func (w *wire) count(method string) int {
+func (w *network) count(method string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls[method]
@@ -90,7 +90,7 @@
 	target := func(id, zone string) roster.Target {
 		return roster.Target{ID: id, Start: roster.StartOf(id, 0), Group: "g", Address: id, Zone: zone, Slots: 4}
 	}
-	// born is a later start of a target.
+	// born returns a later start of a target.
 	born := func(t roster.Target, at int64) roster.Target {
 		t.Born, t.Start = at, roster.StartOf(t.ID, at)
 		return t
@@ -102,7 +102,7 @@
 	}
 	take := func(p *places.Places) string { return takePlace(p).ID }
 
-	It("spreads requests, the own zone first", func() {
+	It("spreads requests, the local zone first", func() {
 		p := view("d", "z1", target("a", "z1"), target("b", "z1"), target("far", "z2"))
 		got := map[string]int{}
 		for range 6 {
@@ -115,13 +115,13 @@
 		Expect(take(first)).To(Equal("a"))
 	})
 
-	It("refuses at once and truly without any target", func() {
+	It("refuses at once, as not run, without any target", func() {
 		p := view("d", "z1")
 		_, refusal := p.Take(context.Background(), places.Ask{Group: "g"})
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 	})
 
-	It("sends online requests to free places before those that batch has taken", func() {
+	It("sends online requests to free slots before those taken by batch", func() {
 		p := view("d", "z1", target("a", "z1"), target("b", "z1"))
 		for range 4 {
 			t, ok := p.TakeBatch(context.Background(), "g", map[string]bool{string(roster.StartOf("b", 0)): true}, 0)
@@ -136,7 +136,7 @@
 		Expect(p.Yields()).To(Equal(map[roster.Start]int{roster.StartOf("a", 0): 1}))
 	})
 
-	It("leaves the headroom free of batch and takes no target that is out", func() {
+	It("keeps the headroom free of batch and uses no ejected target", func() {
 		p := view("d", "z1", target("a", "z1"))
 		var last places.Place
 		for range 3 {
@@ -152,10 +152,10 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// A target crashes with four requests, refuses the next ones, and starts again
-	// under its ID. What was counted and believed of its earlier start must not keep
-	// requests away from it, nor end up on the new one.
-	It("believes nothing of an earlier start once it knows a later one", func() {
+	// A target crashes with four requests, refuses the next ones, and restarts under the
+	// same ID. Counts and health of its earlier start must neither keep requests away
+	// from it nor apply to the new start.
+	It("ignores counts and health of an earlier start once it knows a later one", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
 		var work []places.Place
@@ -180,9 +180,9 @@
 		Expect(p.Free("g", 0)).To(Equal(3))
 	})
 
-	// A target drains, crashes before its work is done, and starts again. It is no
-	// longer among those that get work, but what runs there must end all the same.
-	It("ends the work at a target that drained and has started again", func() {
+	// A target drains, crashes before its work is done, and restarts. It is no longer
+	// eligible for work, but what runs there must still be cancelled.
+	It("cancels the work at a target that drained and has restarted", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
 		place, ok := p.TakeBatch(context.Background(), "g", nil, 0)
@@ -195,8 +195,8 @@
 		Expect(place.Alive.Err()).To(HaveOccurred())
 	})
 
-	// The crashed target's connections may look whole from here.
-	It("forgets the connections to an earlier start", func() {
+	// The crashed target's connections may look intact from this daemon.
+	It("reports the address of an earlier start as removed", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
 		var forgotten []string
@@ -206,7 +206,7 @@
 	})
 
 	It("counts what other daemons run", func() {
-		w := newWire()
+		w := newNetwork()
 		a, b := view("a", "z1", target("t", "z1")), view("b", "z1", target("t", "z1"))
 		Expect(a.Register(w.At("a"))).To(Succeed())
 		Expect(b.Register(w.At("b"))).To(Succeed())
@@ -229,11 +229,11 @@
 		Expect(b.PartsElsewhere()).To(Equal(map[int]bool{3: true}))
 	})
 
-	// A target fails every request of one zone at once and looks empty all the time.
-	// Daemons of that zone that have not met it yet would send their orders there;
-	// those of the other zone are served by it.
-	It("tells the own zone which targets fail, and no other", func() {
-		w := newWire()
+	// A target fails every request of one zone at once and always looks empty. Daemons of
+	// that zone that have not used it yet would send their requests there; it serves
+	// those of the other zone.
+	It("reports failing targets to the local zone only", func() {
+		w := newNetwork()
 		bad, good := target("bad", "z1"), target("good", "z1")
 		a, near, far := view("a", "z1", bad), view("near", "z1", bad, good), view("far", "z2", bad, good)
 		for name, p := range map[string]*places.Places{"a": a, "near": near, "far": far} {
@@ -266,7 +266,8 @@
 			a.Release(place, routing.SoftFailed, 0)
 			return chosen(near)["bad"]
 		}).WithTimeout(limit).Should(BeZero())
-		// The last word may tell of a request that has ended since; a doubt lasts longer.
+		// The last load report may count a request that has ended since; a degradation
+		// lasts longer.
 		Eventually(func() int { return far.Free("g", 0) }).WithTimeout(limit).Should(Equal(2 * 4))
 		Expect(chosen(far)["bad"]).To(BeNumerically(">", 0))
 	})
--- a/daemon/places/sample.go
+++ b/daemon/places/sample.go
@@ -11,25 +11,26 @@
 )
 
 // A daemon of a large zone gets its targets from the zone's leader, request by request.
-// For the time without a leader it holds a sample of them, so that what it holds does
-// not grow with the fleet. All daemons of a zone together hold every target.
+// For the time without a leader it holds a sample of the targets, so that what it holds
+// does not grow with the fleet. All daemons of a zone together hold every target.
 const (
-	// sampleNear and sampleFar are how many targets of each group a sample holds, of the
-	// own zone and of all others.
-	sampleNear = 32
-	sampleFar  = 8
-	// mostFar bounds the targets of other zones from which samples of a group are taken.
-	mostFar = 256
+	// localSampleSize and remoteSampleSize are how many targets of each group a sample
+	// holds, of the local zone and of all other zones.
+	localSampleSize  = 32
+	remoteSampleSize = 8
+	// maxRemoteTargets bounds the targets of other zones from which samples of a group
+	// are drawn.
+	maxRemoteTargets = 256
 )
 
-// pool holds all usable targets, as samples are taken from them.
+// pool holds all usable targets, from which samples are drawn.
 type pool struct {
 	groups map[string]*poolGroup
 	total  int
 }
 
-// poolGroup is one target group, the targets of the own zone apart from the others.
-type poolGroup struct{ near, far hashedTargets }
+// poolGroup is one target group, the targets of the local zone apart from the others.
+type poolGroup struct{ local, remote hashedTargets }
 
 // hashedTargets are targets with the hashes of their starts.
 type hashedTargets struct {
@@ -59,46 +60,46 @@
 			p.groups[t.Group] = g
 		}
 		if t.Zone == zone {
-			g.near.add(t)
+			g.local.add(t)
 		} else {
-			g.far.add(t)
+			g.remote.add(t)
 		}
 	}
 	for _, g := range p.groups {
-		g.far = g.far.part(mostFar)
+		g.remote = g.remote.subset(maxRemoteTargets)
 	}
 	return p
 }
 
-// part returns at most n of the targets, the same ones at all daemons.
-func (h *hashedTargets) part(n int) hashedTargets {
-	var part hashedTargets
+// subset returns at most n of the targets, the same ones on all daemons.
+func (h *hashedTargets) subset(n int) hashedTargets {
+	var subset hashedTargets
 	for _, i := range feed.Sample(0, h.hashes, n) {
-		part.add(h.targets[i])
+		subset.add(h.targets[i])
 	}
-	return part
+	return subset
 }
 
-// whole returns all targets of the zone, and a sample of the others.
-func (p *pool) whole(holder string) []roster.Target {
+// wholeZone returns all targets of the zone and a sample of the others, sorted by ID.
+func (p *pool) wholeZone(holder string) []roster.Target {
 	var list []roster.Target
 	for _, g := range p.groups {
-		list = append(list, g.near.targets...)
-		list = append(list, g.far.sample(feed.Hash(holder), sampleFar+max(0, sampleNear-len(g.near.targets)))...)
+		list = append(list, g.local.targets...)
+		list = append(list, g.remote.sample(feed.Hash(holder), remoteSampleSize+max(0, localSampleSize-len(g.local.targets)))...)
 	}
 	sortByID(list)
 	return list
 }
 
-// sample returns the targets that a daemon holds, sorted by ID. A group that the zone
-// has few targets of is filled up from other zones.
+// sample returns the targets that a daemon holds, sorted by ID. A group with few targets
+// in the zone is filled up with targets of other zones.
 func (p *pool) sample(holder string) []roster.Target {
 	hash := feed.Hash(holder)
 	var list []roster.Target
 	for _, g := range p.groups {
-		near := g.near.sample(hash, sampleNear)
-		list = append(list, near...)
-		list = append(list, g.far.sample(hash, sampleFar+sampleNear-len(near))...)
+		local := g.local.sample(hash, localSampleSize)
+		list = append(list, local...)
+		list = append(list, g.remote.sample(hash, remoteSampleSize+localSampleSize-len(local))...)
 	}
 	sortByID(list)
 	return list
@@ -111,29 +112,29 @@
 // Sample is what a daemon that knows all targets passes on to another one.
 type Sample struct {
 	Targets []roster.Target
-	// Started gives the present starts of the targets that were asked about, by ID.
+	// Started holds the current starts of the requested targets, by ID.
 	Started map[string]roster.Start
 	// Total is the number of usable targets.
 	Total int
-	// Age is how old the log's last word about the targets is.
+	// Age is the time since the log last confirmed the targets.
 	Age time.Duration
 }
 
-// Sample returns the targets that the daemon called holder is to hold, whole all of the
-// zone, and what is known of the targets with the given IDs. False tells that not all
-// targets are known here.
-func (p *Places) Sample(holder string, whole bool, about []string) (Sample, bool) {
+// Sample returns the targets that the daemon named holder should hold, with wholeZone all
+// of the zone, and the current starts of the targets with the given IDs. It returns false
+// if not all targets are known here.
+func (p *Places) Sample(holder string, wholeZone bool, ids []string) (Sample, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.pool == nil {
 		return Sample{}, false
 	}
 	choose := p.pool.sample
-	if whole {
-		choose = p.pool.whole
+	if wholeZone {
+		choose = p.pool.wholeZone
 	}
 	s := Sample{Targets: choose(holder), Started: map[string]roster.Start{}, Total: p.pool.total, Age: p.roster.Age(time.Now())}
-	for _, id := range about {
+	for _, id := range ids {
 		if start := p.roster.Current(id); start != "" {
 			s.Started[id] = start
 		}
@@ -141,26 +142,27 @@
 	return s, true
 }
 
-// Listed returns a channel that the next change of the targets closes.
-func (p *Places) Listed() <-chan struct{} { return p.listed.Next() }
+// TargetsChanged returns a channel that is closed at the next change of the targets.
+func (p *Places) Listed() <-chan struct{} { return p.targetsChanged.Next() }
 
-// Adopt takes the targets that another daemon chose for this one, true as of the moment
-// at: a sample, or whole all of the zone.
-func (p *Places) Adopt(at time.Time, targets []roster.Target, whole bool) {
-	p.Update(func(_ time.Time, r *roster.Roster) { r.Adopt(at, targets, whole) })
+// Adopt sets the targets that another daemon chose for this one, as of the time at: a
+// sample, or with wholeZone all targets of the zone.
+func (p *Places) Adopt(at time.Time, targets []roster.Target, wholeZone bool) {
+	p.Update(func(_ time.Time, r *roster.Roster) { r.Adopt(at, targets, wholeZone) })
 }
 
-// Confirm notes that what was adopted still held at the moment at, and which starts
-// the targets have at which own work runs.
-func (p *Places) Confirm(at time.Time, started map[string]roster.Start) {
+// Confirm records that the adopted targets were still valid at the time at, and the
+// current starts of the targets at which this daemon's work runs. Work at earlier starts
+// is cancelled.
+func (p *Places) Confirm(at time.Time, current map[string]roster.Start) {
 	p.mu.Lock()
 	p.roster.Confirm(at)
-	replaced := p.starts.replaced(func(id string) roster.Start { return started[id] })
+	replaced := p.starts.replaced(func(id string) roster.Start { return current[id] })
 	p.mu.Unlock()
 	p.endReplaced(replaced)
 }
 
-// Working lists the IDs of the targets at which own work runs.
+// BusyTargets returns the sorted IDs of the targets at which this daemon's work runs.
 func (p *Places) Working() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,8 +174,8 @@
 	return slices.Compact(ids)
 }
 
-// TargetsAge is how old the last word about the targets is, feed.Never before the first;
-// complete tells whether all targets are known.
+// TargetsAge returns the time since the targets were last confirmed, feed.Never before
+// the first list; complete reports whether all targets are known.
 func (p *Places) TargetsAge(now time.Time) (age time.Duration, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -183,10 +185,10 @@
 	return p.roster.Age(now), p.roster.Complete()
 }
 
-// Rebuild works the groups out anew, after the zone has become large or small.
+// Rebuild rebuilds the groups after the zone has become large or small.
 func (p *Places) Rebuild() {
 	p.mu.Lock()
-	p.built = neverBuilt
+	p.builtVersion = noVersion
 	p.mu.Unlock()
 	p.Update(func(time.Time, *roster.Roster) {})
 	duty.Wake(p.changed)
--- a/daemon/places/scheduler.go
+++ b/daemon/places/scheduler.go
@@ -17,192 +17,197 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// defaultAskTime bounds the asking for one slot: a request waits no longer than that for
-// a leader that is frozen or cut off, a small part of its objective.
-const defaultAskTime = 40 * time.Millisecond
+// defaultSlotTimeout bounds one call for a slot: a request waits no longer than this for
+// a leader that is frozen or cut off, a small part of its latency objective.
+const defaultSlotTimeout = 40 * time.Millisecond
 
 var (
 	errorNamespace = errorx.NewNamespace("places")
-	// errNotReady is a leader's answer that knows no targets, or stops.
+	// errNotReady is the error of a leader that knows no targets, steps down or is cut
+	// off from the log.
 	errNotReady = errorNamespace.NewType("not_ready")
 )
 
-// scheduler gets the slots for this daemon's work from the leader of its zone, and is
-// the leader where this daemon is.
+// scheduler gets the slots for this daemon's work from the leader of its zone, and does
+// the leader's work where this daemon leads.
 //
-// Failure guarded against: the leader is dead, frozen, cut off one way or slow. A
-// request then waits askTime at most and goes on by what this daemon knows itself. The
-// leader is passed over soon, and another one comes forward; see election.
+// Failure guarded against: the leader is dead, frozen, cut off in one direction or slow.
+// A request then waits slotTimeout at most and goes on with what this daemon knows
+// itself. The leader soon stops being used, and another daemon becomes leader; see
+// package election.
 type scheduler struct {
-	self, zone string
-	cores      float64
-	caller     peer.Caller
-	askTime    time.Duration
-	logger     *zap.Logger
-	set        *metrics.Set
-	// incarnation names this run of the process.
+	self, zone  string
+	cores       float64
+	caller      peer.Caller
+	slotTimeout time.Duration
+	logger      *zap.Logger
+	set         *metrics.Set
+	// incarnation identifies this run of the process.
 	incarnation uint64
 
 	mu       sync.Mutex
 	election *election.Election
 	ledger   *slots.Ledger
-	// leads tells whether this daemon leads its zone, leader which one does as last
-	// told; "" is none.
+	// leads reports whether this daemon leads its zone; leader is the last known leader,
+	// "" for none.
 	leads  bool
 	leader string
-	// able tells whether the zone's targets are known; stopping that this daemon leaves;
-	// cutOff that it does not reach the log while another daemon of the zone does.
-	able, stopping, cutOff bool
-	// beaten is when the last heartbeat was sent, beats counts them.
-	beaten time.Time
-	beats  int
-	// holders is what the zone's daemons told, zones what the leaders of others did.
-	holders map[string]*holderWord
-	zones   map[string]*zoneWord
-	// others are the leaders of the other zones, and roles the part that daemons of the
-	// zone have, as the own zone's leader told at rolesAt.
-	others  []string
-	roles   Roles
-	rolesAt time.Time
-	// daemons is the size of the fleet as a leader told it, 0 for unknown.
-	daemons atomic.Int64
+	// targetsKnown reports whether the zone's targets are known; stopping that this
+	// daemon stops; cutOffFromLog that it does not reach the log while another daemon of
+	// the zone does.
+	targetsKnown, stopping, cutOffFromLog bool
+	// lastHeartbeat is when the last heartbeat was sent, heartbeats counts them.
+	lastHeartbeat time.Time
+	heartbeats    int
+	// holderStates holds the last reported state of each of the zone's daemons,
+	// zoneStates that of each other zone's leader.
+	holderStates map[string]*holderState
+	zoneStates   map[string]*zoneState
+	// remoteLeaders are the leaders of the other zones, and roles the roles of the zone's
+	// daemons, as the local zone's leader reported at rolesAt.
+	remoteLeaders []string
+	roles         Roles
+	rolesAt       time.Time
+	// leaderFleetSize is the size of the fleet as a leader reported it, 0 for unknown.
+	leaderFleetSize atomic.Int64
 	// partHolders are the daemons that hold the partitions of batch work.
 	partHolders map[int]partHolder
 
-	own *ownLeases
+	leases *localLeases
 }
 
-// holderWord is what a daemon of the zone told last.
-type holderWord struct {
+// holderState is the state last reported by a daemon of the zone.
+type holderState struct {
 	incarnation, number uint64
 	held                HeldWork
 	at                  time.Time
 }
 
-// partHolder is a daemon that held a partition for certain at the moment at.
+// partHolder is a daemon that certainly held a partition at the time at.
 type partHolder struct {
 	address string
 	at      time.Time
 }
 
-// zoneWord is what another zone's leader told last.
-type zoneWord struct {
+// zoneState is the state last reported by another zone's leader.
+type zoneState struct {
 	leader string
 	held   map[string]HeldWork
 	at     time.Time
 }
 
-// newScheduler returns the part of a daemon; scheduled tells whether leaders give slots
-// out, yielding gets a token when own batch work has to give way.
-func newScheduler(o Options, scheduled func() bool, yielding chan<- struct{}) *scheduler {
+// newScheduler returns a daemon's scheduler; scheduled reports whether leaders grant
+// slots, preempting gets a token when local batch work is preempted.
+func newScheduler(o Options, scheduled func() bool, preempting chan<- struct{}) *scheduler {
 	return &scheduler{
-		self: o.PeerAddress, zone: o.Zone, cores: o.Cores, caller: o.Peers, askTime: o.AskTime, logger: o.Logger, set: o.Metrics,
+		self: o.PeerAddress, zone: o.Zone, cores: o.Cores, caller: o.Peers, slotTimeout: o.AskTime, logger: o.Logger, set: o.Metrics,
 		incarnation: rand.Uint64(), election: election.New(o.Zone, o.PeerAddress, time.Now()), ledger: slots.NewLedger(),
-		holders: map[string]*holderWord{}, zones: map[string]*zoneWord{}, partHolders: map[int]partHolder{}, own: newOwnLeases(scheduled, yielding),
+		holderStates: map[string]*holderState{}, zoneStates: map[string]*zoneState{}, partHolders: map[int]partHolder{}, leases: newLocalLeases(scheduled, preempting),
 	}
 }
 
-// count counts how askings for a slot end.
-func (s *scheduler) count(outcome string) {
+// count counts the outcome of a call for a slot.
+func (s *scheduler) countOutcome(outcome string) {
 	s.set.GetOrCreateCounter(`tarragonhollow_slots_asked_total{outcome="` + outcome + `"}`).Inc()
 }
 
-// setTargets takes the zone's targets by group. able tells whether any target is known:
-// the leader of a zone that has none still knows which zone has room.
-func (s *scheduler) setTargets(targets map[string][]slots.Target, able bool) {
+// setTargets sets the zone's targets by group. known reports whether any target of the
+// fleet is known: the leader of a zone without targets still knows which zones have free
+// slots.
+func (s *scheduler) setTargets(targets map[string][]slots.Target, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.able = able
+	s.targetsKnown = known
 	s.ledger.SetTargets(targets)
 }
 
-// grantHere gives a slot out of this daemon's own ledger.
-func (s *scheduler) grantHere(now time.Time, a slots.Ask) (slots.Grant, error) {
+// grantLocally grants a slot from this daemon's ledger.
+func (s *scheduler) grantLocally(now time.Time, a slots.Ask) (slots.Grant, error) {
 	s.mu.Lock()
-	if !s.able || s.stopping || s.cutOff {
+	if !s.targetsKnown || s.stopping || s.cutOffFromLog {
 		s.mu.Unlock()
-		return slots.Grant{}, errNotReady.New("%s gives out no slots", s.self)
+		return slots.Grant{}, errNotReady.New("%s grants no slots", s.self)
 	}
 	if !s.leads {
-		s.ledger.Expire(now) // asked in error: a leader does so at each heartbeat
+		s.ledger.Expire(now) // not the leader, which does this at each heartbeat
 	}
 	grant := s.ledger.Grant(now, a, rand.Uint64())
 	s.mu.Unlock()
-	s.tellYields(grant.Yield)
+	s.notifyPreempted(grant.Yield)
 	return grant, nil
 }
 
-// tellYields tells the holders of batch leases that these must give way.
-func (s *scheduler) tellYields(leases []slots.ID) {
+// notifyPreempted notifies the holders of batch leases that these are preempted.
+func (s *scheduler) notifyPreempted(leases []slots.ID) {
 	byHolder := map[string][]uint64{}
 	for _, id := range leases {
 		byHolder[id.Holder] = append(byHolder[id.Holder], id.Number)
 	}
 	for holder, numbers := range byHolder {
 		if holder == s.self {
-			s.own.yield(numbers)
+			s.leases.preempt(numbers)
 			continue
 		}
 		s.caller.Notify(holder, yieldMethod, Yield{numbers})
 	}
 }
 
-// slot asks for a slot: the own zone's leader, another zone's if that one says so, and
-// the own zone's again if there is nothing either. by is the leader that answered;
-// false tells that none did.
-func (s *scheduler) slot(ctx context.Context, a slots.Ask) (grant slots.Grant, by string, answered bool) {
+// requestSlot requests a slot from the local zone's leader, from another zone's leader if
+// the first one refers to it, and from the local zone's leader again if there is none
+// either. by is the leader that answered; answered is false if none did.
+func (s *scheduler) requestSlot(ctx context.Context, a slots.Ask) (grant slots.Grant, by string, answered bool) {
 	leader, found := s.currentLeader(time.Now())
 	if !found {
-		s.count("no_leader")
+		s.countOutcome("no_leader")
 		return slots.Grant{}, "", false
 	}
-	grant, answered = s.ask(ctx, leader, a)
+	grant, answered = s.callLeader(ctx, leader, a)
 	if !answered || grant.Verdict != slots.Elsewhere {
 		return grant, leader, answered
 	}
-	visit := a
-	visit.Visiting = true
-	far, ok := s.ask(ctx, grant.Leader, visit)
-	if ok && far.Verdict == slots.Granted {
-		return far, grant.Leader, true
+	remoteRequest := a
+	remoteRequest.Visiting = true
+	remote, ok := s.callLeader(ctx, grant.Leader, remoteRequest)
+	if ok && remote.Verdict == slots.Granted {
+		return remote, grant.Leader, true
 	}
 	if a.Batch {
 		return slots.Grant{}, leader, true
 	}
 	a.Stay = true
-	grant, answered = s.ask(ctx, leader, a)
+	grant, answered = s.callLeader(ctx, leader, a)
 	return grant, leader, answered
 }
 
-// ask asks one leader.
-func (s *scheduler) ask(ctx context.Context, leader string, a slots.Ask) (slots.Grant, bool) {
+// callLeader requests a slot from one leader.
+func (s *scheduler) callLeader(ctx context.Context, leader string, a slots.Ask) (slots.Grant, bool) {
 	var grant slots.Grant
 	var err error
 	if leader == s.self {
-		grant, err = s.grantHere(time.Now(), a)
+		grant, err = s.grantLocally(time.Now(), a)
 	} else {
-		callCtx, cancel := context.WithTimeout(ctx, s.askTime)
+		callCtx, cancel := context.WithTimeout(ctx, s.slotTimeout)
 		err = s.caller.Call(callCtx, leader, grantMethod, a, &grant)
 		late := errors.Is(callCtx.Err(), context.DeadlineExceeded)
 		cancel()
-		// A caller that left says nothing of the leader.
+		// A cancelled request says nothing about the leader.
 		if ctx.Err() == nil {
-			s.noteCall(leader, err, late)
+			s.recordCall(leader, err, late)
 		}
 	}
 	if err != nil {
-		s.count("unanswered")
+		s.countOutcome("unanswered")
 		s.logger.Info("slot_not_answered", zap.String("leader", leader), zap.String("group", a.Group), zap.Error(err))
-		// It may have been granted all the same.
-		s.own.abandon(a.ID.Number, leader)
+		// The slot may have been granted all the same.
+		s.leases.abandon(a.ID.Number, leader)
 		return slots.Grant{}, false
 	}
-	s.count(grant.Verdict.String())
+	s.countOutcome(grant.Verdict.String())
 	return grant, true
 }
 
-// noteCall tells the election how a call to a leader ended.
-func (s *scheduler) noteCall(leader string, err error, late bool) {
+// recordCall records in the election how a call to a leader ended.
+func (s *scheduler) recordCall(leader string, err error, late bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
@@ -210,7 +215,7 @@
 		return
 	}
 	s.election.Failed(time.Now(), leader, !late)
-	s.noteLeader(time.Now(), "it did not answer")
+	s.updateLeader(time.Now(), "call failed")
 }
 
 func (s *scheduler) currentLeader(now time.Time) (string, bool) {
@@ -219,8 +224,8 @@
 	return s.election.Leader(now)
 }
 
-// noteLeader tells of a change of the leader. s.mu is held.
-func (s *scheduler) noteLeader(now time.Time, cause string) {
+// updateLeader records and logs a change of the leader. s.mu is held.
+func (s *scheduler) updateLeader(now time.Time, cause string) {
 	leader, _ := s.election.Leader(now)
 	if leader == s.leader {
 		return
@@ -228,6 +233,6 @@
 	s.logger.Info("zone_leader", zap.String("zone", s.zone), zap.String("leader", leader), zap.String("before", s.leader),
 		zap.String("cause", cause))
 	s.leader = leader
-	// A new leader knows nothing of what runs.
-	s.own.wake()
+	// A new leader does not know yet what runs.
+	s.leases.wake()
 }
--- a/daemon/places/scheduler_test.go
+++ b/daemon/places/scheduler_test.go
@@ -22,23 +22,23 @@
 	fleetZones  = 4
 	zoneTargets = 3
 	targetSlots = 4
-	// askTime is long: a busy machine must not turn an answer into none.
-	askTime = time.Second
+	// slotTimeout is long: on a busy machine a late answer must not count as none.
+	slotTimeout = time.Second
 )
 
 // largeFleet is a fleet whose zones have leaders, in one process.
 type largeFleet struct {
-	wire  *wire
-	views []*places.Places
-	peers []places.Peer
-	stops []context.CancelFunc
-	ended []*sync.WaitGroup
+	network *network
+	views   []*places.Places
+	peers   []places.Peer
+	stops   []context.CancelFunc
+	ended   []*sync.WaitGroup
 }
 
-// newLargeFleet starts a fleet. Daemon i is in zone i%fleetZones; the daemon 4 is the
-// roomiest of zone 0.
+// newLargeFleet starts a fleet. Daemon i is in zone i%fleetZones; daemon 4 has the most
+// cores of zone 0.
 func newLargeFleet() *largeFleet {
-	f := &largeFleet{wire: newWire()}
+	f := &largeFleet{network: newNetwork()}
 	var targets []roster.Target
 	for i := range fleetZones * zoneTargets {
 		id := fmt.Sprint("t", i)
@@ -53,13 +53,13 @@
 		f.peers = append(f.peers, p)
 	}
 	for i, p := range f.peers {
-		v := places.New(places.Options{Host: p.Address, Zone: p.Zone, PeerAddress: p.Address, Cores: p.Cores, Peers: f.wire, AskTime: askTime,
+		v := places.New(places.Options{Host: p.Address, Zone: p.Zone, PeerAddress: p.Address, Cores: p.Cores, Peers: f.network, AskTime: slotTimeout,
 			Fleet: func() int { return fleetSize }, Logger: zap.NewNop()})
 		v.Update(func(now time.Time, r *roster.Roster) {
 			r.Heard(now)
 			r.Replace(now, targets)
 		})
-		Expect(v.Register(f.wire.At(p.Address))).To(Succeed())
+		Expect(v.Register(f.network.At(p.Address))).To(Succeed())
 		f.views = append(f.views, v)
 		f.run(i)
 	}
@@ -79,7 +79,7 @@
 	var ended sync.WaitGroup
 	ended.Go(func() { v.Lead(ctx, peers) })
 	ended.Go(func() { v.Report(ctx) })
-	ended.Go(func() { v.Spread(ctx, f.wire, peers) })
+	ended.Go(func() { v.Spread(ctx, f.network, peers) })
 	f.stops = append(f.stops, cancel)
 	f.ended = append(f.ended, &ended)
 }
@@ -96,8 +96,8 @@
 	return place
 }
 
-// follows waits until daemon i gets its slots from the leader.
-func (f *largeFleet) follows(i int, leader string) {
+// awaitLeader waits until daemon i gets its slots from the leader.
+func (f *largeFleet) awaitLeader(i int, leader string) {
 	GinkgoHelper()
 	Eventually(func() string {
 		place := f.take(i)
@@ -106,9 +106,9 @@
 	}).WithTimeout(limit).Should(Equal(leader))
 }
 
-// fillZone takes the slots of zone 0 all at once and counts them by target. A round in
-// which the leader did not give all of them, since a busy machine kept it from its
-// heartbeats, is given back and begun again.
+// fillZone acquires all slots of zone 0 at once and counts them by target. A round in
+// which the leader did not grant all of them, because a busy machine delayed its
+// heartbeats, is released and repeated.
 func (f *largeFleet) fillZone() map[string]int {
 	GinkgoHelper()
 	got := map[string]int{}
@@ -132,18 +132,18 @@
 			for n, place := range taken {
 				f.views[n*fleetZones%fleetSize].Release(place, routing.Neutral, 0)
 			}
-			f.settle()
+			f.awaitReports()
 		}
 		return byLeader
 	}).WithTimeout(limit).Should(BeTrue())
 	return got
 }
 
-// settle waits until the leaders have heard of all ends.
-func (f *largeFleet) settle() {
+// awaitReports waits until the leaders have received the reports of all ended leases.
+func (f *largeFleet) awaitReports() {
 	GinkgoHelper()
-	beats := f.wire.count("Slots.Beat")
-	Eventually(func() int { return f.wire.count("Slots.Beat") }).WithTimeout(limit).Should(BeNumerically(">", beats+3*fleetSize))
+	beats := f.network.count("Slots.Beat")
+	Eventually(func() int { return f.network.count("Slots.Beat") }).WithTimeout(limit).Should(BeNumerically(">", beats+3*fleetSize))
 }
 
 var _ = Describe("The slots of a large fleet", func() {
@@ -151,17 +151,17 @@
 	BeforeEach(func() {
 		f = newLargeFleet()
 		for i := range fleetZones {
-			f.follows(i, fmt.Sprint("p", i+fleetZones))
+			f.awaitLeader(i, fmt.Sprint("p", i+fleetZones))
 		}
-		f.settle()
+		f.awaitReports()
 	})
 
-	// In a step of load the whole zone looks for the last free slots at once. Two
-	// requests at one slot are late while the next engine has one free.
-	It("are each given out once, whoever asks at the same moment", func() {
+	// After a sudden rise of load the whole zone requests the last free slots at once.
+	// Two requests on one slot are late while another target has a free one.
+	It("are each granted once, however many daemons request one at the same moment", func() {
 		got := f.fillZone()
 		Expect(got).To(Equal(map[string]int{"t0": targetSlots, "t4": targetSlots, "t8": targetSlots}))
-		// The next one goes to another zone, which has room.
+		// The next one gets a slot in another zone that has free ones.
 		Eventually(func() string {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
@@ -169,7 +169,7 @@
 		}).WithTimeout(limit).ShouldNot(Equal("z0"))
 	})
 
-	// A zone of callers only, or one whose engines have all left.
+	// A zone with callers only, or one whose targets have all been removed.
 	It("are found for a zone without targets by its leader", func() {
 		for _, v := range f.views {
 			v.Update(func(now time.Time, r *roster.Roster) {
@@ -186,53 +186,53 @@
 	})
 
 	It("cost two short calls a request, however many daemons there are", func() {
-		before := f.wire.count("Slots.Grant") + f.wire.count("Slots.Report")
+		before := f.network.count("Slots.Grant") + f.network.count("Slots.Report")
 		const requests = 40
 		for range requests {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
 		}
-		Expect(f.wire.count("Slots.Grant") + f.wire.count("Slots.Report") - before).To(BeNumerically("<=", 2*requests+2*fleetSize))
-		Expect(f.wire.count("Board.Hear")).To(BeZero())
+		Expect(f.network.count("Slots.Grant") + f.network.count("Slots.Report") - before).To(BeNumerically("<=", 2*requests+2*fleetSize))
+		Expect(f.network.count("Board.Hear")).To(BeZero())
 	})
 
-	// A guest hangs up while its daemon asks for a slot. The leader has done nothing
-	// wrong, and the next guests must still get theirs from it.
-	It("are still taken from a leader after callers left while it was asked", func() {
+	// A caller disconnects while its daemon requests a slot. The leader is not at fault,
+	// and later requests must still get their slots from it.
+	It("are still granted by a leader after callers disconnected during a call to it", func() {
 		for range 5 {
 			left, cancel := context.WithCancel(context.Background())
 			cancel()
-			f.wire.setCut("p4", true)
+			f.network.setCut("p4", true)
 			place, refusal := f.views[0].Take(left, places.Ask{Group: "g", Patience: time.Second})
 			Expect(refusal).To(BeNil())
 			f.views[0].Release(place, routing.Neutral, 0)
-			f.wire.setCut("p4", false)
+			f.network.setCut("p4", false)
 		}
 		Expect(f.take(0).By).To(Equal("p4"))
 	})
 
-	// The leader's host is cut off or frozen: what is sent there is lost.
-	It("are taken by what a daemon knows itself while the leader answers nobody", func() {
-		f.wire.setCut("p4", true)
+	// The leader's host is cut off or frozen: messages sent to it are lost.
+	It("are chosen from a daemon's own view while the leader answers nobody", func() {
+		f.network.setCut("p4", true)
 		began := time.Now()
 		place := f.take(0)
 		Expect(place.By).To(BeEmpty())
 		Expect(place.Zone).To(Equal("z0"))
 		Expect(time.Since(began)).To(BeNumerically("<", limit))
-		f.wire.setCut("p4", false)
-		f.follows(0, "p4")
+		f.network.setCut("p4", false)
+		f.awaitLeader(0, "p4")
 	})
 
-	It("are given out by another daemon once the leader has died, which counts what runs", func() {
+	It("are granted by another daemon, which counts what runs, once the leader has died", func() {
 		held := []places.Place{f.take(0), f.take(8), f.take(12)}
-		f.wire.setCut("p4", true)
+		f.network.setCut("p4", true)
 		f.stop(1 * fleetZones)
 		Eventually(func() string {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
 			return place.By
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
-		// The new leader hears of what runs from its holders: one slot at each target.
+		// The new leader learns from the holders what runs: one slot at each target.
 		Eventually(func() int {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
@@ -241,7 +241,7 @@
 		Expect(held).To(HaveLen(3))
 	})
 
-	It("are left at once by a leader that steps down", func() {
+	It("are no longer granted by a leader once it steps down", func() {
 		f.views[4].StepDown()
 		Eventually(func() string {
 			place := f.take(0)
@@ -250,8 +250,8 @@
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
 	})
 
-	// Guests wait behind batch if its holder does not hear that it must give way.
-	It("are given back by batch where online work needs them, at the holder of the item", func() {
+	// Online requests queue behind batch if its holder is not notified of the preemption.
+	It("are preempted from batch where online work needs them, at the holder of the item", func() {
 		var items []places.Place
 		for {
 			place, ok := f.views[8].TakeBatch(context.Background(), "g", nil, 0)
@@ -271,9 +271,9 @@
 		}).WithTimeout(limit).Should(BeEquivalentTo(1))
 	})
 
-	// A target fails every request at once and looks empty all the time. Daemons that
-	// have not met it yet would send their orders there.
-	It("of a target that fails one daemon's request are not given to the next one", func() {
+	// A target fails every request at once and always looks empty. Daemons that have not
+	// used it yet would send their requests there.
+	It("of a target that fails one daemon's request are not granted to the next daemon", func() {
 		bad := f.take(0)
 		f.views[0].Release(bad, routing.HardFailed, 0)
 		Eventually(func() bool {
@@ -287,8 +287,8 @@
 		}).WithTimeout(limit).Should(BeFalse())
 	})
 
-	// The log turns a daemon away and its partitions go to others, in other zones.
-	It("are accompanied by the word of what is held, through all zones", func() {
+	// The log rejects a daemon, and its partitions go to daemons in other zones.
+	It("come with reports of held work through all zones", func() {
 		f.views[0].SetHeld([]uint64{7}, []int{3})
 		for _, i := range []int{1, 2, 3, 16} {
 			Eventually(f.views[i].HeldElsewhere).WithTimeout(limit).Should(HaveKey(uint64(7)))
--- a/daemon/places/spread.go
+++ b/daemon/places/spread.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// gatherFor is how long changes are gathered into one word: a fraction of the time
-	// that a request spends at a target, so that the fleet's view is off by few requests.
-	gatherFor = 10 * time.Millisecond
-	// gatherPerPeer is added for each peer: a word goes to every one of them, and so the
-	// messages of one daemon stay under 1/gatherPerPeer a second.
-	gatherPerPeer = 700 * time.Microsecond
-	// smallFleet is the number of daemons up to which all hear every word: each
-	// then sends at most some 800 messages a second.
+	// loadReportLinger is how long changes are collected into one load report: a fraction
+	// of the time that a request spends at a target, so that the fleet's view is off by
+	// few requests.
+	loadReportLinger = 10 * time.Millisecond
+	// lingerPerPeer is added for each peer: a report is sent to every one of them, so
+	// this keeps the messages of one daemon below 1/lingerPerPeer a second.
+	lingerPerPeer = 700 * time.Microsecond
+	// smallFleet is the maximum number of daemons at which each receives the load reports
+	// of all others: each then sends at most some 800 messages a second.
 	smallFleet = 24
-	// travelTime is what a word takes to a busy daemon in another zone.
-	travelTime = 10 * time.Millisecond
+	// networkDelay is the time that a load report takes to a busy daemon in another zone.
+	networkDelay = 10 * time.Millisecond
 )
 
-func (p *Places) hearWord(w board.Word) {
+func (p *Places) applyLoadReport(w board.Word) {
 	p.mu.Lock()
 	p.board.Hear(time.Now(), w)
 	p.mu.Unlock()
@@ -40,14 +41,15 @@
 	Cores float64
 }
 
-// Scheduled tells whether the fleet is too large for every daemon to hear every other
-// one: then the leaders of the zones count what runs and give slots out.
-func (p *Places) Scheduled() bool { return p.fleet() > smallFleet }
+// Scheduled reports whether the fleet is too large for every daemon to receive the load
+// reports of all others: then the zones' leaders count what runs and grant slots.
+func (p *Places) Scheduled() bool { return p.fleetSize() > smallFleet }
 
-// Spread tells the other daemons the own counts whenever they changed, and
-// renews the word while there is any work, in a small fleet.
+// BroadcastLoad sends the local counts to the other daemons whenever they change, and
+// repeats them while there is any work, until ctx is done. It sends nothing where leaders
+// grant slots.
 func (p *Places) Spread(ctx context.Context, caller peer.Caller, peers func() []Peer) {
-	// Numbers go on rising over a restart of the daemon.
+	// Numbers keep rising across a restart of the daemon.
 	number := uint64(time.Now().UnixMicro())
 	renew := time.NewTicker(board.RenewEvery)
 	defer renew.Stop()
@@ -63,54 +65,55 @@
 		case <-p.dirty:
 		}
 		if p.Scheduled() {
-			p.wordAge.Store(int64(election.HeartbeatEvery + travelTime))
+			p.loadReportAge.Store(int64(election.HeartbeatEvery + networkDelay))
 			idle = true
 			continue
 		}
 		others := peers()
-		p.wordAge.Store(int64(WordAge(len(others))))
-		if !duty.Pause(ctx, gatherTime(len(others))) {
+		p.loadReportAge.Store(int64(WordAge(len(others))))
+		if !duty.Pause(ctx, lingerTime(len(others))) {
 			return
 		}
 		number++
-		word := p.word(number)
-		idle = word.Empty()
-		notify(caller, others, word)
+		report := p.loadReport(number)
+		idle = report.Empty()
+		broadcast(caller, others, report)
 	}
 }
 
-func notify(caller peer.Caller, to []Peer, word board.Word) {
+func broadcast(caller peer.Caller, to []Peer, report board.Word) {
 	for _, other := range to {
-		caller.Notify(other.Address, boardMethod, word)
+		caller.Notify(other.Address, boardMethod, report)
 	}
 }
 
-func gatherTime(peers int) time.Duration {
-	return gatherFor + time.Duration(min(peers, smallFleet))*gatherPerPeer
+func lingerTime(peers int) time.Duration {
+	return loadReportLinger + time.Duration(min(peers, smallFleet))*lingerPerPeer
 }
 
-// WordAge is how old another daemon's word may be in a fleet of that size: it is
-// gathered, sent across zones and taken in.
-func WordAge(fleet int) time.Duration { return gatherTime(fleet) + travelTime }
+// LoadReportAge returns the maximum age of another daemon's load report in a fleet of the
+// given size: the time to collect, send across zones and apply it.
+func WordAge(fleet int) time.Duration { return lingerTime(fleet) + networkDelay }
 
-// word takes the own counts and the token that announced them.
-func (p *Places) word(number uint64) board.Word {
+// loadReport returns the local counts and consumes the token that announced them.
+func (p *Places) loadReport(number uint64) board.Word {
 	select {
 	case <-p.dirty:
 	default:
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return board.Word{From: p.board.Self(), Number: number, Counts: p.board.Counts(), Held: p.held, Parts: p.parts,
-		Zone: p.zone, Doubts: p.doubts()}
+	return board.Word{From: p.board.Self(), Number: number, Counts: p.board.Counts(), Held: p.heldItems, Parts: p.heldParts,
+		Zone: p.zone, Doubts: p.degradedTargets()}
 }
 
-// doubts gathers the doubts of all groups.
-func (p *Places) doubts() map[string]int {
+// degradedTargets returns the consecutive failures of the degraded targets of all groups,
+// by start.
+func (p *Places) degradedTargets() map[string]int {
 	now := time.Now()
-	doubts := map[string]int{}
+	failures := map[string]int{}
 	for _, g := range p.groups {
-		maps.Copy(doubts, g.table.Doubts(now))
+		maps.Copy(failures, g.table.Doubts(now))
 	}
-	return doubts
+	return failures
 }
--- a/daemon/places/starts.go
+++ b/daemon/places/starts.go
@@ -6,53 +6,54 @@
 	"tarragonhollow.example/tarragonhollow/core/roster"
 )
 
-// starts holds the starts of targets where own work runs.
+// starts holds the target starts at which this daemon's work runs.
 //
-// Failure guarded against: a target crashes where nobody sees its connections break,
-// and starts again under its ID. What was sent to it before waits for an answer that
-// never comes. The entry of the new start ends that work here, so that it goes on
-// elsewhere at once, where it may.
-type starts map[roster.Start]*runningStart
+// Failure guarded against: a target crashes without its connections being seen to break,
+// and restarts under the same ID. Requests sent to it before wait for an answer that
+// never comes. The entry of the new start cancels that work here, so that it continues at
+// another target at once, where it may.
+type starts map[roster.Start]*activeStart
 
-type runningStart struct {
+type activeStart struct {
 	id string
-	// work counts what runs there.
-	work  int
-	alive context.Context
-	end   context.CancelFunc
+	// inFlight counts the requests and items that run there.
+	inFlight int
+	alive    context.Context
+	cancel   context.CancelFunc
 }
 
-// begin counts work at the target. The context is done once the target is known to
-// have started again.
+// begin counts work at the target. The context is cancelled once the target is known to
+// have restarted.
 func (s starts) begin(t roster.Target) context.Context {
-	at := s[t.Start]
-	if at == nil {
-		at = &runningStart{id: t.ID}
-		at.alive, at.end = context.WithCancel(context.Background())
-		s[t.Start] = at
+	active := s[t.Start]
+	if active == nil {
+		active = &activeStart{id: t.ID}
+		active.alive, active.cancel = context.WithCancel(context.Background())
+		s[t.Start] = active
 	}
-	at.work++
-	return at.alive
+	active.inFlight++
+	return active.alive
 }
 
-// done takes back what begin counted.
+// done undoes one begin.
 func (s starts) done(t roster.Target) {
-	at := s[t.Start]
-	if at == nil {
+	active := s[t.Start]
+	if active == nil {
 		return
 	}
-	if at.work--; at.work <= 0 {
-		at.end()
+	if active.inFlight--; active.inFlight <= 0 {
+		active.cancel()
 		delete(s, t.Start)
 	}
 }
 
-// replaced returns the starts that current says are no longer their target's.
-func (s starts) replaced(current func(id string) roster.Start) []*runningStart {
-	var list []*runningStart
-	for start, at := range s {
-		if now := current(at.id); now != "" && now != start && at.alive.Err() == nil {
-			list = append(list, at)
+// replaced returns the starts that, by current, are no longer their target's current
+// start.
+func (s starts) replaced(current func(id string) roster.Start) []*activeStart {
+	var list []*activeStart
+	for start, active := range s {
+		if now := current(active.id); now != "" && now != start && active.alive.Err() == nil {
+			list = append(list, active)
 		}
 	}
 	return list
