--- a/daemon/front/callers.go
+++ b/daemon/front/callers.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the reading of a request's header.
 	headerTimeout = 5 * time.Second
-	// idleTimeout closes a caller's connection without a request. It is above the
-	// longest time for which callers are told they may reuse one.
+	// idleTimeout closes a caller's connection that carries no request. It is longer than
+	// the longest time for which callers are told that they may reuse a connection.
 	idleTimeout = time.Minute
-	// maxConnections bounds callers' connections, below the descriptors that a
-	// small host has.
+	// maxConnections bounds callers' connections, below the number of file descriptors of
+	// a small host.
 	maxConnections = 3000
-	// writeStall cuts a caller that does not read its answer.
-	writeStall = 5 * time.Second
-	// leaveRotation is how long a stopping daemon still takes new connections:
-	// the platform asks for readiness every second and takes a daemon out after
-	// two misses.
-	leaveRotation = 2600 * time.Millisecond
-	// stopMargin is what is left of the grace for the last lines.
+	// writeStallTimeout closes the connection of a caller that does not read its
+	// response.
+	writeStallTimeout = 5 * time.Second
+	// drainDelay is how long a stopping daemon still accepts new connections: the
+	// platform checks readiness every second and takes a daemon out of rotation after two
+	// failures.
+	drainDelay = 2600 * time.Millisecond
+	// stopMargin is the part of the grace period that is reserved for the last log lines.
 	stopMargin = 400 * time.Millisecond
 )
 
-// callers is the listener of the callers and its server.
-type callers struct {
+// callerServer is the callers' listener and its server.
+type callerServer struct {
 	listener *callerconns.Listener
 	server   *http.Server
 }
@@ -43,20 +44,19 @@
 	if err != nil {
 		return err
 	}
-	listener := callerconns.New(inner, maxConnections, writeStall, callerconns.Metrics{
+	listener := callerconns.New(inner, maxConnections, writeStallTimeout, callerconns.Metrics{
 		Evicted: n.Metrics.GetOrCreateCounter("tarragonhollow_http_idle_connections_evicted_total"),
 		Stalled: n.Metrics.GetOrCreateCounter("tarragonhollow_http_stalled_writes_total"),
 	})
 	n.Metrics.GetOrCreateGauge("tarragonhollow_http_connections", func() float64 { return float64(listener.Open()) })
 	server := n.newServer(n.closing(handler))
 	server.ConnState = listener.Track
-	n.callers = &callers{listener, server}
+	n.callers = &callerServer{listener, server}
 	go n.serve(server, listener)
 	return nil
 }
 
-// ServeSide serves readiness or metrics in the background until the process
-// ends.
+// ServeInternal serves readiness or metrics in the background until the process ends.
 func (n *Node) ServeSide(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -80,7 +80,8 @@
 	}
 }
 
-// closing tells callers of a stopping daemon to use a new connection next.
+// closing tells the callers of a stopping daemon to open a new connection for the next
+// request.
 func (n *Node) closing(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if n.stopping.Load() {
@@ -90,10 +91,9 @@
 	})
 }
 
-// Stop ends the daemon without interrupting a request: first the platform and
-// the other daemons learn of it, while new connections are still served; then
-// the callers' connections are closed as they fall quiet, and batch work ends
-// beside it.
+// Stop stops the daemon without interrupting a request: first the platform and the other
+// daemons are notified, while new connections are still served; then the callers'
+// connections are closed as they become idle, while batch work ends in parallel.
 func (n *Node) Stop() {
 	began := time.Now()
 	n.Logger.Info("stopping")
@@ -107,9 +107,9 @@
 		n.Jobs.Drain(ctx)
 		close(drained)
 	}()
-	n.hosts.leave(ctx)
-	duty.Pause(ctx, leaveRotation-time.Since(began))
-	if err := n.callers.listener.CloseQuietly(ctx, leaveRotation); err != nil {
+	n.hosts.deregister(ctx)
+	duty.Pause(ctx, drainDelay-time.Since(began))
+	if err := n.callers.listener.CloseQuietly(ctx, drainDelay); err != nil {
 		n.Logger.Info("queued_connections_reset", zap.Error(err))
 	}
 	if open := n.callers.listener.Open(); open > 0 {
--- a/daemon/front/configuration_test.go
+++ b/daemon/front/configuration_test.go
@@ -12,15 +12,15 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// asked calls other daemons' configurations directly, by address.
-type asked struct {
+// fakePeers calls other daemons' configurations directly, by address.
+type fakePeers struct {
 	mu     sync.Mutex
 	others map[string]*Configuration
 	calls  int
 }
 
 // Call implements peer.Caller.
-func (a *asked) Call(_ context.Context, address, method string, args, reply any) error {
+func (a *fakePeers) Call(_ context.Context, address, method string, args, reply any) error {
 	a.mu.Lock()
 	a.calls++
 	to := a.others[address]
@@ -28,7 +28,7 @@
 	if to == nil {
 		return peer.Unreachable.New("%s", address)
 	}
-	calls := &configurationCalls{to}
+	calls := &configurationHandler{to}
 	if method == statusMethod {
 		return calls.Status(args.(StatusArgs), reply.(*StatusReply))
 	}
@@ -36,9 +36,9 @@
 }
 
 // Notify implements peer.Caller.
-func (a *asked) Notify(string, string, any) {}
+func (a *fakePeers) Notify(string, string, any) {}
 
-func (a *asked) list() []places.Peer {
+func (a *fakePeers) list() []places.Peer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var list []places.Peer
@@ -48,7 +48,7 @@
 	return list
 }
 
-func (a *asked) called() int {
+func (a *fakePeers) called() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.calls
@@ -58,64 +58,65 @@
 	const limit = 10 * time.Second
 	var (
 		cut, other *Configuration
-		others     *asked
+		others     *fakePeers
 	)
 	BeforeEach(func() {
-		cut, other = configured(), configured()
-		others = &asked{others: map[string]*Configuration{"other": other}}
+		cut, other = newTestConfiguration(), newTestConfiguration()
+		others = &fakePeers{others: map[string]*Configuration{"other": other}}
 		cut.Peers, cut.Others = others, others.list
 	})
-	borrow := func() { go cut.borrow(GinkgoT().Context()) }
+	borrow := func() { go cut.fetchFromPeers(GinkgoT().Context()) }
 
-	// The platform turns a host away while the operator takes a key away. Callers still
-	// reach that host with the key. Without another daemon's word it would serve them for
-	// as long as the platform turns it away.
-	It("takes a newer one from another daemon", func() {
-		cut.takeVersion(7)
+	// The platform rejects a host while the operator revokes a key. Callers still reach
+	// that host with the key. Without a configuration from another daemon it would serve
+	// them for as long as the platform rejects it.
+	It("fetches a newer configuration from another daemon", func() {
+		cut.applyVersion(7)
 		cut.Hear(time.Now().Add(-time.Minute))
-		other.takeVersion(8)
+		other.applyVersion(8)
 		other.Hear(time.Now())
 		borrow()
 		Eventually(func() int64 { return cut.Routes().Version }).WithTimeout(limit).Should(BeEquivalentTo(8))
 		Eventually(func() time.Duration { return cut.Age(time.Now()) }).WithTimeout(limit).Should(BeNumerically("<", time.Minute))
 	})
 
-	It("has a first one from another daemon", func() {
-		other.takeVersion(8)
+	It("fetches its first configuration from another daemon", func() {
+		other.applyVersion(8)
 		other.Hear(time.Now())
 		borrow()
 		Eventually(cut.Routes).WithTimeout(limit).ShouldNot(BeNil())
 	})
 
-	// Two hosts are turned away. The other one's word is older than what is in force
-	// here, or as old: it must neither put an old configuration in force nor make this
-	// one look fresh.
-	It("learns nothing from a daemon that knows less", func() {
-		cut.takeVersion(7)
-		other.takeVersion(5)
+	// Two hosts are rejected. The other one's last confirmation is older than the active
+	// version here, or as old: it must neither activate an old configuration nor make
+	// this one look fresh.
+	It("accepts nothing from a daemon whose configuration is older or unconfirmed", func() {
+		cut.applyVersion(7)
+		other.applyVersion(5)
 		other.Hear(time.Now())
-		newBorrower(cut).askOne(context.Background(), "other")
+		newPeerFetcher(cut).pollPeer(context.Background(), "other")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(7))
 		Expect(cut.Age(time.Now())).To(BeNumerically(">", time.Hour))
-		stale := configured()
-		stale.takeVersion(8)
+		stale := newTestConfiguration()
+		stale.applyVersion(8)
 		others.others["stale"] = stale
-		newBorrower(cut).askOne(context.Background(), "stale")
+		newPeerFetcher(cut).pollPeer(context.Background(), "stale")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(7))
 		stale.Hear(time.Now().Add(-time.Minute))
-		newBorrower(cut).askOne(context.Background(), "stale")
+		newPeerFetcher(cut).pollPeer(context.Background(), "stale")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(8))
 		Expect(cut.Age(time.Now())).To(BeNumerically(">=", time.Minute))
 	})
 
-	// Guards against a daemon that stays behind because answers it has given up fill its link.
+	// Guards against a daemon that stays behind because replies to calls that timed out
+	// fill its link.
 	It("takes a configuration that its link carries slowly", func() {
 		link := &slowLink{bytesPerSecond: 1 << 20}
-		cut.takeVersion(7)
+		cut.applyVersion(7)
 		var addresses []string
 		for range 4 {
-			holder := configured()
-			holder.takePadded(8, 600<<10)
+			holder := newTestConfiguration()
+			holder.applyPadded(8, 600<<10)
 			holder.Hear(time.Now().Add(time.Hour))
 			addresses = append(addresses, link.serve(holder))
 		}
@@ -133,33 +134,33 @@
 		Eventually(func() int64 { return cut.Routes().Version }).WithTimeout(limit).Should(BeEquivalentTo(8))
 	})
 
-	// Guards against fetches that fill the link together and are given up one after the other.
-	It("fetches from one daemon at a time, and gives the next one more time", func() {
-		cut.takeVersion(7)
-		other.takeVersion(8)
+	// Guards against fetches that share the link and time out one after the other.
+	It("fetches from one daemon at a time, with more time after a time-out", func() {
+		cut.applyVersion(7)
+		other.applyVersion(8)
 		other.Hear(time.Now())
-		b := newBorrower(cut)
-		limit, free := b.begin()
+		b := newPeerFetcher(cut)
+		limit, free := b.beginFetch()
 		Expect(free).To(BeTrue())
-		b.askOne(context.Background(), "other")
+		b.pollPeer(context.Background(), "other")
 		Expect(cut.Version()).To(BeEquivalentTo(7))
-		b.end(true)
-		longer, free := b.begin()
+		b.endFetch(true)
+		longer, free := b.beginFetch()
 		Expect(free).To(BeTrue())
 		Expect(longer).To(Equal(2 * limit))
-		b.end(true)
-		longer, _ = b.begin()
+		b.endFetch(true)
+		longer, _ = b.beginFetch()
 		Expect(longer).To(Equal(4 * limit))
-		b.end(false)
-		b.askOne(context.Background(), "other")
+		b.endFetch(false)
+		b.pollPeer(context.Background(), "other")
 		Expect(cut.Version()).To(BeEquivalentTo(8))
-		Expect(b.fetchTime).To(Equal(firstFetchTime))
+		Expect(b.fetchTimeout).To(Equal(minFetchTimeout))
 	})
 
-	It("asks nobody while its source speaks", func() {
-		cut.takeVersion(7)
+	It("polls nobody while its source answers", func() {
+		cut.applyVersion(7)
 		cut.Hear(time.Now().Add(time.Hour))
 		borrow()
-		Consistently(others.called, 2*askEvery).Should(BeZero())
+		Consistently(others.called, 2*peerPollEvery).Should(BeZero())
 	})
 })
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -1,6 +1,6 @@
-// Package front puts a daemon together that serves routes on a platform: the
-// view of the targets, the relay of online requests, the batch jobs and the
-// calls between daemons. What the platform speaks is brought by an adapter.
+// Package front assembles a daemon that serves routes on a platform: the view of the
+// targets, the relay of online requests, the batch jobs and the calls between daemons. An
+// adapter implements the platform's protocols.
 package front
 
 import (
@@ -29,27 +29,27 @@
 	"tarragonhollow.example/tarragonhollow/target/h1"
 )
 
-// crashLimit is how many targets a request may crash before it is refused: one
-// crash may be anybody's fault, a second one at another target hardly is.
+// crashLimit is how many targets a request may crash before it is refused: one crash may
+// have another cause, a second one at another target is hardly a coincidence.
 const crashLimit = 2
 
-// sweepEvery is the pace at which old connections to targets are closed.
-const sweepEvery = 2 * time.Second
+// idleCloseEvery is the interval at which old connections to targets are closed.
+const idleCloseEvery = 2 * time.Second
 
-// targetWait is how long after its start a daemon waits for a target of every
-// group before it calls itself ready without: entries that lapsed are back within
+// startupTargetWait is how long after its start a daemon waits for a target of every
+// group before it reports readiness without one: expired entries are written again within
 // some 2 s.
-const targetWait = 4 * time.Second
+const startupTargetWait = 4 * time.Second
 
-// Adapter is what the platform's adapter brings.
+// Adapter holds what the platform's adapter provides.
 type Adapter struct {
 	Log    partlog.Log
 	Groups partlog.Groups
 	Wire   relay.Wire
 	Topics jobs.Topics
-	// HostsTopic tells the daemons of each other.
+	// HostsTopic is the topic through which the daemons find each other.
 	HostsTopic string
-	// Decode reads a configuration; see ConfigurationOptions.
+	// Decode decodes a configuration; see ConfigurationOptions.
 	Decode func(written []byte) (*route.Table, error)
 }
 
@@ -65,7 +65,7 @@
 
 	// Feed supplies the configuration and the targets.
 	Feed *feed.Feed
-	// Bodies bounds what is held of callers' requests and targets' answers.
+	// Bodies bounds the memory for callers' requests and targets' responses.
 	Bodies *bodymemory.Memory
 
 	hosts      *hosts
@@ -75,14 +75,14 @@
 	peerServer *peer.Server
 	pool       *h1.Pool
 	stopping   atomic.Bool
-	// reached is set once every group had a target, or had time for it, after
-	// started.
-	reached atomic.Bool
-	started time.Time
-	callers *callers
+	// targetsReady is set once every group has had a target, or startupTargetWait has
+	// passed since started.
+	targetsReady atomic.Bool
+	started      time.Time
+	callers      *callerServer
 }
 
-// New returns a daemon that does nothing yet.
+// New returns a daemon that is not running yet.
 func New(s *settings.Front, a Adapter, logger *zap.Logger, set *metrics.Set) (*Node, error) {
 	n := &Node{Settings: s, Logger: logger, Metrics: set, started: time.Now(), Bodies: bodymemory.New(s.BodyBytes())}
 	set.GetOrCreateGauge("tarragonhollow_body_memory_bytes", func() float64 { return float64(n.Bodies.Total()) })
@@ -95,17 +95,17 @@
 	n.peerServer = peer.NewServer(peer.ServerOptions{Logger: logger, Metrics: set})
 	n.Configuration = NewConfiguration(ConfigurationOptions{Decode: a.Decode, Peers: n.peers, Others: n.hosts.peers, Logger: logger, Metrics: set})
 	n.Places = places.New(places.Options{
-		Host: s.Host, Zone: s.Zone, PeerAddress: s.PeerAddress, Cores: s.Cores, Fleet: n.hosts.count, Peers: n.peers,
+		Host: s.Host, Zone: s.Zone, PeerAddress: s.PeerAddress, Cores: s.Cores, Fleet: n.hosts.fleetSize, Peers: n.peers,
 		Lean:    n.hosts.isLarge,
 		Counted: func() bool { return n.accounts().Len() > 0 },
 		Logger:  logger, Metrics: set,
 	})
 	n.Places.OnGone(n.pool.Forget)
 	n.Feed = feed.New(feed.Options{
-		Host: s.Host, Self: s.PeerAddress, Large: n.hosts.large, Daemons: n.hosts.knownCount,
+		Host: s.Host, Self: s.PeerAddress, Large: n.hosts.large, Daemons: n.hosts.knownFleetSize,
 		Configuration: n.Configuration, Targets: n.Places, Peers: n.peers, Logger: logger, Metrics: set,
 	})
-	n.hosts.reads, n.hosts.daemons = n.Feed.Reads, n.Places.Daemons
+	n.hosts.readsLog, n.hosts.leaderFleetSize = n.Feed.Reads, n.Places.Daemons
 	var err error
 	n.suspects, err = suspects.New(suspects.Options{
 		View: n.hosts, Peer: n.peers, Registrar: n.peerServer, Limit: func() int { return crashLimit }, Logger: logger, Metrics: set,
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	n.quotas = quotas.New(quotas.Options{
-		Self: s.PeerAddress, Leaders: n.Places, Fleet: n.hosts.knownCount, Accounts: n.accounts, Peers: n.peers, Logger: logger, Metrics: set,
+		Self: s.PeerAddress, Leaders: n.Places, Fleet: n.hosts.knownFleetSize, Accounts: n.accounts, Peers: n.peers, Logger: logger, Metrics: set,
 		Terms: quota.Terms{Window: s.QuotaWindow, Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
 	})
 	crashes := relay.NewCrashes(n.suspects, n.pool)
@@ -123,7 +123,7 @@
 	})
 	n.Jobs = jobs.New(jobs.Options{
 		Host: s.Host, Zone: s.Zone, Log: a.Log, Groups: a.Groups, Peers: n.peers, Address: n.hosts.addressOf,
-		Others: n.hosts.peers, Fleet: n.hosts.count, Large: n.hosts.isLarge, Roomy: n.hosts.roomy, Topics: a.Topics, Parts: s.LogParts, Routes: n.Configuration.Routes,
+		Others: n.hosts.peers, Fleet: n.hosts.fleetSize, Large: n.hosts.isLarge, Roomy: n.hosts.hasAmpleCores, Topics: a.Topics, Parts: s.LogParts, Routes: n.Configuration.Routes,
 		Places: n.Places, Pool: n.pool, Wire: a.Wire, Crashes: crashes, KeepFor: s.JobsReadable, Headroom: s.BatchHeadroom,
 		Logger: logger, Metrics: set,
 	})
@@ -136,13 +136,13 @@
 	if err := n.quotas.Register(n.peerServer); err != nil {
 		return nil, err
 	}
-	if err := n.peerServer.Register(configurationService, &configurationCalls{n.Configuration}); err != nil {
+	if err := n.peerServer.Register(configurationService, &configurationHandler{n.Configuration}); err != nil {
 		return nil, err
 	}
 	return n, n.Jobs.Register(n.peerServer)
 }
 
-// accounts returns the client accounts in force, nil for none.
+// accounts returns the active client accounts, nil for none.
 func (n *Node) accounts() *accounts.Set {
 	if t := n.Configuration.Routes(); t != nil {
 		return t.Accounts
@@ -150,21 +150,22 @@
 	return nil
 }
 
-// Ready tells whether the daemon should get new connections: it knows routes
-// and targets and has read the jobs, and does not stop.
+// Ready reports whether the daemon should get new connections: it knows routes and
+// targets, has read the jobs, and is not stopping.
 func (n *Node) Ready() bool {
 	table := n.Configuration.Routes()
-	return !n.stopping.Load() && table != nil && n.Places.Known() && n.Jobs.Loaded() && n.reaches(table, time.Now())
+	return !n.stopping.Load() && table != nil && n.Places.Known() && n.Jobs.Loaded() && n.hasTargets(table, time.Now())
 }
 
-// InLargeZone tells whether few daemons of the own zone read the log for the others.
+// InLargeZone reports whether only a few daemons of the local zone read the log, for all
+// others.
 func (n *Node) InLargeZone() bool { return n.hosts.isLarge() }
 
-// Await returns the routes in force. A daemon that has just started waits for them, and
-// for its first targets; nil is returned if there are no routes by then, or ctx is done.
+// Await returns the active routes. A daemon that has just started waits for them, and for
+// its first targets; Await returns nil if there are no routes by then, or ctx is done.
 func (n *Node) Await(ctx context.Context) *route.Table {
 	table := n.Configuration.Await(ctx)
-	if left := startWait - time.Since(n.started); table != nil && left > 0 && !n.Places.Known() {
+	if left := startupWait - time.Since(n.started); table != nil && left > 0 && !n.Places.Known() {
 		ctx, cancel := context.WithTimeout(ctx, left)
 		defer cancel()
 		n.Places.AwaitKnown(ctx)
@@ -172,25 +173,25 @@
 	return table
 }
 
-// reaches tells whether every group that requests are sent to has a target, or
-// has had time to get one.
+// hasTargets reports whether every group that requests are sent to has a target, or has
+// had time to get one.
 //
-// Failure guarded against: a daemon that starts while the targets' entries have
-// lapsed reads an empty list, and refuses what others could serve.
-func (n *Node) reaches(table *route.Table, now time.Time) bool {
-	if n.reached.Load() {
+// Failure guarded against: a daemon that starts while the targets' entries have expired
+// reads an empty list, and refuses requests that other daemons could serve.
+func (n *Node) hasTargets(table *route.Table, now time.Time) bool {
+	if n.targetsReady.Load() {
 		return true
 	}
 	for _, group := range table.Used() {
-		if now.Sub(n.started) < targetWait && !n.Places.Has(group) {
+		if now.Sub(n.started) < startupTargetWait && !n.Places.Has(group) {
 			return false
 		}
 	}
-	n.reached.Store(true)
+	n.targetsReady.Store(true)
 	return true
 }
 
-// Run starts the duties of the parts. readConfiguration and readTargets follow the log
+// Run starts the node's goroutines. readConfiguration and readTargets follow the log
 // while this daemon reads them itself.
 func (n *Node) Run(group *duty.Group, readConfiguration, readTargets feed.Read) error {
 	listener, err := net.Listen("tcp", n.Settings.PeerAddress)
@@ -204,8 +205,8 @@
 	})
 	group.Go(n.hosts.run)
 	n.Feed.Run(group, readConfiguration, readTargets)
-	group.Go(n.Configuration.borrow)
-	group.Go(func(ctx context.Context) { duty.Every(ctx, sweepEvery, n.pool.Sweep) })
+	group.Go(n.Configuration.fetchFromPeers)
+	group.Go(func(ctx context.Context) { duty.Every(ctx, idleCloseEvery, n.pool.Sweep) })
 	group.Go(func(ctx context.Context) { n.Places.Spread(ctx, n.peers, n.hosts.peers) })
 	group.Go(func(ctx context.Context) { n.Places.Lead(ctx, n.hosts.peers) })
 	group.Go(n.Places.Report)
@@ -215,7 +216,7 @@
 	return nil
 }
 
-// Close drops the connections to peers and targets.
+// Close closes the connections to peers and targets.
 func (n *Node) Close() {
 	if err := n.peers.Close(); err != nil {
 		n.Logger.Info("peer_client_close", zap.Error(err))
--- a/daemon/front/front_test.go
+++ b/daemon/front/front_test.go
@@ -26,9 +26,9 @@
 	RunSpecs(t, "front")
 }
 
-// configured is a configuration whose versions are written as their number, and anything
-// behind a line's end.
-func configured() *Configuration {
+// newTestConfiguration returns a configuration whose versions are written as their
+// number, with anything after the first line ignored.
+func newTestConfiguration() *Configuration {
 	return NewConfiguration(ConfigurationOptions{Logger: zap.NewNop(), Decode: func(written []byte) (*route.Table, error) {
 		number, _, _ := strings.Cut(string(written), "\n")
 		version, err := strconv.ParseInt(number, 10, 64)
@@ -36,18 +36,18 @@
 	}})
 }
 
-// takePadded takes a version that is written with size bytes that don't compress.
-func (c *Configuration) takePadded(version int64, size int) {
+// applyPadded applies a version that is written with size bytes that don't compress.
+func (c *Configuration) applyPadded(version int64, size int) {
 	padding := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{}).Read(padding) // never fails
 	Expect(c.Take(append([]byte(strconv.FormatInt(version, 10)+"\n"), padding...), "source")).To(Succeed())
 }
 
-func (c *Configuration) takeVersion(version int64) {
+func (c *Configuration) applyVersion(version int64) {
 	Expect(c.Take([]byte(strconv.FormatInt(version, 10)), "source")).To(Succeed())
 }
 
-// hostsOf are the options of a daemon of a fleet in the zones z1 and z2.
+// hostsOf returns the options of a daemon of a fleet in the zones z1 and z2.
 func hostsOf(log partlog.Log, host, address, zone string) hostsOptions {
 	return hostsOptions{Log: log, Topic: "hosts", Parts: 4, Host: host, Own: places.Peer{Address: address, Zone: zone}, Zones: []string{"z1", "z2"}, Logger: zap.NewNop()}
 }
@@ -60,22 +60,22 @@
 	var n *Node
 	start := time.Unix(1000, 0)
 	BeforeEach(func() {
-		n = &Node{Logger: zap.NewNop(), started: start, Configuration: configured()}
+		n = &Node{Logger: zap.NewNop(), started: start, Configuration: newTestConfiguration()}
 		n.Places = places.New(places.Options{Host: "h", Zone: "z", Logger: zap.NewNop()})
 	})
 
 	It("never goes back to an older configuration", func() {
 		c := n.Configuration
-		c.takeVersion(7)
-		c.takeVersion(5)
+		c.applyVersion(7)
+		c.applyVersion(5)
 		Expect(c.Routes().Version).To(BeEquivalentTo(7))
-		c.takeVersion(9)
+		c.applyVersion(9)
 		Expect(c.Routes().Version).To(BeEquivalentTo(9))
 	})
 
-	// Guards against a small host that decodes a large configuration once for each way by
-	// which it comes.
-	It("decodes a configuration once, however often it comes", func() {
+	// Guards against a small host that decodes a large configuration once for each way in
+	// which it arrives.
+	It("decodes a configuration once, however often it arrives", func() {
 		decoded := 0
 		c := NewConfiguration(ConfigurationOptions{Logger: zap.NewNop(), Decode: func([]byte) (*route.Table, error) {
 			decoded++
@@ -89,21 +89,21 @@
 		Expect(decoded).To(Equal(2))
 	})
 
-	// All hosts have lost power and start again; callers are there before the routes.
-	It("keeps a request until the first configuration, if it has just started", func() {
+	// All hosts have lost power and start again; callers arrive before the routes.
+	It("holds a request until the first configuration, if it has just started", func() {
 		c := n.Configuration
 		got := make(chan *route.Table)
 		go func() { got <- c.Await(context.Background()) }()
-		c.takeVersion(3)
-		c.takeVersion(4)
+		c.applyVersion(3)
+		c.applyVersion(4)
 		Eventually(got).Should(Receive(Not(BeNil())))
 		Expect(c.Await(context.Background()).Version).To(BeEquivalentTo(4))
 	})
 
-	// The store is away for longer. What can't be served is refused at once then.
-	It("keeps no request once it has had time to read its configuration", func() {
+	// The log is down for longer. Requests that can't be served are refused at once then.
+	It("holds no request once it has had time to read its configuration", func() {
 		c := n.Configuration
-		c.started = time.Now().Add(-startWait)
+		c.started = time.Now().Add(-startupWait)
 		Expect(c.Await(context.Background())).To(BeNil())
 		c.started = time.Now()
 		left, cancel := context.WithCancel(context.Background())
@@ -111,21 +111,21 @@
 		Expect(c.Await(left)).To(BeNil())
 	})
 
-	// The store was away and the targets' entries have lapsed when a daemon
-	// starts. It must not take callers whom other daemons could serve.
-	It("reaches its targets only once it knows some, or has waited for them", func() {
-		Expect(n.reaches(table(1), start)).To(BeFalse())
-		Expect(n.reaches(table(1), start.Add(targetWait))).To(BeTrue())
+	// The log was down and the targets' entries have expired when a daemon starts. It
+	// must not accept callers that other daemons could serve.
+	It("considers its targets reachable only once it knows some, or has waited for them", func() {
+		Expect(n.hasTargets(table(1), start)).To(BeFalse())
+		Expect(n.hasTargets(table(1), start.Add(startupTargetWait))).To(BeTrue())
 	})
 
-	It("stays in service when its targets go later", func() {
+	It("stays ready when its targets are removed later", func() {
 		n.Places.Update(func(now time.Time, r *roster.Roster) {
 			r.Heard(now)
 			r.Replace(now, []roster.Target{{ID: "t", Group: "g"}})
 		})
-		Expect(n.reaches(table(1), start)).To(BeTrue())
+		Expect(n.hasTargets(table(1), start)).To(BeTrue())
 		n.Places.Update(func(now time.Time, r *roster.Roster) { r.Replace(now, nil) })
-		Expect(n.reaches(table(1), start)).To(BeTrue())
+		Expect(n.hasTargets(table(1), start)).To(BeTrue())
 	})
 
 	It("finds the others by their records, and not itself", func() {
@@ -135,27 +135,28 @@
 		a.announce(GinkgoT().Context())
 		b.announce(GinkgoT().Context())
 		load := func() {
-			for _, part := range append(a.otherParts(), a.part("z1")) {
+			for _, part := range append(a.remoteParts(), a.part("z1")) {
 				l := a.list(part)
 				Expect(partlog.Load(GinkgoT().Context(), log, l.partition, l)).To(Succeed())
 			}
 		}
 		load()
 		Expect(a.peers()).To(Equal([]places.Peer{{Address: "2:2", Zone: "z2"}}))
-		Expect(a.count()).To(Equal(2))
+		Expect(a.fleetSize()).To(Equal(2))
 		address, known := a.addressOf("b")
 		Expect(known).To(BeTrue())
 		Expect(address).To(Equal("2:2"))
-		b.leave(GinkgoT().Context())
+		b.deregister(GinkgoT().Context())
 		load()
 		Expect(a.peers()).To(BeEmpty())
 	})
 
-	// Guards against an old size of the fleet, by which quotas of accounts are shared out.
-	It("forgets the lists of other zones that it no longer follows, once its zone is large", func() {
+	// Guards against an outdated size of the fleet, by which the quotas of accounts are
+	// divided.
+	It("drops the lists of other zones that it no longer follows, once its zone is large", func() {
 		log := fakepartlog.New(1)
 		put := func(h *hosts) {
-			_, err := log.Append(context.Background(), h.ownList().partition, []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Own)}}, partlog.Anywhere)
+			_, err := log.Append(context.Background(), h.localList().partition, []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Own)}}, partlog.Anywhere)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		a := newHosts(hostsOf(log, "a", "1:1", "z1"))
@@ -174,21 +175,21 @@
 			cancel()
 			ended.Wait()
 		})
-		Eventually(a.knownCount).WithTimeout(zoneLimit).Should(Equal(2))
+		Eventually(a.knownFleetSize).WithTimeout(zoneLimit).Should(Equal(2))
 		for n := range smallZone {
 			put(newHosts(hostsOf(log, fmt.Sprint("n", n), fmt.Sprint("3:", n+1), "z1")))
 		}
 		Eventually(a.isLarge).WithTimeout(zoneLimit).Should(BeTrue())
 		Eventually(func() int { return len(a.peers()) }).WithTimeout(zoneLimit).Should(Equal(smallZone))
-		Expect(a.knownCount()).To(BeZero())
+		Expect(a.knownFleetSize()).To(BeZero())
 	})
 
-	// Somebody writes into the topic where the daemons tell of each other. It must
-	// cost the daemons that wrote properly nothing.
-	It("passes over records of its topic that name no peer", func() {
+	// Somebody else writes to the topic of the daemons' entries. The entries of the
+	// daemons must not be affected.
+	It("skips records of its topic that name no peer", func() {
 		log := fakepartlog.New(1)
 		a := newHosts(hostsOf(log, "a", "1:1", "z1"))
-		a.ownList().apply([]partlog.Kept{
+		a.localList().apply([]partlog.Kept{
 			{Record: partlog.Record{Key: "b", Value: encodeEntry(places.Peer{Address: "2:2", Zone: "z2"})}},
 			{Record: partlog.Record{Key: "c", Value: []byte("3:3")}},
 			{Record: partlog.Record{Key: "d", Value: []byte("somewhere z2")}},
--- a/daemon/front/hosts.go
+++ b/daemon/front/hosts.go
@@ -20,30 +20,32 @@
 )
 
 const (
-	// firstPause and longestPause bound the pause before an announcement or a first load
-	// that failed is repeated.
-	firstPause   = 300 * time.Millisecond
-	longestPause = 1200 * time.Millisecond
-	// smallZone is the number of daemons of a zone up to which each of them follows the
-	// whole fleet and reads everything from the log.
+	// minRetryPause and maxRetryPause bound the pause before a failed announcement or
+	// first load is retried.
+	minRetryPause = 300 * time.Millisecond
+	maxRetryPause = 1200 * time.Millisecond
+	// smallZone is the maximum number of daemons of a zone at which each of them follows
+	// the whole fleet and reads everything from the log.
 	smallZone = 24
-	// gatherZone is how long a daemon that was not in the list before waits for the other
-	// daemons of its zone to announce themselves: all may start for the first time.
-	gatherZone = 500 * time.Millisecond
-	// choosePace is the pace at which a daemon looks which lists it has to follow.
-	choosePace = 100 * time.Millisecond
-	// roomyShare is the part of the cores of the zone's roomiest host from which on a host
-	// counts as roomy.
-	roomyShare = 0.5
+	// zoneAnnounceWait is how long a daemon that was not in the list before waits for the
+	// other daemons of its zone to announce themselves: all of them may start for the
+	// first time.
+	zoneAnnounceWait = 500 * time.Millisecond
+	// chooseListsEvery is the interval at which a daemon checks which lists it needs to
+	// follow.
+	chooseListsEvery = 100 * time.Millisecond
+	// ampleCoresShare is the share of the cores of the zone's largest host from which on
+	// a host has ample cores.
+	ampleCoresShare = 0.5
 )
 
-// hostsPace is the pace of a small zone: a new daemon's counts may be missing for as
-// long as a read takes.
+// hostsPace is the pace of a small zone: a new daemon's counts may be missing for as long
+// as a read takes.
 var (
 	hostsPace = partlog.Pace{Wait: 8 * time.Second, Gather: 100 * time.Millisecond}
-	// largeZonePace: every daemon of a large zone reads each change of its list, and a
-	// daemon that is missing there for some seconds lacks nothing. A log that is out must
-	// not be asked all the time by all of them.
+	// largeZonePace is the pace of a large zone: every daemon there reads each change of
+	// its list, and a daemon that is missing from it for some seconds has no
+	// disadvantage. While the log is down, not all of them may call it all the time.
 	largeZonePace = partlog.Pace{Wait: 8 * time.Second, Gather: 2 * time.Second, LongestPause: 8 * time.Second}
 )
 
@@ -60,31 +62,32 @@
 	Logger *zap.Logger
 }
 
-// hosts tells the daemons of each other through a keyed topic: each one writes its name
-// and peer address once, at its start, to the partition of its zone. An entry of a
-// daemon that died stays; calls to it fail by themselves.
+// hosts is the list of the fleet's daemons, kept in a keyed topic: each daemon writes its
+// name and peer address once, at its start, to the partition of its zone. The entry of a
+// daemon that died stays; calls to it fail.
 //
-// In a large zone a daemon reads the list of its own zone alone, unless it is needed for
-// more, so that what a start of the fleet reads does not grow with its square.
+// In a large zone a daemon reads only the list of its own zone, unless it needs the
+// others, so that the volume read at a start of the fleet does not grow with the square
+// of the fleet's size.
 type hosts struct {
 	hostsOptions
 	// incarnation differs at every start.
 	incarnation uint64
-	// reads tells whether this daemon reads the log for its zone, and so follows the
-	// whole fleet; daemons is the fleet's size as the zone's leader told it, 0 for
-	// unknown.
-	reads   func() bool
-	daemons func() int
-
-	mu    sync.Mutex
-	lists map[int]*hostList
-	all   []places.Peer
-	// near counts the other daemons of the own zone.
-	near int
-	// loaded is when the own zone's list was first loaded; known tells that this daemon
-	// was in it, from an earlier run.
-	loaded time.Time
-	known  bool
+	// readsLog reports whether this daemon reads the log for its zone, and so follows the
+	// whole fleet; leaderFleetSize returns the fleet's size as reported by the zone's
+	// leader, 0 for unknown.
+	readsLog        func() bool
+	leaderFleetSize func() int
+
+	mu       sync.Mutex
+	lists    map[int]*hostList
+	allPeers []places.Peer
+	// zonePeers counts the other daemons of the local zone.
+	zonePeers int
+	// loaded is when the local zone's list was first loaded; announcedBefore reports that
+	// it contained this daemon, from an earlier run.
+	loaded          time.Time
+	announcedBefore bool
 }
 
 // hostList is the list in one partition.
@@ -99,7 +102,7 @@
 
 func newHosts(o hostsOptions) *hosts {
 	h := &hosts{hostsOptions: o, incarnation: uint64(time.Now().UnixNano()), lists: map[int]*hostList{},
-		reads: func() bool { return false }, daemons: func() int { return 0 }}
+		readsLog: func() bool { return false }, leaderFleetSize: func() int { return 0 }}
 	h.list(h.part(o.Own.Zone))
 	return h
 }
@@ -117,9 +120,9 @@
 	return h.lists[part]
 }
 
-func (h *hosts) ownList() *hostList { return h.list(h.part(h.Own.Zone)) }
+func (h *hosts) localList() *hostList { return h.list(h.part(h.Own.Zone)) }
 
-// encodeEntry is the value of a daemon's record: its peer address, its zone and the
+// encodeEntry returns the value of a daemon's record: its peer address, its zone and the
 // cores that it may use.
 func encodeEntry(p places.Peer) []byte {
 	return []byte(p.Address + " " + p.Zone + " " + strconv.FormatFloat(p.Cores, 'g', -1, 64))
@@ -143,11 +146,11 @@
 	return places.Peer{Address: fields[0], Zone: fields[1], Cores: cores}, true
 }
 
-// run loads the own zone's list, announces this daemon and follows the lists that it
+// run loads the local zone's list, announces this daemon and follows the lists that it
 // needs, until ctx is done.
 func (h *hosts) run(ctx context.Context) {
-	own := h.ownList()
-	h.retry(ctx, "hosts_not_loaded", func() error { return partlog.Load(ctx, h.Log, own.partition, own) })
+	local := h.localList()
+	h.retry(ctx, "hosts_not_loaded", func() error { return partlog.Load(ctx, h.Log, local.partition, local) })
 	if ctx.Err() != nil {
 		return
 	}
@@ -157,10 +160,10 @@
 	group.Wait()
 }
 
-// retry repeats a call of the log until it succeeds or ctx is done; event names the line
-// that each failure writes.
+// retry repeats a call of the log until it succeeds or ctx is done; event is the name of
+// the log event of each failure.
 func (h *hosts) retry(ctx context.Context, event string, call func() error) {
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, longestPause) {
+	for pause := minRetryPause; ctx.Err() == nil; pause = min(2*pause, maxRetryPause) {
 		err := call()
 		if err == nil {
 			return
@@ -170,11 +173,11 @@
 	}
 }
 
-// announce writes the own entry.
+// announce writes this daemon's entry.
 func (h *hosts) announce(ctx context.Context) {
 	entry := []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Own)}}
 	h.retry(ctx, "not_announced", func() error {
-		_, err := h.Log.Append(ctx, h.ownList().partition, entry, partlog.Anywhere)
+		_, err := h.Log.Append(ctx, h.localList().partition, entry, partlog.Anywhere)
 		return err
 	})
 	if ctx.Err() == nil {
@@ -182,67 +185,68 @@
 	}
 }
 
-// leave removes the own entry.
-func (h *hosts) leave(ctx context.Context) {
-	if _, err := h.Log.Append(ctx, h.ownList().partition, []partlog.Record{{Key: h.Host}}, partlog.Anywhere); err != nil {
+// deregister removes this daemon's entry.
+func (h *hosts) deregister(ctx context.Context) {
+	if _, err := h.Log.Append(ctx, h.localList().partition, []partlog.Record{{Key: h.Host}}, partlog.Anywhere); err != nil {
 		h.Logger.Info("entry_not_removed", zap.Error(err))
 	}
 }
 
-// follow follows the own zone's list, and those of the other zones while they are needed.
+// follow follows the local zone's list, and those of the other zones while they are
+// needed.
 func (h *hosts) follow(ctx context.Context) {
-	readings := map[int]*duty.Switch{}
-	own, large := h.part(h.Own.Zone), h.isLarge()
+	followers := map[int]*duty.Switch{}
+	local, large := h.part(h.Own.Zone), h.isLarge()
 	for {
 		if now := h.isLarge(); now != large {
 			large = now
-			stopAll(readings) // they go on at another pace
+			stopAll(followers) // restarted below at the new pace
 		}
-		h.reading(readings, own, large).Set(ctx, true)
+		h.follower(followers, local, large).Set(ctx, true)
 		all := h.needsAll()
-		for _, part := range h.otherParts() {
-			h.reading(readings, part, large).Set(ctx, all)
+		for _, part := range h.remoteParts() {
+			h.follower(followers, part, large).Set(ctx, all)
 			if !all {
 				h.drop(part)
 			}
 		}
-		if !duty.Pause(ctx, choosePace) {
+		if !duty.Pause(ctx, chooseListsEvery) {
 			break
 		}
 	}
-	stopAll(readings)
+	stopAll(followers)
 }
 
-// reading returns the following of a partition's list.
-func (h *hosts) reading(readings map[int]*duty.Switch, part int, large bool) *duty.Switch {
-	if readings[part] == nil {
+// follower returns the switch that follows a partition's list.
+func (h *hosts) follower(followers map[int]*duty.Switch, part int, large bool) *duty.Switch {
+	if followers[part] == nil {
 		pace := hostsPace
 		if large {
 			pace = largeZonePace
 		}
-		readings[part] = &duty.Switch{Loop: func(ctx context.Context) {
+		followers[part] = &duty.Switch{Loop: func(ctx context.Context) {
 			l := h.list(part)
 			partlog.Follow(ctx, h.Log, l.partition, pace, l)
 		}}
 	}
-	return readings[part]
+	return followers[part]
 }
 
-func stopAll(readings map[int]*duty.Switch) {
-	for part, reading := range readings {
-		reading.Stop()
-		delete(readings, part)
+func stopAll(followers map[int]*duty.Switch) {
+	for part, follower := range followers {
+		follower.Stop()
+		delete(followers, part)
 	}
 }
 
-// needsAll tells whether this daemon follows the whole fleet.
+// needsAll reports whether this daemon follows the whole fleet.
 func (h *hosts) needsAll() bool {
 	large, known := h.large()
-	return known && (!large || h.reads())
+	return known && (!large || h.readsLog())
 }
 
-// otherParts lists the partitions of the other zones.
-func (h *hosts) otherParts() []int {
+// remoteParts lists the partitions of the other zones.
+func (h *hosts) remoteParts() []int {
 	var parts []int
 	for _, zone := range h.Zones {
 		if part := h.part(zone); part != h.part(h.Own.Zone) && !slices.Contains(parts, part) {
@@ -252,7 +256,7 @@
 	return parts
 }
 
-// drop forgets the list of a partition that is no longer followed.
+// drop deletes the list of a partition that is no longer followed.
 func (h *hosts) drop(part int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -260,22 +264,22 @@
 		return
 	}
 	delete(h.lists, part)
-	h.gather()
+	h.rebuildPeers()
 }
 
-// large tells whether the own zone has so many daemons that most of them leave the
-// reading of the log to few. It is not known before the zone's list was read.
+// large reports whether the local zone has so many daemons that most of them leave the
+// reading of the log to a few. known is false before the zone's list was read.
 func (h *hosts) large() (large, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.loaded.IsZero() {
 		return false, false
 	}
-	large = h.near+1 > smallZone
-	return large, large || h.known || time.Since(h.loaded) > gatherZone
+	large = h.zonePeers+1 > smallZone
+	return large, large || h.announcedBefore || time.Since(h.loaded) > zoneAnnounceWait
 }
 
-// isLarge is large where a zone that is not known counts as small.
+// isLarge is large, with a zone of unknown size counted as small.
 func (h *hosts) isLarge() bool {
 	large, _ := h.large()
 	return large
@@ -285,30 +289,30 @@
 func (h *hosts) peers() []places.Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.all
+	return h.allPeers
 }
 
-// count returns the number of daemons as far as known, this one included.
-func (h *hosts) count() int { return max(len(h.peers())+1, h.daemons()) }
+// fleetSize returns the number of daemons as far as known, this one included.
+func (h *hosts) fleetSize() int { return max(len(h.peers())+1, h.leaderFleetSize()) }
 
-// knownCount returns the number of daemons, this one included, and 0 while that is not
-// known.
-func (h *hosts) knownCount() int {
+// knownFleetSize returns the number of daemons, this one included, and 0 while that is
+// not known.
+func (h *hosts) knownFleetSize() int {
 	large, known := h.large()
 	switch {
 	case !known:
 		return 0
-	case h.readAll():
+	case h.allListsRead():
 		return len(h.peers()) + 1
 	case large:
-		return h.daemons()
+		return h.leaderFleetSize()
 	default:
 		return 0
 	}
 }
 
-// readAll tells whether the lists of all zones were read.
-func (h *hosts) readAll() bool {
+// allListsRead reports whether the lists of all zones were read.
+func (h *hosts) allListsRead() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, zone := range append([]string{h.Own.Zone}, h.Zones...) {
@@ -320,17 +324,18 @@
 	return true
 }
 
-// roomy tells whether this host has much of what the roomiest one of its zone has.
-func (h *hosts) roomy() bool {
+// hasAmpleCores reports whether this host has at least ampleCoresShare of the cores of
+// the largest host of its zone.
+func (h *hosts) hasAmpleCores() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	most := 0.0
-	for _, p := range h.all {
+	for _, p := range h.allPeers {
 		if p.Zone == h.Own.Zone {
 			most = max(most, p.Cores)
 		}
 	}
-	return h.Own.Cores >= roomyShare*most
+	return h.Own.Cores >= ampleCoresShare*most
 }
 
 // addressOf returns a daemon's peer address.
@@ -380,7 +385,7 @@
 	l.position = end
 	if h.loaded.IsZero() && l == h.lists[h.part(h.Own.Zone)] {
 		h.loaded = time.Now()
-		_, h.known = l.known[h.Host]
+		_, h.announcedBefore = l.known[h.Host]
 	}
 }
 
@@ -392,10 +397,10 @@
 	l.position = page.Next
 }
 
-// Heard implements partlog.Reader; the jobs tell of outages of the log.
+// Heard implements partlog.Reader; package jobs logs outages of the log.
 func (l *hostList) Heard(time.Time, error) {}
 
-// apply takes records of the list. hosts.mu is held.
+// apply applies records to the list. hosts.mu is held.
 func (l *hostList) apply(records []partlog.Kept) {
 	for _, k := range records {
 		delete(l.known, k.Key)
@@ -409,19 +414,19 @@
 		}
 		l.known[k.Key] = p
 	}
-	l.hosts.gather()
+	l.hosts.rebuildPeers()
 }
 
-// gather lists the other daemons. It makes a new slice, since the last one may be in
-// use. h.mu is held.
-func (h *hosts) gather() {
-	h.all, h.near = nil, 0
+// rebuildPeers lists the other daemons. It makes a new slice, since the last one may be
+// in use. h.mu is held.
+func (h *hosts) rebuildPeers() {
+	h.allPeers, h.zonePeers = nil, 0
 	for _, l := range h.lists {
 		for host, p := range l.known {
 			if host != h.Host && p.Address != h.Own.Address {
-				h.all = append(h.all, p)
+				h.allPeers = append(h.allPeers, p)
 				if p.Zone == h.Own.Zone {
-					h.near++
+					h.zonePeers++
 				}
 			}
 		}
--- a/daemon/front/pack.go
+++ b/daemon/front/pack.go
@@ -8,17 +8,19 @@
 	"github.com/joomcode/errorx"
 )
 
-// maxUnpacked bounds a configuration that another daemon passes on.
+// maxUnpacked bounds the uncompressed size, in bytes, of a configuration that another
+// daemon sends.
 const maxUnpacked = 64 << 20
 
 var (
 	errorNamespace = errorx.NewNamespace("front")
-	// errPacked is the type of errors about what another daemon passed on.
+	// errPacked is the type of errors about a compressed configuration from another
+	// daemon.
 	errPacked = errorNamespace.NewType("packed")
 )
 
-// pack compresses a configuration: it goes to every daemon of a large zone, and its
-// routes are much alike.
+// pack compresses a configuration: it is sent to every daemon of a large zone, and its
+// routes are similar to each other.
 func pack(written []byte) []byte {
 	var packed bytes.Buffer
 	w := gzip.NewWriter(&packed)
@@ -31,14 +33,14 @@
 func unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, errPacked.Wrap(err, "not compressed")
+		return nil, errPacked.Wrap(err, "not gzip data")
 	}
 	written, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
 	if err != nil {
-		return nil, errPacked.Wrap(err, "cut off")
+		return nil, errPacked.Wrap(err, "decompressing")
 	}
 	if len(written) > maxUnpacked {
-		return nil, errPacked.New("more than %d bytes", maxUnpacked)
+		return nil, errPacked.New("decompressed configuration exceeds %d bytes", maxUnpacked)
 	}
 	return written, nil
 }
--- a/daemon/front/slowlink_test.go
+++ b/daemon/front/slowlink_test.go
@@ -11,13 +11,13 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// slowLink is the link of a host: what other daemons answer on any of its connections
-// shares one rate. An answer that nobody waits for any more takes its part too.
+// slowLink is the link of a host: the replies of other daemons share one rate, on
+// whatever connection. A reply whose call has timed out takes bandwidth too.
 type slowLink struct {
 	bytesPerSecond int
 
 	mu sync.Mutex
-	// free is when the link has carried what was sent so far.
+	// free is when the link has carried everything sent so far.
 	free time.Time
 }
 
@@ -33,13 +33,13 @@
 	time.Sleep(time.Until(at))
 }
 
-// serve starts a daemon behind the link that passes on its configuration, and returns its
+// serve starts a daemon behind the link that serves its configuration, and returns its
 // address.
 func (l *slowLink) serve(c *Configuration) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := peer.NewServer(peer.ServerOptions{})
-	Expect(server.Register(configurationService, &configurationCalls{c})).To(Succeed())
+	Expect(server.Register(configurationService, &configurationHandler{c})).To(Succeed())
 	go func() {
 		defer GinkgoRecover()
 		_ = server.Serve(&slowListener{Listener: ln, link: l}) // ends with the server
--- a/daemon/front/zone_test.go
+++ b/daemon/front/zone_test.go
@@ -38,44 +38,45 @@
 	entries        = partlog.Partition{Topic: "entries"}
 )
 
-// meteredLog is the log as one daemon reaches it. It counts the calls and may turn the
-// daemon away.
-type meteredLog struct {
+// countingLog is the log as one daemon reaches it. It counts the calls and can reject the
+// daemon.
+type countingLog struct {
 	partlog.Log
-	calls  atomic.Int64
-	turned atomic.Bool
+	calls     atomic.Int64
+	rejecting atomic.Bool
 }
 
-func (l *meteredLog) reach() error {
+func (l *countingLog) countCall() error {
 	l.calls.Add(1)
-	if l.turned.Load() {
-		return partlog.Unavailable.New("not this daemon")
+	if l.rejecting.Load() {
+		return partlog.Unavailable.New("daemon rejected")
 	}
 	return nil
 }
 
-func (l *meteredLog) Append(ctx context.Context, p partlog.Partition, records []partlog.Record, at int64) (int64, error) {
-	if err := l.reach(); err != nil {
+func (l *countingLog) Append(ctx context.Context, p partlog.Partition, records []partlog.Record, at int64) (int64, error) {
+	if err := l.countCall(); err != nil {
 		return 0, err
 	}
 	return l.Log.Append(ctx, p, records, at)
 }
 
-func (l *meteredLog) Read(ctx context.Context, p partlog.Partition, from int64, wait time.Duration) (partlog.Page, error) {
-	if err := l.reach(); err != nil {
+func (l *countingLog) Read(ctx context.Context, p partlog.Partition, from int64, wait time.Duration) (partlog.Page, error) {
+	if err := l.countCall(); err != nil {
 		return partlog.Page{}, err
 	}
 	return l.Log.Read(ctx, p, from, wait)
 }
 
-func (l *meteredLog) Newest(ctx context.Context, p partlog.Partition, after string) (partlog.NewestPage, error) {
-	if err := l.reach(); err != nil {
+func (l *countingLog) Newest(ctx context.Context, p partlog.Partition, after string) (partlog.NewestPage, error) {
+	if err := l.countCall(); err != nil {
 		return partlog.NewestPage{}, err
 	}
 	return l.Log.Newest(ctx, p, after)
 }
 
-// network hands the calls of daemons to each other; calls of dead ones and to them fail.
+// network passes the calls between daemons in one process; calls from and to dead daemons
+// fail.
 type network struct {
 	fakepeer.Receivers
 
@@ -89,27 +90,28 @@
 	n.dead[address] = true
 }
 
-// cut tells whether one of the daemons is dead.
+// cut reports whether one of the daemons is dead.
 func (n *network) cut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dead[from] || n.dead[to]
 }
 
-// end is one daemon's end of the network.
-type end struct {
+// endpoint is one daemon's access to the network.
+type endpoint struct {
 	network *network
 	address string
 }
 
 // Call implements peer.Caller.
-func (e end) Call(ctx context.Context, address, method string, args, reply any) error {
+func (e endpoint) Call(ctx context.Context, address, method string, args, reply any) error {
 	if e.network.cut(e.address, address) {
 		return peer.Unreachable.New("%s", address)
 	}
 	var answer any
 	if reply != nil {
-		// The answer of a call that was given up must not be written into the caller's reply.
+		// The reply to a call that timed out must not be written into the caller's
+		// variable.
 		answer = reflect.New(reflect.TypeOf(reply).Elem()).Interface()
 	}
 	ended := make(chan error, 1)
@@ -126,14 +128,14 @@
 }
 
 // Notify implements peer.Caller.
-func (e end) Notify(address, method string, args any) {
+func (e endpoint) Notify(address, method string, args any) {
 	go func() { _ = e.Call(context.Background(), address, method, args, nil) }() // one way
 }
 
 // member is one daemon of a large fleet: its lists, its targets and its configuration.
 type member struct {
 	name          string
-	log           *meteredLog
+	log           *countingLog
 	hosts         *hosts
 	places        *places.Places
 	configuration *Configuration
@@ -141,7 +143,7 @@
 	stop          func()
 }
 
-// configurationLog reads configurations that are written as their number.
+// configurationLog applies configurations that are written as their number.
 type configurationLog struct {
 	*Configuration
 	position int64
@@ -168,7 +170,8 @@
 	}
 }
 
-// entryLog reads targets; the value is the zone, and a prefix of one that drains.
+// entryLog applies target entries; the value is the zone, with a prefix for a draining
+// target.
 type entryLog struct {
 	places   *places.Places
 	position int64
@@ -226,12 +229,12 @@
 		f.put(entries, fmt.Sprint("t", i), fmt.Sprint("z", i%largeZones+1))
 	}
 	f.put(configurations, "config", "1")
-	// The fleet ran before: its daemons stand in the lists.
+	// The fleet ran before: its daemons are in the lists.
 	var all []*member
 	for i := range largeZones * zoneDaemons {
 		m := f.newMember(i)
 		all = append(all, m)
-		f.put(m.hosts.ownList().partition, m.name, string(encodeEntry(m.hosts.Own)))
+		f.put(m.hosts.localList().partition, m.name, string(encodeEntry(m.hosts.Own)))
 	}
 	for _, m := range all {
 		f.start(m)
@@ -246,20 +249,20 @@
 }
 
 func (f *zoneFleet) newMember(i int) *member {
-	m := &member{name: fmt.Sprintf("%d:%d", i/largeZones+1, i%largeZones+1), log: &meteredLog{Log: f.log}}
+	m := &member{name: fmt.Sprintf("%d:%d", i/largeZones+1, i%largeZones+1), log: &countingLog{Log: f.log}}
 	own := places.Peer{Address: m.name, Zone: fmt.Sprint("z", i%largeZones+1), Cores: 0.2}
 	set := metrics.NewSet()
-	caller := end{f.network, m.name}
+	caller := endpoint{f.network, m.name}
 	o := hostsOf(m.log, m.name, m.name, own.Zone)
 	o.Own = own
 	m.hosts = newHosts(o)
-	m.configuration = configured()
+	m.configuration = newTestConfiguration()
 	m.configuration.Peers, m.configuration.Others = caller, m.hosts.peers
-	m.places = places.New(places.Options{Host: m.name, Zone: own.Zone, PeerAddress: m.name, Cores: own.Cores, Fleet: m.hosts.count,
+	m.places = places.New(places.Options{Host: m.name, Zone: own.Zone, PeerAddress: m.name, Cores: own.Cores, Fleet: m.hosts.fleetSize,
 		Lean: m.hosts.isLarge, Peers: caller, AskTime: zoneLimit, Logger: zap.NewNop()})
-	m.feed = feed.New(feed.Options{Host: m.name, Self: m.name, Large: m.hosts.large, Daemons: m.hosts.knownCount, Configuration: m.configuration,
+	m.feed = feed.New(feed.Options{Host: m.name, Self: m.name, Large: m.hosts.large, Daemons: m.hosts.knownFleetSize, Configuration: m.configuration,
 		Targets: m.places, Peers: caller, Logger: zap.NewNop(), Metrics: set})
-	m.hosts.reads, m.hosts.daemons = m.feed.Reads, m.places.Daemons
+	m.hosts.readsLog, m.hosts.leaderFleetSize = m.feed.Reads, m.places.Daemons
 	Expect(m.places.Register(f.network.At(m.name))).To(Succeed())
 	Expect(m.feed.Register(f.network.At(m.name))).To(Succeed())
 	return m
@@ -305,8 +308,8 @@
 	return nil
 }
 
-// reading counts the daemons that read the targets.
-func (f *zoneFleet) reading() int {
+// readers counts the daemons that read the targets.
+func (f *zoneFleet) readers() int {
 	n := 0
 	for _, m := range f.members {
 		if m.feed.Reads() {
@@ -316,11 +319,12 @@
 	return n
 }
 
-// supplied waits until all daemons but the given ones hold a version and know targets.
-func (f *zoneFleet) supplied(version int, but ...*member) {
+// awaitSupplied waits until all daemons except the given one hold a version and know
+// targets.
+func (f *zoneFleet) awaitSupplied(version int, except ...*member) {
 	GinkgoHelper()
 	for _, m := range f.members {
-		if len(but) > 0 && m == but[0] {
+		if len(except) > 0 && m == except[0] {
 			continue
 		}
 		Eventually(m.configuration.Version).WithTimeout(zoneLimit).Should(BeEquivalentTo(version), m.name)
@@ -328,8 +332,9 @@
 	}
 }
 
-// served takes a place at a member and gives it back.
-func (m *member) served() string {
+// acquireAndRelease acquires a slot at a member, releases it, and returns the target's
+// ID.
+func (m *member) acquireAndRelease() string {
 	place, refusal := m.places.Take(context.Background(), places.Ask{Group: "g", Patience: time.Second})
 	if refusal != nil {
 		return ""
@@ -343,13 +348,13 @@
 	BeforeEach(func() {
 		f = newZoneFleet()
 		DeferCleanup(f.stop)
-		f.supplied(1)
+		f.awaitSupplied(1)
 	})
 
-	// Each host reads everything: at a thousand hosts the log serves a part of the calls,
-	// and hosts keep old routes and know few targets.
+	// If each host reads everything, the log serves only a part of the calls at a
+	// thousand hosts, and hosts keep old routes and know few targets.
 	It("reads the log at one daemon of each zone", func() {
-		Eventually(f.reading).WithTimeout(zoneLimit).Should(Equal(largeZones))
+		Eventually(f.readers).WithTimeout(zoneLimit).Should(Equal(largeZones))
 		before := map[*member]int64{}
 		for _, m := range f.members {
 			before[m] = m.log.calls.Load()
@@ -357,23 +362,23 @@
 		for version := 2; version <= 13; version++ {
 			f.put(configurations, "config", strconv.Itoa(version))
 		}
-		f.supplied(13)
+		f.awaitSupplied(13)
 		calls := int64(0)
 		for _, m := range f.members {
 			if !m.feed.Reads() {
 				calls += m.log.calls.Load() - before[m]
 			}
 		}
-		// A subscriber renews the reading of its zone's list, and no more.
+		// A subscriber only repeats the read of its zone's list.
 		Expect(calls).To(BeNumerically("<", 2*len(f.members)))
 	})
 
 	It("uses every target, though each daemon holds few", func() {
-		Eventually(f.reading).WithTimeout(zoneLimit).Should(Equal(largeZones))
+		Eventually(f.readers).WithTimeout(zoneLimit).Should(Equal(largeZones))
 		got := map[string]bool{}
 		for range 4 {
 			for _, m := range f.members {
-				got[m.served()] = true
+				got[m.acquireAndRelease()] = true
 			}
 		}
 		Expect(len(got)).To(BeNumerically(">", 3*len(f.members)), "each request goes to an empty target")
@@ -385,21 +390,21 @@
 		lost := f.leader("z1")
 		lost.stop()
 		f.put(configurations, "config", "2")
-		f.supplied(2, lost)
-		Eventually(f.reading).WithTimeout(zoneLimit).Should(Equal(largeZones))
+		f.awaitSupplied(2, lost)
+		Eventually(f.readers).WithTimeout(zoneLimit).Should(Equal(largeZones))
 	})
 
-	// The platform turns the leader's host away and serves the others. It would go on to
-	// give out targets that have left, and pass no change on.
-	It("goes on when the log turns the leader of a zone away", func() {
+	// The platform rejects the leader's host and serves the others. The leader would go
+	// on granting slots at removed targets, and pass no change on.
+	It("goes on when the log rejects the leader of a zone", func() {
 		Eventually(func() *member { return f.leader("z1") }).WithTimeout(zoneLimit).ShouldNot(BeNil())
 		turned := f.leader("z1")
-		turned.log.turned.Store(true)
+		turned.log.rejecting.Store(true)
 		f.put(configurations, "config", "2")
 		for i := range fleetTargets / 2 {
 			f.put(entries, fmt.Sprint("t", i), drains+fmt.Sprint("z", i%largeZones+1))
 		}
-		f.supplied(2)
+		f.awaitSupplied(2)
 		Eventually(func() bool { return f.leader("z1") != turned }).WithTimeout(zoneLimit).Should(BeTrue())
 		drained := func(id string) bool {
 			n, err := strconv.Atoi(strings.TrimPrefix(id, "t"))
@@ -407,7 +412,7 @@
 		}
 		Eventually(func() bool {
 			for _, m := range f.members {
-				if drained(m.served()) {
+				if drained(m.acquireAndRelease()) {
 					return false
 				}
 			}
@@ -415,19 +420,19 @@
 		}).WithTimeout(zoneLimit).Should(BeTrue())
 	})
 
-	// The log is out for all. When it is back it must not be met by refused calls of the
-	// whole fleet.
-	It("has few daemons ask a log that is out, and follows it when it is back", func() {
-		Eventually(f.reading).WithTimeout(zoneLimit).Should(Equal(largeZones))
+	// The log is down for all. When it recovers it must not be loaded with failing calls
+	// of the whole fleet.
+	It("has few daemons call a log that is down, and follows it once it recovers", func() {
+		Eventually(f.readers).WithTimeout(zoneLimit).Should(Equal(largeZones))
 		f.log.SetDown(true)
 		most := 0
 		for range 40 {
-			most = max(most, f.reading())
+			most = max(most, f.readers())
 			duty.Pause(context.Background(), 50*time.Millisecond)
 		}
 		Expect(most).To(BeNumerically("<=", 5*largeZones))
 		f.log.SetDown(false)
 		f.put(configurations, "config", "2")
-		f.supplied(2)
+		f.awaitSupplied(2)
 	})
 })
