--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -40,7 +40,7 @@
 func (t *fakeTargets) TargetsAge(time.Time) (age time.Duration, whole bool) { return 0, true }
 func (t *fakeTargets) Rebuild()                                             {}
 
-// fakeConfiguration is a configuration that was just heard of.
+// fakeConfiguration is a configuration that was just confirmed.
 type fakeConfiguration struct{}
 
 func (fakeConfiguration) Packed(int64) ([]byte, bool, time.Duration) { return nil, true, 0 }
@@ -50,26 +50,26 @@
 func (fakeConfiguration) Version() int64                             { return 1 }
 func (fakeConfiguration) Routed() <-chan struct{}                    { return nil }
 
-// notes takes the notifications to other daemons.
-type notes struct{ reports []ReaderReport }
+// calls records the notifications to other daemons.
+type calls struct{ reports []ReaderReport }
 
-func (n *notes) Call(context.Context, string, string, any, any) error { return nil }
+func (n *calls) Call(context.Context, string, string, any, any) error { return nil }
 
-func (n *notes) Notify(_, _ string, args any) { n.reports = append(n.reports, args.(ReaderReport)) }
+func (n *calls) Notify(_, _ string, args any) { n.reports = append(n.reports, args.(ReaderReport)) }
 
 var _ = Describe("A daemon of a large zone", func() {
 	var (
 		f       *Feed
 		targets *fakeTargets
-		sent    *notes
-		// answers tells whether the log answers this daemon.
+		sent    *calls
+		// answers reports whether the log answers this daemon.
 		answers bool
 		now     time.Time
 	)
 	BeforeEach(func() {
 		answers = false
 		now = time.Now()
-		sent = &notes{}
+		sent = &calls{}
 		targets = &fakeTargets{zone: places.Zone{Leader: "leader", ReceivedAt: now, Members: []string{"leader", "self", "other"},
 			Roles: places.Roles{Readers: []feed.Reader{{Address: "leader", Age: 0}, {Address: "self", Age: feed.Never}}}}}
 		f = New(Options{Host: "self", Self: "self", Large: func() (bool, bool) { return true, true }, Daemons: func() int { return 3 },
@@ -80,8 +80,8 @@
 			}
 			<-ctx.Done()
 		}
-		f.configurationReading.use(read)
-		f.targetReading.use(read)
+		f.configurationReading.setLoop(read)
+		f.targetReading.setLoop(read)
 		DeferCleanup(func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -91,9 +91,9 @@
 	})
 	step := func() { f.step(context.Background(), now) }
 
-	// Guards against a standby that the log turns away and that passes for a reader, since
-	// the leader gave it all targets a moment ago: it would lead with an old list.
-	It("tells the leader how old its own reading is, and not what others passed on", func() {
+	// Guards against a standby that the log rejects and that counts as a reader because
+	// the leader sent it all targets a moment ago: it would lead with an outdated list.
+	It("reports the age of its own reading to the leader, and not of what others passed on", func() {
 		step()
 		Expect(sent.reports).To(HaveLen(1))
 		Expect(sent.reports[0].Age).To(Equal(feed.Never))
@@ -112,8 +112,8 @@
 		Expect(sent.reports[len(sent.reports)-1].Age).NotTo(Equal(feed.Never))
 	})
 
-	// Guards against a zone without a leader for seconds after its leader was lost, since
-	// that one is still known to have reached the log.
+	// Guards against a zone that has no leader for seconds after its leader was lost,
+	// because the lost leader is still known to have reached the log.
 	It("may lead at once where the leader that reached the log is lost", func() {
 		targets.zone.Readers = targets.zone.Readers[:1]
 		step()
@@ -123,9 +123,9 @@
 		Expect(targets.cutOff).To(BeFalse())
 	})
 
-	// Guards against two daemons that the log turns away and that take the lead from a third
-	// one, which it serves, by turns.
-	It("leaves the lead to a reader that reaches the log, whoever leads at the moment", func() {
+	// Guards against two daemons that the log rejects and that alternately take the
+	// leadership from a third one, which the log serves.
+	It("leaves the leadership to a reader that reaches the log, whoever leads at the moment", func() {
 		targets.zone.Readers = []feed.Reader{{Address: "leader", Age: time.Hour}, {Address: "other", Age: 0}}
 		step()
 		Expect(targets.cutOff).To(BeTrue())
--- a/daemon/feed/serve.go
+++ b/daemon/feed/serve.go
@@ -15,19 +15,20 @@
 
 const (
 	service = "Feed"
-	// viewMethod asks a reader for what is new, reportMethod tells the leader that its
-	// sender reads the log.
+	// viewMethod requests updates from a reader; reportMethod reports to the leader that
+	// the sender reads the log.
 	viewMethod   = service + ".View"
 	reportMethod = service + ".Report"
-	// longestWait bounds how long a subscriber's question is held open.
-	longestWait = 5 * time.Second
+	// maxHold bounds how long a subscriber's request is held open.
+	maxHold = 5 * time.Second
 )
 
-// ViewArgs asks a reader for what a subscriber lacks.
+// ViewArgs requests from a reader what a subscriber lacks.
 type ViewArgs struct {
-	// Host is the subscriber's name, by which its sample is chosen, From its peer address.
+	// Host is the subscriber's name, by which its sample is chosen, From its peer
+	// address.
 	Host, From string
-	// Whole asks for all targets of the zone in place of a sample.
+	// Whole requests all targets of the zone in place of a sample.
 	Whole bool
 	// Version is the configuration that it holds, negative for none.
 	Version int64
@@ -35,24 +36,26 @@
 	Sample uint64
 	// Working are the IDs of the targets at which its work runs.
 	Working []string
-	// WaitMs is how long the question may be held open while there is nothing new.
+	// WaitMs is how long the request may be held open while there is no update, in
+	// milliseconds.
 	WaitMs int64
 }
 
 // ViewReply is what the subscriber lacks.
 type ViewReply struct {
-	// Serves tells that this daemon reads the log and holds a configuration; Readers are
-	// those that do, as far as known here.
+	// Serves reports that this daemon reads the log and holds a configuration; Readers
+	// are the daemons that do, as far as known here.
 	Serves  bool
 	Readers []feed.Reader
-	// Configuration is the newer configuration, compressed, empty for none. Known tells
-	// that the subscriber's own is in force otherwise, and ConfigurationAgeMs how old the
-	// word about that is.
+	// Configuration is the newer configuration, compressed, empty for none. Known reports
+	// that otherwise the subscriber's own version is active, and ConfigurationAgeMs is
+	// the time since that was last confirmed.
 	Configuration      []byte
 	Known              bool
 	ConfigurationAgeMs int64
-	// Sampled tells that all targets are known here. Targets is the subscriber's sample
-	// and Digest its digest, without the targets if the subscriber holds these already.
+	// Sampled reports that all targets are known here. Targets is the subscriber's sample
+	// and Digest its digest; Targets is empty if the subscriber holds that sample
+	// already.
 	Sampled      bool
 	Targets      []roster.Target
 	Digest       uint64
@@ -60,28 +63,28 @@
 	TargetsAgeMs int64
 	// Total is the number of targets.
 	Total int
-	// HeldMs is how long the question was held open.
+	// HeldMs is how long the request was held open, in milliseconds.
 	HeldMs int64
 }
 
-// ReaderReport tells the leader that a daemon reads the log, and how long ago the log last
-// answered it; see feed.Reader.
+// ReaderReport reports to the leader that a daemon reads the log, and how long ago the
+// log last answered it; see feed.Reader.
 type ReaderReport struct {
 	From string
 	Age  time.Duration
 }
 
-// Ack is the empty answer.
+// Ack is the empty reply.
 type Ack struct{}
 
-// calls answers other daemons.
-type calls struct{ feed *Feed }
+// handler answers other daemons.
+type handler struct{ feed *Feed }
 
 // Register adds the service that peers call.
-func (f *Feed) Register(r peer.Registrar) error { return r.Register(service, &calls{f}) }
+func (f *Feed) Register(r peer.Registrar) error { return r.Register(service, &handler{f}) }
 
 // Report is called by the readers of the zone.
-func (s *calls) Report(r ReaderReport, _ *Ack) error {
+func (s *handler) Report(r ReaderReport, _ *Ack) error {
 	s.feed.mu.Lock()
 	defer s.feed.mu.Unlock()
 	s.feed.readers.Report(time.Now(), r.From, r.Age)
@@ -89,15 +92,15 @@
 }
 
 // View is called by subscribers.
-func (s *calls) View(args ViewArgs, reply *ViewReply) error {
+func (s *handler) View(args ViewArgs, reply *ViewReply) error {
 	began := time.Now()
-	wait := min(max(0, time.Duration(args.WaitMs)*time.Millisecond), longestWait)
+	wait := min(max(0, time.Duration(args.WaitMs)*time.Millisecond), maxHold)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	for {
 		routed, listed := s.feed.Configuration.Routed(), s.feed.Targets.Listed()
 		*reply = s.feed.view(args)
-		if !reply.Serves || reply.news(args) || ctx.Err() != nil {
+		if !reply.Serves || reply.hasUpdates(args) || ctx.Err() != nil {
 			break
 		}
 		select {
@@ -110,16 +113,16 @@
 	return nil
 }
 
-// news tells whether the subscriber lacks anything.
-func (r *ViewReply) news(args ViewArgs) bool {
+// hasUpdates reports whether the subscriber lacks anything.
+func (r *ViewReply) hasUpdates(args ViewArgs) bool {
 	return len(r.Configuration) > 0 || r.Sampled && r.Digest != args.Sample
 }
 
-// view answers a question as things stand.
+// view answers a request from the current state.
 func (f *Feed) view(args ViewArgs) ViewReply {
 	zone := f.Targets.OwnZone()
 	f.mu.Lock()
-	serves, lists := f.configurationReading.Running(), f.targetReading.Running()
+	serves, readsTargets := f.configurationReading.Running(), f.targetReading.Running()
 	if args.Whole {
 		f.standby.Seen(time.Now(), args.From)
 	}
@@ -131,7 +134,7 @@
 	reply.Serves = true
 	packed, known, age := f.Configuration.Packed(args.Version)
 	reply.Configuration, reply.Known, reply.ConfigurationAgeMs = packed, known, age.Milliseconds()
-	if sample, sampled := f.Targets.Sample(args.Host, args.Whole, args.Working); sampled && lists {
+	if sample, sampled := f.Targets.Sample(args.Host, args.Whole, args.Working); sampled && readsTargets {
 		reply.setSample(sample, args.Sample)
 	}
 	return reply
@@ -144,7 +147,7 @@
 	}
 }
 
-// digest names a sample. It is never 0.
+// digest returns a hash that identifies a sample. It is never 0.
 func digest(sample []roster.Target) uint64 {
 	h := xxhash.New()
 	for _, t := range sample {
--- a/daemon/feed/subscribe.go
+++ b/daemon/feed/subscribe.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// waitForNews is how long a reader holds a subscriber's question open. Together with
-	// a reader's own wait at the log it keeps the age of what a subscriber holds near a
+	// holdTime is how long a reader holds a subscriber's request open. Together with a
+	// reader's own wait at the log it keeps the age of what a subscriber holds near a
 	// second.
-	waitForNews = 700 * time.Millisecond
-	// answerSlack is how long the answer may take beyond that.
-	answerSlack = 400 * time.Millisecond
-	// askPause is the pause after a question that brought nothing, restPause that of a
-	// daemon that needs no reader.
-	askPause  = 100 * time.Millisecond
-	restPause = 200 * time.Millisecond
-	// likelyReaders is how many daemons, the first ones of the zone's order, are asked
+	holdTime = 700 * time.Millisecond
+	// replySlack is how long the reply may take beyond that.
+	replySlack = 400 * time.Millisecond
+	// retryPause is the pause after a request that failed, idlePause that of a daemon
+	// that needs no reader.
+	retryPause = 100 * time.Millisecond
+	idlePause  = 200 * time.Millisecond
+	// likelyReaders is how many daemons, the first ones of the zone's order, are polled
 	// while no reader is known.
 	likelyReaders = 3
 )
 
-// subscribe asks readers for what is new until ctx is done.
+// subscribe polls readers for updates until ctx is done.
 func (f *Feed) subscribe(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := restPause
-		if address, ask := f.reader(time.Now()); ask {
+		pause := idlePause
+		if address, found := f.nextReader(time.Now()); found {
 			pause = 0
-			if !f.askReader(ctx, address) {
-				pause = askPause
+			if !f.pollReader(ctx, address) {
+				pause = retryPause
 			}
 		}
 		duty.Pause(ctx, pause)
 	}
 }
 
-// reader returns the reader to ask, false for a daemon that needs none or knows none.
-func (f *Feed) reader(now time.Time) (string, bool) {
+// nextReader returns the reader to poll, false for a daemon that needs none or knows
+// none.
+func (f *Feed) nextReader(now time.Time) (string, bool) {
 	zone := f.Targets.OwnZone()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.large || zone.Leads || !f.chosen.IsZero() && now.Sub(f.chosen) < roleFor {
+	if !f.large || zone.Leads || !f.chosenAt.IsZero() && now.Sub(f.chosenAt) < roleTTL {
 		return "", false
 	}
 	if address, known := f.source.Next(now); known {
@@ -54,7 +55,7 @@
 	return likelyReader(zone.Members, f.Self)
 }
 
-// likelyReader returns one of the daemons that read the log as long as nobody leads, or
+// likelyReader returns one of the daemons that read the log while there is no leader, or
 // now and then any other one, which may know the readers.
 func likelyReader(members []string, self string) (string, bool) {
 	if len(members) == 0 {
@@ -68,16 +69,16 @@
 	return address, address != self
 }
 
-// askReader asks a reader once. It tells whether that one serves.
-func (f *Feed) askReader(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, waitForNews+answerSlack)
+// pollReader polls a reader once. It reports whether the reader serves this daemon.
+func (f *Feed) pollReader(ctx context.Context, address string) bool {
+	ctx, cancel := context.WithTimeout(ctx, holdTime+replySlack)
 	defer cancel()
 	f.mu.Lock()
 	zone := f.Targets.OwnZone()
-	args := ViewArgs{Host: f.Host, From: f.Self, Whole: zone.Standby == f.Self, Version: f.Configuration.Version(), Sample: f.adopted, WaitMs: waitForNews.Milliseconds()}
+	args := ViewArgs{Host: f.Host, From: f.Self, Whole: zone.Standby == f.Self, Version: f.Configuration.Version(), Sample: f.adoptedDigest, WaitMs: holdTime.Milliseconds()}
 	f.mu.Unlock()
 	args.Working = f.Targets.Working()
-	asked := time.Now()
+	sentAt := time.Now()
 	var reply ViewReply
 	if err := f.Peers.Call(ctx, address, viewMethod, args, &reply); err != nil {
 		f.Logger.Info("reader_not_reached", zap.String("reader", address), zap.Error(err))
@@ -86,13 +87,13 @@
 		f.mu.Unlock()
 		return false
 	}
-	return f.take(address, asked, args.Whole, &reply)
+	return f.applyReply(address, sentAt, args.Whole, &reply)
 }
 
-// take takes a reader's answer to a question that was asked at the given moment. What the
-// answer says was true when it was given, and so no earlier than after the time for which
-// the question was held open.
-func (f *Feed) take(address string, asked time.Time, whole bool, reply *ViewReply) bool {
+// applyReply applies a reader's reply to a request that was sent at sentAt. The reply's
+// content was valid when the reply was made, and so no earlier than after the time for
+// which the request was held open.
+func (f *Feed) applyReply(address string, sentAt time.Time, whole bool, reply *ViewReply) bool {
 	if !reply.Serves {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -102,7 +103,7 @@
 		}
 		return false
 	}
-	given := asked.Add(time.Duration(reply.HeldMs) * time.Millisecond)
+	repliedAt := sentAt.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	if len(reply.Configuration) > 0 {
 		if err := f.Configuration.TakePacked(reply.Configuration, address); err != nil {
 			f.Logger.Error("configuration_unreadable", zap.String("reader", address), zap.Error(err))
@@ -110,27 +111,27 @@
 		}
 	}
 	if reply.Known {
-		f.Configuration.Hear(given.Add(-time.Duration(reply.ConfigurationAgeMs) * time.Millisecond))
+		f.Configuration.Hear(repliedAt.Add(-time.Duration(reply.ConfigurationAgeMs) * time.Millisecond))
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if reply.Sampled {
-		f.backup.Served(time.Now())
-		f.takeTargets(given, whole, reply)
+		f.fallback.Served(time.Now())
+		f.applyTargets(repliedAt, whole, reply)
 	}
 	return true
 }
 
-// takeTargets takes the targets of an answer, unless they are read from the log here by
-// now. f.mu is held.
-func (f *Feed) takeTargets(given time.Time, whole bool, reply *ViewReply) {
+// applyTargets applies the targets of a reply, unless this daemon reads them from the log
+// by now. f.mu is held.
+func (f *Feed) applyTargets(repliedAt time.Time, whole bool, reply *ViewReply) {
 	if f.targetReading.Running() {
 		return
 	}
-	f.targets = reply.Total
-	at := given.Add(-time.Duration(reply.TargetsAgeMs) * time.Millisecond)
-	if reply.Digest != f.adopted {
-		f.adopted = reply.Digest
+	f.targetCount = reply.Total
+	at := repliedAt.Add(-time.Duration(reply.TargetsAgeMs) * time.Millisecond)
+	if reply.Digest != f.adoptedDigest {
+		f.adoptedDigest = reply.Digest
 		f.Targets.Adopt(at, reply.Targets, whole)
 	}
 	f.Targets.Confirm(at, reply.Started)
