--- a/daemon/signal/sender.go
+++ b/daemon/signal/sender.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// defaultGroupEvery is how long changes wait to share one message.
+	// defaultGroupEvery is how long changes are collected into one message.
 	defaultGroupEvery = 5 * time.Millisecond
-	// defaultRefreshEvery is how often counts that are not zero are said again,
-	// so that a lost message or a new steward is healed.
+	// defaultRefreshEvery is how often counts that are not zero are sent again, so that a
+	// lost message is made up for and a new steward learns them.
 	defaultRefreshEvery = 500 * time.Millisecond
 	// deliverTimeout bounds one delivery.
 	deliverTimeout = 500 * time.Millisecond
-	// zeroRepeats is how often a count that fell to zero is still refreshed: the
-	// one message that says "none" may be lost as well.
+	// zeroRepeats is how often a count that fell to zero is still refreshed: the message
+	// that carries the zero may be lost as well.
 	zeroRepeats = 3
-	// watchPerDaemon scales the period at which idle targets are asked about, so
-	// that a steward hears at most 200 such signals a second from the fleet.
+	// watchPerDaemon scales the period at which the reports of idle targets are
+	// requested, so that a steward receives at most 200 such signals a second from the
+	// fleet.
 	watchPerDaemon = 5 * time.Millisecond
 	// watchSlack absorbs the refresh ticker's jitter.
 	watchSlack = 50 * time.Millisecond
@@ -38,11 +39,11 @@
 
 // Options configure a Sender.
 type Options struct {
-	// View tells who is the steward of a target; required.
+	// View names the steward of a target; required.
 	View membership.View
 	// Peer carries the signals; required.
 	Peer peer.Caller
-	// GroupEvery is the grouping time; default 5 ms.
+	// GroupEvery is how long changes are collected into one signal; default 5 ms.
 	GroupEvery time.Duration
 	// RefreshEvery is the refresh period of counts that are not zero; default 500 ms.
 	RefreshEvery time.Duration
@@ -50,30 +51,31 @@
 	Metrics *metrics.Set
 }
 
-// Sender counts this daemon's online requests by target and tells the
-// stewards. Begin and End only change counters under a short lock: no request
-// ever waits for a message.
+// Sender counts this daemon's online requests by target and sends the counts to the
+// stewards. Begin and End only change counters under a short lock: no request ever waits
+// for a message.
 type Sender struct {
 	opt          Options
 	sent, failed *metrics.Counter
 	wake         chan struct{}
-	// deliveries are on their way, at most one per steward.
-	deliveries sync.WaitGroup
-	mu         sync.Mutex
-	loads      map[string]*load
-	seq        uint64
-	local      Receiver
-	onWords    func([]Word)
-	busy       map[string]bool
+	// deliveries are the deliveries in flight, at most one per steward.
+	deliveries      sync.WaitGroup
+	mu              sync.Mutex
+	loads           map[string]*load
+	seq             uint64
+	local           Receiver
+	onTargetReports func([]Word)
+	inFlight        map[string]bool
 }
 
 type load struct {
 	TargetLoad
 	dirty bool
-	// watched targets are asked about also while nothing of ours runs there.
+	// watched reports that the target's report is also requested while none of this
+	// daemon's requests runs there.
 	watched bool
-	// saidAt is when the count was said last.
-	saidAt time.Time
+	// sentAt is when the count was last sent.
+	sentAt time.Time
 	// repeats counts the refreshes left after the count fell to zero.
 	repeats int
 }
@@ -93,26 +95,26 @@
 		o.Metrics = metrics.NewSet()
 	}
 	return &Sender{
-		opt:    o,
-		sent:   o.Metrics.GetOrCreateCounter("tarragonhollow_signal_sent_total"),
-		failed: o.Metrics.GetOrCreateCounter("tarragonhollow_signal_failed_total"),
-		wake:   make(chan struct{}, 1),
-		loads:  map[string]*load{},
-		busy:   map[string]bool{},
+		opt:      o,
+		sent:     o.Metrics.GetOrCreateCounter("tarragonhollow_signal_sent_total"),
+		failed:   o.Metrics.GetOrCreateCounter("tarragonhollow_signal_failed_total"),
+		wake:     make(chan struct{}, 1),
+		loads:    map[string]*load{},
+		inFlight: map[string]bool{},
 	}, nil
 }
 
-// SetLocal names the receiver of this daemon, for the targets whose steward it
-// is itself. Set it before Run.
+// SetLocal sets this daemon's own receiver, for the targets whose steward it is itself.
+// It must be called before Run.
 func (s *Sender) SetLocal(r Receiver) { s.local = r }
 
-// OnWords names the function that takes the stewards' words. Set it before Run;
-// it must return at once.
-func (s *Sender) OnWords(f func([]Word)) { s.onWords = f }
+// OnTargetReports sets the function that receives the stewards' reports. It must be
+// called before Run; the function must return at once.
+func (s *Sender) OnWords(f func([]Word)) { s.onTargetReports = f }
 
-// Watch names the targets that may be picked. Their stewards are asked for a
-// word now and then also while nothing of ours runs there: without it a target
-// that only other entry hosts use would look empty.
+// Watch sets the targets that may be picked. Their stewards' reports are requested now
+// and then even while none of this daemon's requests runs there: otherwise a target that
+// only other daemons use would look empty.
 func (s *Sender) Watch(addresses []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +150,7 @@
 	l.PromptTokens += promptTokens
 	l.dirty = true
 	s.mu.Unlock()
-	s.poke()
+	s.wakeLoop()
 }
 
 // End counts the end of a request that Begin counted.
@@ -161,12 +163,12 @@
 		l.repeats = zeroRepeats
 	}
 	s.mu.Unlock()
-	s.poke()
+	s.wakeLoop()
 }
 
-func (s *Sender) poke() { duty.Wake(s.wake) }
+func (s *Sender) wakeLoop() { duty.Wake(s.wake) }
 
-// Run starts the sending duty.
+// Run starts the sending goroutine.
 func (s *Sender) Run(g *duty.Group) { g.Go(s.sendLoop) }
 
 func (s *Sender) sendLoop(ctx context.Context) {
@@ -188,9 +190,9 @@
 	}
 }
 
-// send delivers what changed (or, at a refresh, all that counts), one signal
-// for each steward. One delivery per steward is in flight at a time: while one
-// is, its targets stay dirty and go out, with their newest counts, after it.
+// send delivers the changed counts, or at a refresh all that count, in one signal for
+// each steward. One delivery per steward is in flight at a time: meanwhile its targets
+// stay dirty, and their newest counts are sent after it.
 func (s *Sender) send(ctx context.Context, refresh bool) {
 	self := s.opt.View.Self().ID()
 	for steward, signal := range s.collect(self, refresh) {
@@ -202,7 +204,7 @@
 	}
 }
 
-// destination is the part of a member that names a steward.
+// destination identifies a steward.
 type destination struct {
 	id, address string
 }
@@ -215,29 +217,29 @@
 	now := time.Now()
 	watch := max(s.opt.RefreshEvery, time.Duration(len(s.opt.View.Members()))*watchPerDaemon)
 	for address, l := range s.loads {
-		idle := refresh && l.watched && now.Sub(l.saidAt) >= watch-watchSlack
+		idle := refresh && l.watched && now.Sub(l.sentAt) >= watch-watchSlack
 		if !l.due(refresh) && !idle {
 			continue
 		}
 		member, ok := StewardOf(s.opt.View, address)
 		to := destination{member.ID(), member.PeerAddress}
-		if !ok || s.busy[to.id] {
+		if !ok || s.inFlight[to.id] {
 			continue
 		}
 		signal := due[to]
 		signal.Entry, signal.Seq = self, s.seq
 		signal.Targets = append(signal.Targets, l.TargetLoad)
 		due[to] = signal
-		l.dirty, l.saidAt = false, now
+		l.dirty, l.sentAt = false, now
 	}
 	for to := range due {
-		s.busy[to.id] = to.id != self
+		s.inFlight[to.id] = to.id != self
 	}
 	return due
 }
 
-// due tells whether the count is to be said now. Each refresh of a zero count
-// uses up one of its repeats.
+// due reports whether the count is to be sent now. Each refresh of a zero count uses up
+// one of its repeats.
 func (l *load) due(refresh bool) bool {
 	if l.dirty {
 		return true
@@ -258,7 +260,7 @@
 func (s *Sender) deliverLocal(signal Signal) {
 	s.sent.Inc()
 	if s.local != nil {
-		s.heard(s.local.OnSignal(signal))
+		s.receive(s.local.OnSignal(signal))
 	}
 }
 
@@ -268,18 +270,18 @@
 	var reply Reply
 	err := s.opt.Peer.Call(call, to.address, DeliverMethod, &signal, &reply)
 	s.sent.Inc()
-	s.done(to.id, signal, err)
+	s.finish(to.id, signal, err)
 	if err == nil {
-		s.heard(reply.Words)
+		s.receive(reply.Words)
 	}
 }
 
-// done frees the steward for the next signal. A failed delivery is not sent
-// again at once: the refresh heals it, and a steward that is down costs one
-// message per refresh, not one per request.
-func (s *Sender) done(steward string, signal Signal, err error) {
+// finish frees the steward for the next signal. A failed delivery is not repeated at
+// once: the next refresh makes up for it, and a steward that is down costs one message
+// per refresh, not one per request.
+func (s *Sender) finish(steward string, signal Signal, err error) {
 	s.mu.Lock()
-	delete(s.busy, steward)
+	delete(s.inFlight, steward)
 	again := false
 	for _, t := range signal.Targets {
 		l := s.load(t.Address)
@@ -294,12 +296,12 @@
 		return
 	}
 	if again {
-		s.poke()
+		s.wakeLoop()
 	}
 }
 
-func (s *Sender) heard(words []Word) {
-	if s.onWords != nil && len(words) > 0 {
-		s.onWords(words)
+func (s *Sender) receive(reports []Word) {
+	if s.onTargetReports != nil && len(reports) > 0 {
+		s.onTargetReports(reports)
 	}
 }
--- a/daemon/signal/sender_test.go
+++ b/daemon/signal/sender_test.go
@@ -40,7 +40,8 @@
 	return v.Members()[1:]
 }
 
-// steward folds signals as a receiver does; the first failures deliveries are lost.
+// steward applies signals as a receiver does; the first deliveries, as many as failures,
+// are lost.
 type steward struct {
 	mu       sync.Mutex
 	failures int
@@ -99,10 +100,10 @@
 }
 
 var _ = Describe("Sender", func() {
-	// A burst of guests comes while two messages get lost. The steward must end
-	// up with the true count, or batch work would stay in the guests' way; and
-	// when they leave, with zero, or batch would be held back for nothing.
-	It("heals lost signals", func() {
+	// A burst of requests comes while two messages are lost. The steward must end up with
+	// the true count, or batch work would delay the online requests; and with zero once
+	// they have ended, or batch would be queued without need.
+	It("recovers from lost signals", func() {
 		s := &steward{online: map[string]int{}, failures: 2}
 		sender := startSender(s)
 		run(sender)
@@ -119,9 +120,9 @@
 		Eventually(func() int { return s.count("t:1") }).Should(Equal(0))
 	})
 
-	// The steward is replaced while nothing changes at the entry hosts. Its
-	// successor starts with nothing and must learn what runs.
-	It("tells a new steward what runs", func() {
+	// The steward is replaced while nothing changes at the sending daemons. Its successor
+	// starts without counts and must learn what runs.
+	It("reports to a new steward what runs", func() {
 		s := &steward{online: map[string]int{}}
 		sender := startSender(s)
 		run(sender)
@@ -133,9 +134,9 @@
 		Eventually(func() int { return s.count("t:1") }).Should(Equal(1))
 	})
 
-	// The steward's host hangs. No request may wait for it, and what it gets when
-	// it is back is the newest count in one message, not a queue of old ones.
-	It("never makes a request wait and groups what happens meanwhile", func() {
+	// The steward's host hangs. No request may wait for it, and once it is back it gets
+	// the newest count in one message, not a queue of old ones.
+	It("never delays a request and groups the changes meanwhile", func() {
 		s := &steward{online: map[string]int{}, block: make(chan struct{})}
 		sender := startSender(s)
 		run(sender)
@@ -149,7 +150,7 @@
 		Expect(s.signals).To(BeNumerically("<=", 20))
 	})
 
-	It("delivers in process where this daemon is the steward, and passes words on", func() {
+	It("delivers in process where this daemon is the steward, and passes reports on", func() {
 		remote := &steward{online: map[string]int{}}
 		local := &steward{online: map[string]int{}}
 		sender := startSender(remote)
--- a/daemon/signal/types.go
+++ b/daemon/signal/types.go
@@ -1,7 +1,6 @@
-// Package signal carries the entry hosts' word about online requests to the
-// steward of each target, and the stewards' word back. Signals are grouped,
-// absolute and one way in effect: no request waits for one, and a lost one is
-// healed by the next.
+// Package signal carries the daemons' counts of online requests to the steward of each
+// target, and the stewards' reports back. Signals are grouped, absolute and in effect one
+// way: no request waits for one, and the next one makes up for a lost one.
 package signal
 
 import "tarragonhollow.example/tarragonhollow/target"
@@ -9,59 +8,57 @@
 const (
 	// ServiceName is the net/rpc name of the receiving side.
 	ServiceName = "Signal"
-	// DeliverMethod is the method that takes a Signal and answers a Reply.
+	// DeliverMethod is the method that accepts a Signal and answers with a Reply.
 	DeliverMethod = ServiceName + ".Deliver"
 )
 
-// Signal is one entry host's absolute word about targets of one steward.
-// Absolute counts make a lost or repeated signal harmless: the next one says
-// all that counts.
+// Signal is one daemon's absolute counts for targets of one steward. Absolute counts make
+// a lost or repeated signal harmless: the next one carries everything that counts.
 type Signal struct {
-	// Entry is the sending daemon's incarnation id.
+	// Entry is the sending daemon's incarnation ID.
 	Entry string
-	// Seq rises with each signal of this entry; a receiver drops older ones.
+	// Seq rises with each signal of this daemon; a receiver drops older ones.
 	Seq uint64
 	// Targets are the targets whose counts changed or are not zero.
 	Targets []TargetLoad
 }
 
-// TargetLoad is one entry host's own load on one target.
+// TargetLoad is the load of one daemon's requests on one target.
 type TargetLoad struct {
 	// Address is the target's IP:PORT.
 	Address string
-	// Online counts the entry's online requests running there now.
+	// Online counts the daemon's online requests that run there now.
 	Online int
-	// Started counts the online requests the entry ever started there.
+	// Started counts the online requests that the daemon has ever started there.
 	Started uint64
 	// PromptTokens estimates the prompt tokens of the running requests.
 	PromptTokens int
 }
 
-// Word is a steward's word about one target.
+// TargetReport is a steward's report on one target.
 type Word struct {
 	// Address is the target's IP:PORT.
 	Address string
-	// OnlineTotal counts the online requests of all entry hosts running there.
+	// OnlineTotal counts the online requests of all daemons that run there.
 	OnlineTotal int
 	// BatchRunning counts the batch items the steward runs there.
 	BatchRunning int
-	// Report is the engine's last load report, zero if none came.
+	// Report is the target's last load report, zero if none came.
 	Report target.LoadReport
-	// ReportAgeMs is the report's age in milliseconds when the word was given.
+	// ReportAgeMs is the load report's age in milliseconds when this report was made.
 	ReportAgeMs int64
-	// Steward is the speaking daemon's incarnation id.
+	// Steward is the incarnation ID of the reporting daemon.
 	Steward string
 }
 
-// Reply answers a Signal with a Word for each of its targets.
+// Reply answers a Signal with a TargetReport for each of its targets.
 type Reply struct {
 	Words []Word
 }
 
-// Receiver is the steward's side of a signal. OnSignal returns at once and is
-// safe for concurrent use.
+// Receiver is the steward's side of a signal. It is safe for concurrent use.
 type Receiver interface {
-	// OnSignal takes an entry host's counts and returns a word for each target
-	// named that this daemon is the steward of.
+	// OnSignal applies a daemon's counts and returns a report for each named target whose
+	// steward this daemon is. It must return at once.
 	OnSignal(s Signal) []Word
 }
