--- a/daemon/suspects/fakesuspects/fakesuspects.go
+++ b/daemon/suspects/fakesuspects/fakesuspects.go
@@ -1,5 +1,5 @@
-// Package fakesuspects is the word on suspect requests of a daemon without peers,
-// for tests.
+// Package fakesuspects is a tracker of suspect requests for tests, for a daemon without
+// peers.
 package fakesuspects
 
 import (
@@ -8,13 +8,13 @@
 	"tarragonhollow.example/tarragonhollow/core/retry"
 )
 
-// Tracker knows what happened at this daemon only. It is safe for concurrent use.
+// Tracker knows only the crashes at this daemon. It is safe for concurrent use.
 type Tracker struct {
 	mu   sync.Mutex
 	core *retry.Suspects
 }
 
-// New returns a tracker that condemns a request after limit crashes.
+// New returns a tracker that quarantines a request after limit crashes.
 func New(limit int) *Tracker { return &Tracker{core: retry.NewSuspects(limit)} }
 
 // Verdict returns what is known of a request.
@@ -24,7 +24,7 @@
 	return t.core.Verdict(fingerprint)
 }
 
-// Crashed takes a crash.
+// Crashed records a crash.
 func (t *Tracker) Crashed(c retry.Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/suspects/suspects.go
+++ b/daemon/suspects/suspects.go
@@ -1,6 +1,6 @@
-// Package suspects shares between daemons which requests ran on targets as
-// they crashed, so that a request which crashes every target that runs it is
-// refused everywhere, also when its caller sends it to another daemon.
+// Package suspects shares between daemons which requests ran on targets as they crashed,
+// so that a request which crashes every target that runs it is refused everywhere, also
+// when its caller sends it to another daemon.
 package suspects
 
 import (
@@ -26,23 +26,25 @@
 	tellMethod  = ServiceName + ".Tell"
 	allMethod   = ServiceName + ".All"
 
-	// tellBurst rounds of telling go out at once, so that a crash is known
-	// everywhere before its caller can send the request to another daemon; a flood
-	// of crashes is grouped into one round every tellEvery.
-	tellBurst = 20
-	tellEvery = 200 * time.Millisecond
-	// defaultTellWait bounds how long the end of a request that crashed a target
-	// waits for the others to know; a peer that is out costs no more than that.
-	defaultTellWait = 100 * time.Millisecond
+	// broadcastBurst rounds are sent without delay, so that a crash is known everywhere
+	// before its caller can send the request to another daemon; a flood of crashes is
+	// grouped into one round every broadcastEvery.
+	broadcastBurst = 20
+	broadcastEvery = 200 * time.Millisecond
+	// defaultBroadcastWait bounds how long the end of a request that crashed a target
+	// waits for the other daemons to receive the crash; a peer that is down costs no more
+	// than that.
+	defaultBroadcastWait = 100 * time.Millisecond
 	// callTimeout bounds one call of a peer.
 	callTimeout = time.Second
-	// pullEvery is the wait between tries to learn from a peer after the start;
-	// repullEvery is the wait afterwards, which heals what was told in vain.
+	// pullEvery is the interval between attempts to fetch the crashes from a peer after
+	// the start; repullEvery is the interval afterwards, which makes up for lost
+	// broadcasts.
 	pullEvery   = 500 * time.Millisecond
 	repullEvery = 30 * time.Second
-	// expireEvery is how often old crashes are forgotten.
+	// expireEvery is how often old crashes are deleted.
 	expireEvery = time.Minute
-	// maxPending bounds the crashes that wait to be told.
+	// maxPending bounds the crashes that wait to be broadcast.
 	maxPending = 256
 )
 
@@ -51,36 +53,36 @@
 	badOptions = namespace.NewType("options")
 )
 
-// Fleet names the daemons.
+// Fleet lists the daemons.
 type Fleet interface {
 	// Self returns this daemon's own entry.
 	Self() membership.Member
-	// Members returns all daemons; the slice is the caller's.
+	// Members returns all daemons; the caller owns the slice.
 	Members() []membership.Member
 }
 
 // Options configure a Tracker.
 type Options struct {
-	// View names the other daemons; required.
+	// View lists the daemons; required.
 	View Fleet
 	// Peer carries the calls; required.
 	Peer peer.Caller
-	// Registrar takes the service; required.
+	// Registrar registers the service; required.
 	Registrar peer.Registrar
 	// Limit returns how many targets a request may crash; required.
 	Limit func() int
-	// TellWait bounds how long Crashed waits for the others to know; default
-	// 100 ms.
+	// BroadcastWait bounds how long Crashed waits for the other daemons to receive the
+	// crash; default 100 ms.
 	TellWait time.Duration
 	// Clock returns the time; default time.Now.
 	Clock func() time.Time
-	// Logger gets one line for each condemned request; may be nil.
+	// Logger gets one line for each quarantined request; may be nil.
 	Logger *zap.Logger
 	// Metrics receives the counters; may be nil.
 	Metrics *metrics.Set
 }
 
-// Tracker is this daemon's copy of the fleet's knowledge. It is safe for
+// Tracker is this daemon's copy of the fleet's knowledge of crashes. It is safe for
 // concurrent use, by the online path as well as by stewards.
 type Tracker struct {
 	opt     Options
@@ -90,16 +92,16 @@
 	mu      sync.Mutex
 	core    *retry.Suspects
 	pending []retry.Crash
-	// next is closed when what is pending has been told; current, nil if there is
-	// none, when the round under way has been.
+	// next is closed when the pending crashes have been broadcast; current, nil if there
+	// is none, when the broadcast under way has been.
 	next, current chan struct{}
 }
 
 // Message carries crashes between daemons.
 type Message struct {
-	// From is the sender's incarnation id.
+	// From is the sender's incarnation ID.
 	From string
-	// Crashes are what the sender learned.
+	// Crashes are the crashes that the sender knows.
 	Crashes []retry.Crash
 }
 
@@ -109,7 +111,7 @@
 		return nil, badOptions.New("View, Peer, Registrar and Limit are required")
 	}
 	if o.TellWait <= 0 {
-		o.TellWait = defaultTellWait
+		o.TellWait = defaultBroadcastWait
 	}
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -130,33 +132,33 @@
 	return t, o.Registrar.Register(ServiceName, &service{t})
 }
 
-// Verdict returns what may be done with the request.
+// Verdict returns whether and how the request may run.
 func (t *Tracker) Verdict(fingerprint string) retry.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.core.VerdictAt(t.opt.Clock().UnixMilli(), fingerprint)
 }
 
-// Crashed notes a crash seen here, and returns once the other daemons know of
-// it, after TellWait at the latest. AtMs may be 0 for now.
+// Crashed records a crash seen here, and returns once the other daemons have received it,
+// after BroadcastWait at the latest. AtMs may be 0 for now.
 //
-// Failure guarded against: the caller gets its refusal, sends the request to
-// another daemon at once, and that one, not knowing, lets it crash a further
-// target. The request has ended, so only its own account is held up. A crash
-// that is known already waits too: its telling may still be under way.
+// Failure guarded against: the caller gets its refusal, sends the request to another
+// daemon at once, and that daemon, not knowing of the crash, lets it crash a further
+// target. The request has ended, so only its accounting is delayed. A crash that is known
+// already waits too: its broadcast may still be under way.
 func (t *Tracker) Crashed(c retry.Crash) {
 	if c.AtMs == 0 {
 		c.AtMs = t.opt.Clock().UnixMilli()
 	}
 	t.crashes.Inc()
-	if t.learn([]retry.Crash{c}) {
-		t.tellLater([]retry.Crash{c})
+	if t.apply([]retry.Crash{c}) {
+		t.queueBroadcast([]retry.Crash{c})
 	}
-	t.awaitTold()
+	t.awaitBroadcast()
 }
 
-// awaitTold waits for the round that tells what is known now.
-func (t *Tracker) awaitTold() {
+// awaitBroadcast waits for the broadcast of everything that is known now.
+func (t *Tracker) awaitBroadcast() {
 	t.mu.Lock()
 	round := t.current
 	if len(t.pending) > 0 {
@@ -174,44 +176,44 @@
 	}
 }
 
-// Completed notes that the request ran to its end: it is no suspect any more.
+// Completed records that the request ran to its end: it is no longer a suspect.
 func (t *Tracker) Completed(fingerprint string) {
 	t.mu.Lock()
 	changed := t.core.Completed(fingerprint)
 	t.mu.Unlock()
 	if len(changed) > 0 {
-		t.tellLater(changed)
+		t.queueBroadcast(changed)
 	}
 }
 
-// learn takes crashes and tells whether any was new. It logs who became
-// condemned by them.
-func (t *Tracker) learn(crashes []retry.Crash) bool {
+// apply applies crashes and reports whether any was new. It logs the requests that they
+// quarantine.
+func (t *Tracker) apply(crashes []retry.Crash) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.SetLimit(t.opt.Limit())
 	now := t.opt.Clock().UnixMilli()
 	changed := false
 	for _, c := range crashes {
-		before := t.condemnedOf(c)
+		before := t.quarantinedBy(c)
 		if !t.core.Hear(now, c) {
 			continue
 		}
 		changed = true
-		t.logCondemned(c, before)
+		t.logQuarantined(c, before)
 	}
 	return changed
 }
 
-func (t *Tracker) condemnedOf(c retry.Crash) map[string]bool {
-	condemned := map[string]bool{}
+func (t *Tracker) quarantinedBy(c retry.Crash) map[string]bool {
+	quarantined := map[string]bool{}
 	for _, f := range c.Running {
-		condemned[f] = t.core.Verdict(f) == retry.Condemned
+		quarantined[f] = t.core.Verdict(f) == retry.Condemned
 	}
-	return condemned
+	return quarantined
 }
 
-func (t *Tracker) logCondemned(c retry.Crash, before map[string]bool) {
+func (t *Tracker) logQuarantined(c retry.Crash, before map[string]bool) {
 	for _, f := range c.Running {
 		if before[f] || t.core.Verdict(f) != retry.Condemned {
 			continue
@@ -222,7 +224,7 @@
 	}
 }
 
-func (t *Tracker) tellLater(crashes []retry.Crash) {
+func (t *Tracker) queueBroadcast(crashes []retry.Crash) {
 	t.mu.Lock()
 	t.pending = append(t.pending, crashes...)
 	if extra := len(t.pending) - maxPending; extra > 0 {
@@ -232,21 +234,21 @@
 	duty.Wake(t.wake)
 }
 
-// Run starts the duties.
+// Run starts the tracker's goroutines.
 func (t *Tracker) Run(g *duty.Group) {
-	g.Go(t.tellLoop)
+	g.Go(t.broadcastLoop)
 	g.Go(t.pullLoop)
 	g.Go(t.expireLoop)
 }
 
-// tellLoop tells all live daemons what is new here. Crashes are rare, so the
-// fan-out costs nothing in ordinary times. A peer that does not answer must not
-// hold up the next round, so calls outlast their round; callTimeout and the rate
-// of rounds bound how many.
-func (t *Tracker) tellLoop(ctx context.Context) {
+// broadcastLoop broadcasts new crashes to all live daemons. Crashes are rare, so the
+// fan-out normally costs nothing. A peer that does not answer must not delay the next
+// round, so calls may outlast their round; callTimeout and the rate of rounds bound their
+// number.
+func (t *Tracker) broadcastLoop(ctx context.Context) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	rounds := rate.NewLimiter(rate.Every(tellEvery), tellBurst)
+	rounds := rate.NewLimiter(rate.Every(broadcastEvery), broadcastBurst)
 	for {
 		select {
 		case <-ctx.Done():
@@ -256,15 +258,15 @@
 		if rounds.Wait(ctx) != nil {
 			return
 		}
-		crashes, told := t.beginRound()
+		crashes, done := t.beginRound()
 		if len(crashes) > 0 {
-			t.tell(ctx, &calls, crashes)
+			t.broadcast(ctx, &calls, crashes)
 		}
-		t.endRound(told)
+		t.endRound(done)
 	}
 }
 
-// beginRound takes what is pending.
+// beginRound takes the pending crashes.
 func (t *Tracker) beginRound() ([]retry.Crash, chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -274,15 +276,15 @@
 	return crashes, t.current
 }
 
-func (t *Tracker) endRound(told chan struct{}) {
+func (t *Tracker) endRound(done chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.current = nil
-	close(told)
+	close(done)
 }
 
-// tell returns when all others know, or after TellWait.
-func (t *Tracker) tell(ctx context.Context, calls *sync.WaitGroup, crashes []retry.Crash) {
+// broadcast returns when all others have received the crashes, or after BroadcastWait.
+func (t *Tracker) broadcast(ctx context.Context, calls *sync.WaitGroup, crashes []retry.Crash) {
 	self := t.opt.View.Self()
 	message := &Message{From: self.ID(), Crashes: crashes}
 	var round sync.WaitGroup
@@ -296,12 +298,12 @@
 			t.call(ctx, m.PeerAddress, tellMethod, message, &Message{})
 		})
 	}
-	told := make(chan struct{})
-	calls.Go(func() { round.Wait(); close(told) })
+	done := make(chan struct{})
+	calls.Go(func() { round.Wait(); close(done) })
 	timer := time.NewTimer(t.opt.TellWait)
 	defer timer.Stop()
 	select {
-	case <-told:
+	case <-done:
 	case <-timer.C:
 	}
 }
@@ -312,8 +314,8 @@
 	return t.opt.Peer.Call(call, address, method, args, reply) == nil
 }
 
-// pullLoop learns from one random peer what happened before this daemon
-// started, and now and then what it was told in vain.
+// pullLoop fetches from one random peer the crashes from before this daemon's start, and
+// repeats that now and then to make up for lost broadcasts.
 func (t *Tracker) pullLoop(ctx context.Context) {
 	wait := pullEvery
 	for duty.Pause(ctx, wait) {
@@ -326,7 +328,7 @@
 		from := others[rand.IntN(len(others))]
 		var reply Message
 		if t.call(ctx, from.PeerAddress, allMethod, &Message{From: self.ID()}, &reply) {
-			t.learn(reply.Crashes)
+			t.apply(reply.Crashes)
 			wait = repullEvery
 		}
 	}
@@ -352,19 +354,19 @@
 	}
 }
 
-// service is the net/rpc face of a Tracker.
+// service is the net/rpc handler of a Tracker.
 type service struct {
 	tracker *Tracker
 }
 
-// Tell takes crashes from another daemon. They are not passed on: the one who
-// saw them tells everybody.
+// Tell applies crashes from another daemon. They are not passed on: the daemon that saw
+// them broadcasts them to all.
 func (s *service) Tell(m *Message, _ *Message) error {
-	s.tracker.learn(m.Crashes)
+	s.tracker.apply(m.Crashes)
 	return nil
 }
 
-// All answers with everything known here.
+// All replies with all crashes known here.
 func (s *service) All(_ *Message, reply *Message) error {
 	s.tracker.mu.Lock()
 	defer s.tracker.mu.Unlock()
--- a/daemon/suspects/suspects_test.go
+++ b/daemon/suspects/suspects_test.go
@@ -76,10 +76,10 @@
 }
 
 var _ = Describe("Tracker", func() {
-	// A drawing crashes an engine through one entry host; its caller sends it
-	// again through another, where it crashes a second one. Every entry host,
-	// and one that starts only later, must refuse it from then on.
-	It("condemns on all daemons by crashes seen on different ones", func() {
+	// A request crashes a target through one daemon; its caller sends it again through
+	// another daemon, where it crashes a second target. Every daemon, also one that
+	// starts later, must refuse it from then on.
+	It("quarantines on all daemons after crashes seen on different ones", func() {
 		f := &fleet{}
 		a, b, c := startDaemon(f, "a"), startDaemon(f, "b"), startDaemon(f, "c")
 		run(a, b, c)
@@ -95,10 +95,10 @@
 		Eventually(func() retry.Verdict { return late.Verdict("drawing") }, "5s").Should(Equal(retry.Condemned))
 	})
 
-	// The caller of a drawing is refused after a crash and sends it again at once,
-	// to the next daemon, over and over. Telling was held back for 200 ms after the
-	// first crash, so the next daemon did not know of the second one.
-	It("has told the others when the end of a crashed request is accounted for", func() {
+	// The caller of a request is refused after a crash and sends it again at once, to the
+	// next daemon, over and over. Guards against broadcasts that are delayed for 200 ms
+	// after the first crash, so that the next daemon does not know of the second one.
+	It("has broadcast a crash when the end of the request is accounted for", func() {
 		f := &fleet{}
 		a, b := startDaemon(f, "a"), startDaemon(f, "b")
 		run(a, b)
@@ -108,8 +108,9 @@
 		}
 	})
 
-	// An innocent shared the crash. Its completion on one daemon clears it on all.
-	It("clears an innocent everywhere", func() {
+	// A request that did not cause the crash ran at the crashed target. Its completion on
+	// one daemon clears it on all.
+	It("clears an innocent request on all daemons", func() {
 		f := &fleet{}
 		a, b := startDaemon(f, "a"), startDaemon(f, "b")
 		run(a, b)
