--- a/daemon/places/take.go
+++ b/daemon/places/take.go
@@ -35,8 +35,8 @@
 type Place struct {
 	roster.Target
 	// Running is how many requests of the fleet, online and batch, ran there as far as
-	// known; LoadReportAge is the maximum age of the other daemons' part of it. By is the
-	// leader that chose the target, "" if this daemon chose it.
+	// known; LoadReportAge is the maximum age of the other daemons' part of it. GrantedBy
+	// is the leader that chose the target, "" if this daemon chose it.
 	Running int
 	WordAge time.Duration
 	By      string
@@ -164,16 +164,16 @@
 	if refusal := g.table.Admit(now, now.Add(a.Patience)); refusal != nil {
 		return Place{}, refusal
 	}
-	ask := routing.Request{Zone: p.zone, Exclude: a.Exclude, LastChance: a.LastChance, SeedValue: rand.Uint64()}
-	ask.FarIsStale = p.Scheduled()
-	ask.WordAge = time.Duration(p.loadReportAge.Load())
-	ask.Alone = a.Alone
+	request := routing.Request{Zone: p.zone, Exclude: a.Exclude, LastChance: a.LastChance, SeedValue: rand.Uint64()}
+	request.FarIsStale = p.Scheduled()
+	request.WordAge = time.Duration(p.loadReportAge.Load())
+	request.Alone = a.Alone
 	choice, ok := routing.Choice{}, false
 	if !a.Alone {
-		choice, ok = g.table.PickLeast(now, ask)
+		choice, ok = g.table.PickLeast(now, request)
 	}
 	if !ok {
-		choice, ok = g.table.Pick(now, ask)
+		choice, ok = g.table.Pick(now, request)
 	}
 	t, known := p.eligible[roster.Start(choice.Address)]
 	if !ok || !known {
@@ -181,7 +181,7 @@
 	}
 	running := p.board.Total(now, string(t.Start))
 	place := p.begin(t, p.scheduler.leases.next(), "", false)
-	place.Running, place.WordAge = running.Online+running.Batch, ask.WordAge
+	place.Running, place.WordAge = running.Online+running.Batch, request.WordAge
 	return place, nil
 }
 
@@ -250,7 +250,8 @@
 }
 
 // AcquireBatch chooses the target with the least work that keeps headroom slots free
-// beside the new item, and counts a batch item there; ReleaseBatch must follow.
+// beside the new item, and counts a batch item there; ReleaseBatch must follow. It returns
+// false if no target has such a slot.
 func (p *Places) TakeBatch(ctx context.Context, groupName string, exclude map[string]bool, headroom int) (Place, bool) {
 	if !p.Scheduled() {
 		return p.acquireBatchLocally(groupName, exclude, headroom)
--- a/daemon/signal/sender.go
+++ b/daemon/signal/sender.go
@@ -16,8 +16,8 @@
 const (
 	// defaultGroupEvery is how long changes are collected into one message.
 	defaultGroupEvery = 5 * time.Millisecond
-	// defaultRefreshEvery is how often counts that are not zero are sent again, so that a
-	// lost message is made up for and a new steward learns them.
+	// defaultRefreshEvery is how often counts that are not zero are sent again, to make up
+	// for lost messages and to inform a new steward.
 	defaultRefreshEvery = 500 * time.Millisecond
 	// deliverTimeout bounds one delivery.
 	deliverTimeout = 500 * time.Millisecond
