--- a/daemon/jobs/allowance.go
+++ b/daemon/jobs/allowance.go
@@ -8,15 +8,15 @@
 	"tarragonhollow.example/tarragonhollow/daemon/places"
 )
 
-// mostStarts bounds how many items start at one look where each is asked for by
-// itself: asking takes some 0.5 ms, and giving way must not wait for longer.
-const mostStarts = 40
+// maxStartsPerStep bounds how many items start in one step where each needs its own
+// request for a slot: a request takes some 0.5 ms, and preemption waits until the step ends.
+const maxStartsPerStep = 40
 
-// allowance returns how many items of the group may start at this look. Where leaders
-// give slots out they count what is free, and no pace is needed.
+// allowance returns how many items of the group may start in this step. Where the zones'
+// leaders grant slots, they count the free ones, and no pacing is needed.
 func (r *runner) allowance(group string) int {
 	if r.jobs.Places.Scheduled() {
-		return mostStarts
+		return maxStartsPerStep
 	}
 	free := r.jobs.Places.Free(group, r.jobs.Headroom)
 	p := r.pacers[group]
@@ -27,7 +27,7 @@
 	fleet := r.jobs.Fleet()
 	n := p.Allow(time.Now(), free, min(fleet, r.jobs.Parts), places.WordAge(fleet), rand.Float64())
 	if n < free {
-		// The rest of the share comes with time alone.
+		// The rest of the share becomes available over time, without another event.
 		r.wake()
 	}
 	return n
--- a/daemon/jobs/bodies.go
+++ b/daemon/jobs/bodies.go
@@ -11,38 +11,36 @@
 )
 
 const (
-	// chunkBytes is the size of a record of a body. The log's records hold
-	// 256 KiB.
+	// chunkBytes is the size of a body's records. The log's records hold 256 KiB.
 	chunkBytes = 192 << 10
-	// callBytes bounds the records of one append; the log takes 2 MiB.
-	callBytes = 1 << 20
-	// putAttempts bounds the appends of one group of chunks.
+	// maxAppendBytes bounds the records of one append; the log accepts 2 MiB.
+	maxAppendBytes = 1 << 20
+	// putAttempts bounds the attempts to append one group of chunks.
 	putAttempts = 4
 )
 
-// bodyStore writes items' bodies to the log and reads them back. The bodies of
-// the partitions that this daemon runs are held in memory until their items
-// end.
+// bodyStore writes items' bodies to the log and reads them back. The bodies in the
+// partitions that this daemon holds are cached in memory until their items end.
 type bodyStore struct {
 	jobs *Jobs
 
-	mu   sync.Mutex
-	held map[string]map[int][][]byte // job, item, chunk
-	// following holds the end of each followed partition's reader.
+	mu    sync.Mutex
+	cache map[string]map[int][][]byte // job, item, chunk
+	// following holds the reader of each followed partition.
 	following map[int]*bodyReader
 }
 
 func newBodyStore(j *Jobs) *bodyStore {
-	return &bodyStore{jobs: j, held: map[string]map[int][][]byte{}, following: map[int]*bodyReader{}}
+	return &bodyStore{jobs: j, cache: map[string]map[int][][]byte{}, following: map[int]*bodyReader{}}
 }
 
 func (b *bodyStore) partition(part int) partlog.Partition {
 	return partlog.Partition{Topic: b.jobs.Topics.Bodies, Part: part}
 }
 
-// put writes all bodies of a job, and the list of its items where that stands apart
-// from the acceptance. Writing them again is harmless: the keys are the same, and so
-// is the content.
+// put writes all bodies of a job, and the list of its items if that is stored apart from
+// the acceptance. Writing them again is harmless: the keys are the same, and so is the
+// content.
 func (b *bodyStore) put(ctx context.Context, s *Submission, list []byte) error {
 	p := b.partition(b.jobs.part(s.ID))
 	var group []partlog.Record
@@ -52,7 +50,7 @@
 	size := len(list)
 	for i := range s.Items {
 		for chunk, data := range chunks(s.Items[i].Body) {
-			if size+len(data) > callBytes {
+			if size+len(data) > maxAppendBytes {
 				if err := b.append(ctx, p, group); err != nil {
 					return err
 				}
@@ -74,8 +72,9 @@
 		if err == nil {
 			return nil
 		}
-		if attempt == putAttempts || !duty.Pause(ctx, unsettledPause) {
-			// Bodies alone accept nothing, whether they arrived or not.
+		if attempt == putAttempts || !duty.Pause(ctx, appendRetryPause) {
+			// Without an acceptance the job doesn't exist, whether or not its bodies were
+			// written.
 			return partlog.Unavailable.Wrap(err, "the bodies could not be kept")
 		}
 	}
@@ -93,9 +92,9 @@
 	return list
 }
 
-// get returns a body from memory, or from the log.
+// get returns a body from the cache, or else from the log.
 func (b *bodyStore) get(ctx context.Context, job string, item, size int) ([]byte, error) {
-	if body, ok := b.have(job, item, size); ok {
+	if body, ok := b.cached(job, item, size); ok {
 		return body, nil
 	}
 	p := b.partition(b.jobs.part(job))
@@ -108,8 +107,8 @@
 		}
 		for _, k := range page.Records {
 			after = k.Key
-			of, at, _, err := batch.ParseBodyKey(k.Key)
-			if err != nil || of != job || at != item {
+			bodyJob, bodyItem, _, err := batch.ParseBodyKey(k.Key)
+			if err != nil || bodyJob != job || bodyItem != item {
 				return nil, partlog.Invalid.New("the body of %s item %d has %d of %d bytes", job, item, len(body), size)
 			}
 			body = append(body, k.Value...)
@@ -124,21 +123,21 @@
 	return body, nil
 }
 
-// have returns a body that is held in memory whole.
-func (b *bodyStore) have(job string, item, size int) ([]byte, bool) {
+// cached returns a body from the cache; false if not all of it is there.
+func (b *bodyStore) cached(job string, item, size int) ([]byte, bool) {
 	if size == 0 {
 		return nil, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var body []byte
-	for _, chunk := range b.held[job][item] {
+	for _, chunk := range b.cache[job][item] {
 		body = append(body, chunk...)
 	}
 	return body, len(body) == size
 }
 
-// follow reads the bodies of a partition until unfollow.
+// follow starts reading the bodies of a partition; unfollow stops it.
 func (b *bodyStore) follow(ctx context.Context, part int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,7 +150,7 @@
 	go partlog.Follow(ctx, b.jobs.Log, b.partition(part), bodiesPace, r)
 }
 
-// unfollow ends the reading of a partition.
+// unfollow stops reading a partition.
 func (b *bodyStore) unfollow(part int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,23 +160,23 @@
 	}
 }
 
-// drop forgets the body of an item that has ended, or of a whole job.
-func (b *bodyStore) drop(job string, item int) {
+// evict removes the body of an item that has ended from the cache.
+func (b *bodyStore) evict(job string, item int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.held[job], item)
-	if len(b.held[job]) == 0 {
-		delete(b.held, job)
+	delete(b.cache[job], item)
+	if len(b.cache[job]) == 0 {
+		delete(b.cache, job)
 	}
 }
 
-func (b *bodyStore) dropJob(job string) {
+func (b *bodyStore) evictJob(job string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.held, job)
+	delete(b.cache, job)
 }
 
-// bodyReader takes the bodies of one partition.
+// bodyReader caches the bodies of one partition.
 type bodyReader struct {
 	store    *bodyStore
 	part     int
@@ -190,44 +189,44 @@
 
 // Load implements partlog.Reader.
 func (r *bodyReader) Load(records []partlog.Kept, end int64) {
-	r.keep(records)
+	r.cacheChunks(records)
 	r.position = end
 }
 
 // Take implements partlog.Reader.
 func (r *bodyReader) Take(page partlog.Page) {
-	r.keep(page.Records)
+	r.cacheChunks(page.Records)
 	r.position = page.Next
 }
 
-// Heard implements partlog.Reader; the results of the partition tell of outages.
+// Heard implements partlog.Reader. The cursor of the partition's results reports outages.
 func (r *bodyReader) Heard(time.Time, error) {}
 
-// keep holds the chunks of items that have not ended.
-func (r *bodyReader) keep(records []partlog.Kept) {
+// cacheChunks caches the chunks of items that have not ended.
+func (r *bodyReader) cacheChunks(records []partlog.Kept) {
 	for _, k := range records {
 		if _, isList := batch.ParseItemsKey(k.Key); isList {
-			_ = r.store.jobs.applyItems(k) // it tells of an unreadable one
+			_ = r.store.jobs.applyItems(k) // it logs an unreadable record
 			continue
 		}
 		job, item, chunk, err := batch.ParseBodyKey(k.Key)
-		if err != nil || len(k.Value) == 0 || r.store.jobs.over(job, item) {
+		if err != nil || len(k.Value) == 0 || r.store.jobs.itemEnded(job, item) {
 			continue
 		}
-		r.store.hold(job, item, chunk, k.Value)
+		r.store.cacheChunk(job, item, chunk, k.Value)
 	}
 	if len(records) > 0 {
 		r.store.jobs.runner.wake()
 	}
 }
 
-func (b *bodyStore) hold(job string, item, chunk int, data []byte) {
+func (b *bodyStore) cacheChunk(job string, item, chunk int, data []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	items := b.held[job]
+	items := b.cache[job]
 	if items == nil {
 		items = map[int][][]byte{}
-		b.held[job] = items
+		b.cache[job] = items
 	}
 	for len(items[item]) <= chunk {
 		items[item] = append(items[item], nil)
@@ -235,10 +234,10 @@
 	items[item][chunk] = data
 }
 
-// over tells whether an item is known to have ended, or its job.
-func (j *Jobs) over(job string, item int) bool {
+// itemEnded reports whether the item or its job is known to have ended.
+func (j *Jobs) itemEnded(job string, item int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	known := j.book.Job(job)
+	known := j.store.Job(job)
 	return known != nil && known.Accepted && (known.Ended || known.Finished(item))
 }
--- a/daemon/jobs/body.go
+++ b/daemon/jobs/body.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// bodyMethod is the call that reads a body at the daemon that holds it.
+	// bodyMethod is the RPC that reads a body from the daemon that holds it.
 	bodyMethod = "Jobs.Body"
-	// bodyTime bounds it, before the log is read instead.
-	bodyTime = 500 * time.Millisecond
+	// bodyTimeout bounds that call; then the log is read instead.
+	bodyTimeout = 500 * time.Millisecond
 )
 
-// BodyArgs asks for the body of an item.
+// BodyArgs requests the body of an item.
 type BodyArgs struct {
-	// Account is the client account that asks, "" for none.
+	// Account is the client account that makes the request, "" for none.
 	Account, Job, Item string
 }
 
-// BodyReply is the body. Held is false if the daemon does not have it in memory.
+// BodyReply returns the body. Held is false if the daemon does not have it in memory.
 type BodyReply struct {
 	Body []byte
 	Held bool
@@ -32,35 +32,35 @@
 
 // Body is called by peers.
 func (s *service) Body(args BodyArgs, reply *BodyReply) error {
-	if !s.jobs.has(args.Job, func(known *batch.Job) bool { return known.BelongsTo(args.Account) }) {
+	if !s.jobs.hasJob(args.Job, func(known *batch.Job) bool { return known.BelongsTo(args.Account) }) {
 		return nil
 	}
 	index, size := s.jobs.findItem(args.Job, args.Item)
 	if index >= 0 {
-		reply.Body, reply.Held = s.jobs.bodies.have(args.Job, index, size)
+		reply.Body, reply.Held = s.jobs.bodies.cached(args.Job, index, size)
 	}
 	return nil
 }
 
-// Body returns the body of an item that has no result yet. Account is the client account
-// that asks, "" for none.
+// Body returns the body of an item that has no result yet. The account is the client
+// account that makes the request, "" for none.
 func (j *Jobs) Body(ctx context.Context, account, id, item string) ([]byte, *outcome.Refusal) {
 	forwards := j.forwards(id)
 	if forwards {
-		if body, ok := j.bodyAtHolder(ctx, account, id, item); ok {
+		if body, ok := j.bodyFromHolder(ctx, account, id, item); ok {
 			return body, nil
 		}
 	}
-	if refusal := j.knownTo(ctx, account, id); refusal != nil {
+	if refusal := j.requireJob(ctx, account, id); refusal != nil {
 		return nil, refusal
 	}
-	if !forwards && !j.holds(id) && j.Fleet() > fromLogUpTo {
-		if body, ok := j.bodyAtHolder(ctx, account, id, item); ok {
+	if !forwards && !j.holds(id) && j.Fleet() > maxFleetForLogReads {
+		if body, ok := j.bodyFromHolder(ctx, account, id, item); ok {
 			return body, nil
 		}
 	}
-	if err := j.list(ctx, id); err != nil {
-		return nil, logOut(err)
+	if err := j.loadItems(ctx, id); err != nil {
+		return nil, refuseUnavailable(err)
 	}
 	index, size := j.findItem(id, item)
 	if index < 0 {
@@ -68,27 +68,27 @@
 	}
 	body, err := j.bodies.get(ctx, id, index, size)
 	if err != nil {
-		return nil, logOut(err)
+		return nil, refuseUnavailable(err)
 	}
 	return body, nil
 }
 
-// bodyAtHolder asks the daemon that holds the job's partition: a page of the log in
-// which a body stands holds up to 1 MB.
-func (j *Jobs) bodyAtHolder(ctx context.Context, account, id, item string) ([]byte, bool) {
+// bodyFromHolder requests the body from the daemon that holds the job's partition: read
+// from the log, it would come in a page of up to 1 MB.
+func (j *Jobs) bodyFromHolder(ctx context.Context, account, id, item string) ([]byte, bool) {
 	var reply BodyReply
-	answered := j.askHolder(ctx, id, bodyTime, bodyMethod, BodyArgs{account, id, item}, &reply)
+	answered := j.callHolder(ctx, id, bodyTimeout, bodyMethod, BodyArgs{account, id, item}, &reply)
 	return reply.Body, answered && reply.Held
 }
 
-// list makes sure that the job's items are known: where they stand apart from the
+// loadItems makes sure that the job's items are known: if they are stored apart from the
 // acceptance, only the daemon that runs them has read them.
-func (j *Jobs) list(ctx context.Context, id string) error {
+func (j *Jobs) loadItems(ctx context.Context, id string) error {
 	j.mu.Lock()
-	known := j.book.Job(id)
-	listed := known != nil && known.Listed()
+	known := j.store.Job(id)
+	hasItems := known != nil && known.Listed()
 	j.mu.Unlock()
-	if known == nil || listed {
+	if known == nil || hasItems {
 		return nil
 	}
 	page, err := j.Log.Newest(ctx, j.bodies.partition(j.part(id)), batch.BeforeItemsKey(id))
@@ -101,18 +101,18 @@
 	return j.applyItems(page.Records[0])
 }
 
-// applyItems takes a list of items into the book.
+// applyItems applies a list of items to the store.
 func (j *Jobs) applyItems(k partlog.Kept) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	change, err := j.book.ApplyItems(k.Key, k.Value)
+	change, err := j.store.ApplyItems(k.Key, k.Value)
 	if err != nil {
 		j.Logger.Error("record_unreadable", zap.String("key", k.Key), zap.Int64("offset", k.Offset), zap.Error(err))
 		return err
 	}
 	if change.Job != "" {
-		j.runner.note(change)
-		j.news.Tell()
+		j.runner.onChange(change)
+		j.changes.Tell()
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 func (j *Jobs) findItem(id, item string) (index, size int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	known := j.book.Job(id)
+	known := j.store.Job(id)
 	if known == nil {
 		return -1, 0
 	}
--- a/daemon/jobs/detour.go
+++ b/daemon/jobs/detour.go
@@ -15,45 +15,45 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// A job that this daemon can't hand to the log soon goes through other daemons as
+// If the log doesn't accept a job soon, the job is submitted through other daemons as
 // well.
 //
-// Load pattern answered: the log turns some hosts away, or they are cut off from it,
-// or the answer to an append is lost, for seconds, while the other hosts are served.
-// One job in a few arrives at such a host, and its caller, refused or kept waiting
-// past its objective, comes back too late for all of its items. Handing a job in twice
-// is harmless: the log accepts it once, whoever appends it.
+// Load pattern: for seconds the log rejects some hosts, or they are cut off from it, or
+// the answer to an append is lost, while the other hosts are served. One job in a few
+// arrives at such a host; if its caller is refused or waits past its objective, it
+// retries too late for all of the job's items. Submitting a job twice is harmless: the
+// log accepts it once, whoever appends it.
 
 const (
-	// detourAfter is how long the log may take before another daemon is asked. A
-	// submission takes three calls of some 4 ms; callers are promised an answer in
-	// 400 ms or more, which leaves time for two daemons.
-	detourAfter = 100 * time.Millisecond
-	// detourEvery is the pause before the next daemon is asked.
-	detourEvery = 80 * time.Millisecond
-	// forwardEvery is that pause for a daemon that does not follow the jobs: a job with its
-	// bodies takes this long to a holder over the link of a small host.
-	forwardEvery = 300 * time.Millisecond
-	// detourMost bounds the daemons that are asked, so that a log that is slow for all
-	// gets three times the submissions at most.
-	detourMost = 2
-	// submitMethod is the call that hands a job in at another daemon.
+	// fallbackDelay is how long the log may take before another daemon is called. A
+	// submission takes three calls of some 4 ms; callers are promised an answer in 400 ms
+	// or more, which leaves time for two daemons.
+	fallbackDelay = 100 * time.Millisecond
+	// fallbackInterval is the pause before the next daemon is called.
+	fallbackInterval = 80 * time.Millisecond
+	// forwardInterval is that pause on a daemon that does not follow the acceptances:
+	// sending a job with its bodies to a holder takes this long over a small host's link.
+	forwardInterval = 300 * time.Millisecond
+	// maxFallbackPeers bounds the daemons that are called, so that a log that is slow for
+	// all hosts gets at most three times the submissions.
+	maxFallbackPeers = 2
+	// submitMethod is the RPC that submits a job through another daemon.
 	submitMethod = "Jobs.Submit"
 )
 
-// SubmitArgs hands a job in.
+// SubmitArgs submits a job.
 type SubmitArgs struct {
 	Submission Submission
-	// LeftMs is how long the caller still waits.
+	// LeftMs is how much longer the caller waits, in milliseconds.
 	LeftMs int64
 }
 
-// SubmitReply tells how that ended; no refusal is an acceptance.
+// SubmitReply returns the outcome; no refusal means that the job is accepted.
 type SubmitReply struct {
 	Refusal *outcome.Refusal
 }
 
-// Submit is called by peers. It goes straight to the log.
+// Submit is called by peers. It appends to the log without a further fallback.
 func (s *service) Submit(args SubmitArgs, reply *SubmitReply) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(args.LeftMs)*time.Millisecond)
 	defer cancel()
@@ -63,7 +63,7 @@
 
 func (j *Jobs) submitForPeer(ctx context.Context, s *Submission) *outcome.Refusal {
 	table := j.Routes()
-	if table == nil || j.accepted.lost() || !j.following.running() {
+	if table == nil || j.accepted.isFailing() || !j.following.running() {
 		return outcome.Refuse(outcome.LogUnavailable, "%s does not reach the log either", j.Host).After(retryAfterMs)
 	}
 	r := table.Match(s.Host, s.Path)
@@ -71,112 +71,113 @@
 		return outcome.Refuse(outcome.LogUnavailable, "%s has no such route", j.Host).After(retryAfterMs)
 	}
 	refusal := j.submit(ctx, s, r, newRecord(s, r))
-	j.tellSubmitted(s, r, refusal, "peer")
+	j.logSubmitted(s, r, refusal, "peer")
 	return refusal
 }
 
-// lost tells whether the last reading of the partition failed.
-func (c *cursor) lost() bool {
+// isFailing reports whether the last read of the partition failed.
+func (c *cursor) isFailing() bool {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
 	return c.failing
 }
 
-// handing is a job that is being handed in.
-type handing struct {
+// pendingSubmit is a submission in progress.
+type pendingSubmit struct {
 	jobs   *Jobs
 	ctx    context.Context
 	job    *Submission
 	record *batch.JobRecord
 	route  *route.Route
-	// others are the daemons that may still be asked.
-	others []places.Peer
-	ways   batch.Ways
-	ended  chan *outcome.Refusal
-	// direct tells that the job went to the log from here.
+	// peers are the daemons that may still be called.
+	peers    []places.Peer
+	attempts batch.Ways
+	done     chan *outcome.Refusal
+	// direct is set once the job was sent to the log from here.
 	direct bool
 }
 
-// handIn hands the job in by all ways that it takes.
-func (j *Jobs) handIn(ctx context.Context, s *Submission, r *route.Route, record *batch.JobRecord) *outcome.Refusal {
+// submitWithFallback submits the job to the log and through other daemons until one
+// accepts it or all have failed.
+func (j *Jobs) submitWithFallback(ctx context.Context, s *Submission, r *route.Route, record *batch.JobRecord) *outcome.Refusal {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	h := &handing{jobs: j, ctx: ctx, job: s, record: record, route: r, others: j.detours(s.ID),
-		ended: make(chan *outcome.Refusal, 1+detourMost)}
-	wait, pause := detourAfter, detourEvery
+	p := &pendingSubmit{jobs: j, ctx: ctx, job: s, record: record, route: r, peers: j.fallbackPeers(s.ID),
+		done: make(chan *outcome.Refusal, 1+maxFallbackPeers)}
+	wait, pause := fallbackDelay, fallbackInterval
 	if !j.following.running() {
-		pause = forwardEvery
+		pause = forwardInterval
 	}
-	if (j.accepted.lost() || !j.following.running()) && len(h.others) > 0 {
+	if (j.accepted.isFailing() || !j.following.running()) && len(p.peers) > 0 {
 		wait = 0
 	} else {
-		h.goDirect()
+		p.submitDirect()
 	}
 	next := time.NewTimer(wait)
 	defer next.Stop()
 	for {
 		select {
-		case refusal := <-h.ended:
-			h.ways.End(refusal)
-			if h.ways.Accepted() {
+		case refusal := <-p.done:
+			p.attempts.End(refusal)
+			if p.attempts.Accepted() {
 				return nil
 			}
-			if h.ways.Final() {
-				h.others = nil
+			if p.attempts.Final() {
+				p.peers = nil
 			}
 			next.Reset(0)
 		case <-next.C:
-			if h.detour() {
+			if p.submitToNextPeer() {
 				next.Reset(pause)
 			}
 		}
-		if !h.ways.Open() && len(h.others) == 0 {
-			return h.ways.Refusal()
+		if !p.attempts.Open() && len(p.peers) == 0 {
+			return p.attempts.Refusal()
 		}
 	}
 }
 
-func (h *handing) begin(way func() *outcome.Refusal) {
-	h.ways.Begin()
-	go func() { h.ended <- way() }()
+func (p *pendingSubmit) begin(attempt func() *outcome.Refusal) {
+	p.attempts.Begin()
+	go func() { p.done <- attempt() }()
 }
 
-func (h *handing) goDirect() {
-	h.direct = true
-	h.begin(func() *outcome.Refusal { return h.jobs.submit(h.ctx, h.job, h.route, h.record) })
+func (p *pendingSubmit) submitDirect() {
+	p.direct = true
+	p.begin(func() *outcome.Refusal { return p.jobs.submit(p.ctx, p.job, p.route, p.record) })
 }
 
-// detour asks the next daemon, if there is one.
-func (h *handing) detour() bool {
-	if len(h.others) == 0 {
+// submitToNextPeer calls the next daemon; false if there is none.
+func (p *pendingSubmit) submitToNextPeer() bool {
+	if len(p.peers) == 0 {
 		return false
 	}
-	to := h.others[0]
-	h.others = h.others[1:]
-	last := len(h.others) == 0
-	h.begin(func() *outcome.Refusal {
-		refusal, reached := h.ask(to)
-		if !reached && last && !h.direct {
-			// Nobody was reached: the log itself is the last way.
-			return h.jobs.submit(h.ctx, h.job, h.route, h.record)
+	to := p.peers[0]
+	p.peers = p.peers[1:]
+	last := len(p.peers) == 0
+	p.begin(func() *outcome.Refusal {
+		refusal, reached := p.submitToPeer(to)
+		if !reached && last && !p.direct {
+			// No daemon was reached: the log itself is the last resort.
+			return p.jobs.submit(p.ctx, p.job, p.route, p.record)
 		}
 		return refusal
 	})
 	return true
 }
 
-// ask hands the job in at another daemon.
-func (h *handing) ask(to places.Peer) (refusal *outcome.Refusal, reached bool) {
-	left := jobTime
-	if deadline, ok := h.ctx.Deadline(); ok {
+// submitToPeer submits the job through another daemon.
+func (p *pendingSubmit) submitToPeer(to places.Peer) (refusal *outcome.Refusal, reached bool) {
+	left := defaultSubmitTimeout
+	if deadline, ok := p.ctx.Deadline(); ok {
 		left = time.Until(deadline)
 	}
 	var reply SubmitReply
-	err := h.jobs.Peers.Call(h.ctx, to.Address, submitMethod, SubmitArgs{*h.job, left.Milliseconds()}, &reply)
+	err := p.jobs.Peers.Call(p.ctx, to.Address, submitMethod, SubmitArgs{*p.job, left.Milliseconds()}, &reply)
 	if err == nil {
 		return reply.Refusal, true
 	}
-	h.jobs.Logger.Info("job_detour_failed", zap.String("job", h.job.ID), zap.String("peer", to.Address), zap.Error(err))
+	p.jobs.Logger.Info("job_detour_failed", zap.String("job", p.job.ID), zap.String("peer", to.Address), zap.Error(err))
 	refusal = outcome.Refuse(outcome.LogUnavailable, "%s: %v", to.Address, err).After(retryAfterMs)
 	if peer.IsUnreachable(err) {
 		return refusal, false
@@ -184,33 +185,33 @@
 	return refusal.WithRun(outcome.MayHaveRun), true
 }
 
-// jobTime bounds a submission whose caller names no time.
-const jobTime = 4 * time.Second
+// defaultSubmitTimeout bounds a submission whose caller sets no deadline.
+const defaultSubmitTimeout = 4 * time.Second
 
-// detours picks the daemons that may be asked about a job: one of the own zone, which
-// costs no bytes between zones, and others by chance; in a large zone those that hold
-// partitions.
-func (j *Jobs) detours(job string) []places.Peer {
+// fallbackPeers picks the daemons that may be called for a job: one of the local zone,
+// which causes no traffic between zones, then random others; in a large zone those that
+// hold partitions.
+func (j *Jobs) fallbackPeers(job string) []places.Peer {
 	if j.Large() {
 		return j.holders(job)
 	}
 	if j.Others == nil {
 		return nil
 	}
-	var near, far []places.Peer
+	var local, remote []places.Peer
 	for _, other := range j.Others() {
 		if other.Zone == j.Zone {
-			near = append(near, other)
+			local = append(local, other)
 		} else {
-			far = append(far, other)
+			remote = append(remote, other)
 		}
 	}
 	shuffle := func(list []places.Peer) {
 		rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	}
-	shuffle(near)
-	shuffle(far)
-	first := min(1, len(near))
-	picked := slices.Concat(near[:first], far, near[first:])
-	return picked[:min(detourMost, len(picked))]
+	shuffle(local)
+	shuffle(remote)
+	first := min(1, len(local))
+	picked := slices.Concat(local[:first], remote, local[first:])
+	return picked[:min(maxFallbackPeers, len(picked))]
 }
--- a/daemon/jobs/fakes_test.go
+++ b/daemon/jobs/fakes_test.go
@@ -15,8 +15,8 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// reader is what daemons call at each other.
-type reader interface {
+// peerService is the RPC service that daemons call on each other.
+type peerService interface {
 	Read(jobs.ReadArgs, *jobs.ReadReply) error
 	Submit(jobs.SubmitArgs, *jobs.SubmitReply) error
 	Write(jobs.WriteArgs, *jobs.WriteReply) error
@@ -26,11 +26,11 @@
 
 // fakePeers calls the daemons of a spec directly. A daemon's address is its name.
 type fakePeers struct {
-	mu      sync.Mutex
-	daemons map[string]reader
-	cut     bool
-	lose    bool
-	calls   int
+	mu          sync.Mutex
+	daemons     map[string]peerService
+	cut         bool
+	dropReplies bool
+	calls       int
 }
 
 func (p *fakePeers) address(host string) (string, bool) { return host, true }
@@ -41,8 +41,8 @@
 	delete(p.daemons, host)
 }
 
-// daemon returns what others call at a daemon.
-func (p *fakePeers) daemon(host string) reader {
+// daemon returns the RPC service of a daemon.
+func (p *fakePeers) daemon(host string) peerService {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.daemons[host]
@@ -55,11 +55,11 @@
 	p.cut = cut
 }
 
-// loseAnswers makes calls take effect whose answers are lost.
-func (p *fakePeers) loseAnswers(lose bool) {
+// setDropReplies makes submissions take effect without a reply.
+func (p *fakePeers) setDropReplies(drop bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lose = lose
+	p.dropReplies = drop
 }
 
 // called returns how many calls were made.
@@ -77,14 +77,14 @@
 		to = nil
 	}
 	p.calls++
-	lose := p.lose
+	dropReplies := p.dropReplies
 	p.mu.Unlock()
 	if to == nil {
 		return peer.Unreachable.New("%s", address)
 	}
 	if method == "Jobs.Submit" {
 		err := to.Submit(args.(jobs.SubmitArgs), reply.(*jobs.SubmitReply))
-		if lose {
+		if dropReplies {
 			return peer.NoReply.New("%s", address)
 		}
 		return err
@@ -104,7 +104,7 @@
 // Notify implements peer.Caller.
 func (p *fakePeers) Notify(string, string, any) {}
 
-// registrar takes the service of the daemon.
+// registrar returns a registrar that records the daemon's service.
 func (p *fakePeers) registrar(host string) peer.Registrar { return hostPeers{p, host} }
 
 type hostPeers struct {
@@ -116,17 +116,17 @@
 func (h hostPeers) Register(_ string, receiver any) error {
 	h.peers.mu.Lock()
 	defer h.peers.mu.Unlock()
-	h.peers.daemons[h.host] = receiver.(reader)
+	h.peers.daemons[h.host] = receiver.(peerService)
 	return nil
 }
 
-// list returns the daemons but one.
-func (p *fakePeers) list(but string) []places.Peer {
+// list returns all daemons except one.
+func (p *fakePeers) list(except string) []places.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []places.Peer
 	for host := range p.daemons {
-		if host != but {
+		if host != except {
 			list = append(list, places.Peer{Address: host, Zone: "z"})
 		}
 	}
@@ -136,32 +136,32 @@
 // hostLog is the log as one host reaches it.
 type hostLog struct {
 	*fakepartlog.Log
-	mu  sync.Mutex
-	way string
+	mu      sync.Mutex
+	failure string
 }
 
 // The ways in which a host may fail to reach the log.
 const (
-	turnedAway = "turned away"
-	silent     = "silent"
+	rejected   = "turned away"
+	unanswered = "silent"
 )
 
 func newHostLog(log *fakepartlog.Log) *hostLog { return &hostLog{Log: log} }
 
-func (l *hostLog) set(way string) {
+func (l *hostLog) setFailure(failure string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.way = way
+	l.failure = failure
 }
 
 func (l *hostLog) reach(ctx context.Context) error {
 	l.mu.Lock()
-	way := l.way
+	failure := l.failure
 	l.mu.Unlock()
-	switch way {
-	case turnedAway:
+	switch failure {
+	case rejected:
 		return partlog.Unavailable.New("not this host")
-	case silent:
+	case unanswered:
 		<-ctx.Done()
 		return partlog.Unknown.Wrap(ctx.Err(), "no answer")
 	}
@@ -192,24 +192,24 @@
 	return l.Log.Newest(ctx, p, after)
 }
 
-// noSuspects clears everybody.
+// noSuspects considers every request clear.
 type noSuspects struct{}
 
 func (noSuspects) Verdict(string) retry.Verdict { return retry.Clear }
 func (noSuspects) Crashed(retry.Crash)          {}
 func (noSuspects) Completed(string)             {}
 
-// emptyHanded deals out no partitions.
-type emptyHanded struct{ *fakepartlog.Log }
+// noPartitions assigns no partitions.
+type noPartitions struct{ *fakepartlog.Log }
 
-func (emptyHanded) Join(context.Context, string, string, []string, time.Duration, int64) (partlog.Claim, error) {
+func (noPartitions) Join(context.Context, string, string, []string, time.Duration, int64) (partlog.Claim, error) {
 	return partlog.Claim{Generation: 1}, nil
 }
 
-// everything deals all partitions out to whoever asks.
-type everything struct{ *fakepartlog.Log }
+// allPartitions assigns all partitions to every member.
+type allPartitions struct{ *fakepartlog.Log }
 
-func (everything) Join(_ context.Context, _, _ string, names []string, _ time.Duration, _ int64) (partlog.Claim, error) {
+func (allPartitions) Join(_ context.Context, _, _ string, names []string, _ time.Duration, _ int64) (partlog.Claim, error) {
 	claim := partlog.Claim{Generation: 1}
 	for part := range 4 {
 		claim.Parts = append(claim.Parts, partlog.Partition{Topic: names[0], Part: part})
@@ -217,58 +217,58 @@
 	return claim, nil
 }
 
-// leaving deals everything out until the membership can't be renewed any more.
-type leaving struct {
-	everything
-	lost atomic.Bool
+// losableGroup assigns all partitions until unreachable is set; then joins fail.
+type losableGroup struct {
+	allPartitions
+	unreachable atomic.Bool
 }
 
-func (l *leaving) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
-	if l.lost.Load() {
+func (l *losableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
+	if l.unreachable.Load() {
 		return partlog.Claim{}, partlog.Unavailable.New("not this host")
 	}
-	return l.everything.Join(ctx, group, member, names, ttl, generation)
+	return l.allPartitions.Join(ctx, group, member, names, ttl, generation)
 }
 
-// boardHearer is what daemons call to tell what they run.
-type boardHearer interface {
+// reportReceiver is the RPC service to which daemons send their load reports.
+type reportReceiver interface {
 	Hear(board.Word, *places.Ack) error
 }
 
-// boardRegistrar takes the one of a view's services that hears words.
-type boardRegistrar struct{ to *boardHearer }
+// reportRegistrar records the service among a view's that receives load reports.
+type reportRegistrar struct{ to *reportReceiver }
 
 // Register implements peer.Registrar.
-func (r boardRegistrar) Register(_ string, receiver any) error {
-	if hearer, hears := receiver.(boardHearer); hears {
-		*r.to = hearer
+func (r reportRegistrar) Register(_ string, receiver any) error {
+	if reports, ok := receiver.(reportReceiver); ok {
+		*r.to = reports
 	}
 	return nil
 }
 
-// namedHolder says that one daemon holds all partitions, "" for nobody.
-type namedHolder struct{ self, holder string }
+// fixedHolder names one daemon as the holder of all partitions, "" for none.
+type fixedHolder struct{ self, holder string }
 
-func (h namedHolder) Address() string { return h.self }
+func (h fixedHolder) Address() string { return h.self }
 
-func (h namedHolder) PartHolder(int) (string, bool) { return h.holder, h.holder != "" }
+func (h fixedHolder) PartHolder(int) (string, bool) { return h.holder, h.holder != "" }
 
-func (h namedHolder) PartHolders() []string {
+func (h fixedHolder) PartHolders() []string {
 	if h.holder == "" {
 		return nil
 	}
 	return []string{h.holder}
 }
 
-// taken deals everything out until it is taken away.
-type taken struct {
-	everything
-	away atomic.Bool
+// revocableGroup assigns all partitions until revoked is set, and then none.
+type revocableGroup struct {
+	allPartitions
+	revoked atomic.Bool
 }
 
-func (t *taken) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
-	if t.away.Load() {
+func (t *revocableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
+	if t.revoked.Load() {
 		return partlog.Claim{Generation: 2}, nil
 	}
-	return t.everything.Join(ctx, group, member, names, ttl, generation)
+	return t.allPartitions.Join(ctx, group, member, names, ttl, generation)
 }
--- a/daemon/jobs/handover.go
+++ b/daemon/jobs/handover.go
@@ -11,23 +11,23 @@
 	"tarragonhollow.example/tarragonhollow/daemon/places"
 )
 
-// Results that this daemon can't write soon are written by another one.
+// Results that this daemon can't write soon are handed off to another daemon.
 //
-// Load pattern answered: the log turns some hosts away for seconds, or they are cut off
-// from it, while others are served. Results that end there would be shown late, and lost
-// with the host; and the new holder of their partition would run the items again.
+// Load pattern: for seconds the log rejects some hosts, or they are cut off from it,
+// while others are served. Results that end there would be returned to callers late and
+// lost with the host, and the new holder of their partition would run the items again.
 
 const (
-	// handOverAfter is how long a result may wait before another daemon is asked to
-	// write it. Written here, it takes some 110 ms.
-	handOverAfter = 500 * time.Millisecond
-	// handOverEvery is the pace at which waiting results are looked for.
-	handOverEvery = 250 * time.Millisecond
-	// handOverTime bounds one call.
-	handOverTime = 1500 * time.Millisecond
-	// handOverBytes bounds the results of one call.
-	handOverBytes = 1 << 20
-	// writeMethod is the call that hands results over.
+	// handOffDelay is how long a result may wait before another daemon is called to write
+	// it. A local write takes some 110 ms.
+	handOffDelay = 500 * time.Millisecond
+	// handOffInterval is how often waiting results are looked for.
+	handOffInterval = 250 * time.Millisecond
+	// handOffTimeout bounds one call.
+	handOffTimeout = 1500 * time.Millisecond
+	// maxHandOffBytes bounds the results of one call.
+	maxHandOffBytes = 1 << 20
+	// writeMethod is the RPC that hands off results.
 	writeMethod = "Jobs.Write"
 )
 
@@ -37,46 +37,46 @@
 	Result batch.Result
 }
 
-// WriteArgs asks for results to be written, all of one partition.
+// WriteArgs requests that results, all of one partition, be written.
 type WriteArgs struct {
 	Part    int
 	Results []KeptResult
 }
 
-// WriteReply tells that all of them stand on the log.
+// WriteReply reports whether all of them are on the log.
 type WriteReply struct {
 	Written bool
 }
 
 // Write is called by peers.
 func (s *service) Write(args WriteArgs, reply *WriteReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handOffTimeout)
 	defer cancel()
 	reply.Written = s.jobs.writeForPeer(ctx, args)
 	return nil
 }
 
-// writeForPeer writes the results and returns once they are in the book.
+// writeForPeer writes the results and returns true once they are in the store.
 func (j *Jobs) writeForPeer(ctx context.Context, args WriteArgs) bool {
-	if args.Part < 0 || args.Part >= len(j.writers) || j.accepted.lost() || !j.following.running() {
+	if args.Part < 0 || args.Part >= len(j.writers) || j.accepted.isFailing() || !j.following.running() {
 		return false
 	}
 	c := j.results[args.Part]
-	if !j.readWithin(c, freshFor) && j.catchUp(ctx, c) != nil {
+	if !j.readWithin(c, maxReadAge) && j.catchUp(ctx, c) != nil {
 		return false
 	}
 	for _, r := range args.Results {
 		if !j.finished(r.Job, r.Result.Item) {
-			j.writers[args.Part].add(entry{r.Job, r.Result, time.Now()})
+			j.writers[args.Part].add(queuedResult{r.Job, r.Result, time.Now()})
 		}
 	}
 	for {
-		news := j.news.Next()
+		changed := j.changes.Next()
 		if j.allFinished(args.Results) {
 			return true
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-ctx.Done():
 			return false
 		}
@@ -86,7 +86,7 @@
 func (j *Jobs) finished(job string, item int) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	known := j.book.Job(job)
+	known := j.store.Job(job)
 	return known != nil && known.Finished(item)
 }
 
@@ -99,35 +99,35 @@
 	return true
 }
 
-// handOver hands results over until ctx is done.
-func (j *Jobs) handOver(ctx context.Context) {
-	duty.Every(ctx, handOverEvery, func() {
+// handOffResults hands off results until ctx is done.
+func (j *Jobs) handOffResults(ctx context.Context) {
+	duty.Every(ctx, handOffInterval, func() {
 		for _, w := range j.writers {
-			j.handOverPart(ctx, w)
+			j.handOffPart(ctx, w)
 		}
 	})
 }
 
-func (j *Jobs) handOverPart(ctx context.Context, w *writer) {
-	waiting := w.waiting(time.Now().Add(-handOverAfter))
+func (j *Jobs) handOffPart(ctx context.Context, w *writer) {
+	waiting := w.waiting(time.Now().Add(-handOffDelay))
 	if len(waiting) == 0 {
 		return
 	}
-	args, keys := handOverArgs(w.cursor.partition.Part, waiting)
-	for _, other := range j.detours(waiting[0].job) {
-		if j.askToWrite(ctx, other, args) {
+	args, keys := handOffArgs(w.cursor.partition.Part, waiting)
+	for _, other := range j.fallbackPeers(waiting[0].job) {
+		if j.requestWrite(ctx, other, args) {
 			w.remove(keys)
 			return
 		}
 	}
 }
 
-func handOverArgs(part int, waiting []entry) (WriteArgs, map[itemKey]bool) {
+func handOffArgs(part int, waiting []queuedResult) (WriteArgs, map[itemKey]bool) {
 	args, keys := WriteArgs{Part: part}, map[itemKey]bool{}
 	size := 0
 	for _, e := range waiting {
 		size += len(e.result.Output)
-		if size > handOverBytes && len(keys) > 0 {
+		if size > maxHandOffBytes && len(keys) > 0 {
 			break
 		}
 		args.Results = append(args.Results, KeptResult{e.job, e.result})
@@ -136,8 +136,8 @@
 	return args, keys
 }
 
-func (j *Jobs) askToWrite(ctx context.Context, to places.Peer, args WriteArgs) bool {
-	ctx, cancel := context.WithTimeout(ctx, handOverTime)
+func (j *Jobs) requestWrite(ctx context.Context, to places.Peer, args WriteArgs) bool {
+	ctx, cancel := context.WithTimeout(ctx, handOffTimeout)
 	defer cancel()
 	var reply WriteReply
 	err := j.Peers.Call(ctx, to.Address, writeMethod, args, &reply)
@@ -146,7 +146,7 @@
 	return err == nil && reply.Written
 }
 
-// unwritten names the items whose results wait to be written.
+// unwritten returns the items whose results wait to be written.
 func (j *Jobs) unwritten() []itemKey {
 	var keys []itemKey
 	now := time.Now()
--- a/daemon/jobs/item.go
+++ b/daemon/jobs/item.go
@@ -18,35 +18,35 @@
 
 const (
 	noEvent = relay.NoEvent
-	// itemLimit bounds one run of an item; the longest take some ten seconds.
-	itemLimit = 2 * time.Minute
-	// itemFirstPatience is how long an item waits for a target's first sign. It
-	// is only sent where a place is free, so a longer wait means trouble.
-	itemFirstPatience = 3 * time.Second
-	// itemGapPatience is the silence after which a run is given up; events come
-	// every few tens of milliseconds, and a target that has no memory left may
-	// hold one back for a while.
-	itemGapPatience = 1500 * time.Millisecond
-	// itemIdle bounds how long a kept connection may have been idle.
-	itemIdle = time.Minute
-	// itemReadSize is the most that is read at once.
-	itemReadSize = 16 << 10
-	// afterBusy and afterFailure delay an item that was turned away or failed.
-	afterBusy    = 100 * time.Millisecond
-	afterFailure = 300 * time.Millisecond
-	// longestDelay bounds the growing delay of an item whose runs are broken off.
-	longestDelay = 10 * time.Second
+	// itemTimeout bounds one run of an item; the longest take some ten seconds.
+	itemTimeout = 2 * time.Minute
+	// itemFirstMaxWait is how long an item waits for a target's first bytes. Items are
+	// only sent where a slot is free, so a longer wait indicates a fault.
+	itemFirstMaxWait = 3 * time.Second
+	// itemGapMaxWait is the silence after which a run is abandoned; events arrive every
+	// few tens of milliseconds, and a target that is out of memory may delay one for a
+	// while.
+	itemGapMaxWait = 1500 * time.Millisecond
+	// itemMaxIdle bounds how long a reused connection may have been idle.
+	itemMaxIdle = time.Minute
+	// itemReadBytes is the maximum number of bytes per read.
+	itemReadBytes = 16 << 10
+	// rejectedDelay and failureDelay delay an item that was rejected or failed.
+	rejectedDelay = 100 * time.Millisecond
+	failureDelay  = 300 * time.Millisecond
+	// maxRetryDelay bounds the backoff of an item whose runs are broken off.
+	maxRetryDelay = 10 * time.Second
 )
 
-// runEnd is how a run of an item ended.
-type runEnd struct {
-	// whole: all events came.
-	whole bool
-	// never: the target says that the item can never be done.
-	never bool
-	// failed: the target says that this run failed.
+// runResult is how a run of an item ended.
+type runResult struct {
+	// complete is set if all events were received.
+	complete bool
+	// impossible is set if the target reported that the item can never succeed.
+	impossible bool
+	// failed is set if the target reported that this run failed.
 	failed bool
-	// broken: the target broke the connection.
+	// broken is set if the target broke the connection.
 	broken bool
 	delay  time.Duration
 	cause  string
@@ -54,33 +54,33 @@
 }
 
 // runItem runs the item once and decides what follows.
-func (r *runner) runItem(ctx context.Context, c *candidate, run *running, p *progress, body []byte) {
+func (r *runner) runItem(ctx context.Context, c *candidate, run *itemRun, p *progress, body []byte) {
 	before := p.lastEvent
-	var end runEnd
+	var end runResult
 	r.jobs.Crashes.Watch(ctx, run.target, c.item.ID, func() bool {
 		end = r.runOnce(ctx, c, run, p, body)
 		return end.broken
 	})
-	p.noteFruitless(end, before)
+	p.countUnsuccessful(end, before)
 	if ctx.Err() != nil {
 		end.health = routing.Neutral
 		end.delay = 0
 		end.cause = run.reason
 	}
-	r.jobs.Places.ReleaseBatch(run.place, end.health)
-	r.learn(c, run, p, end, before)
+	r.jobs.Places.ReleaseBatch(run.slot, end.health)
+	r.updateEstimates(c, run, p, end, before)
 	if end.failed {
 		p.failures++
 	}
 	switch {
-	case end.whole:
+	case end.complete:
 		r.finish(c, batch.Succeeded, p.text(), "")
-	case end.never:
+	case end.impossible:
 		r.finish(c, batch.Errored, "", end.cause)
 	case p.failures >= c.route.MaxAttempts:
 		r.finish(c, batch.Errored, "", end.cause)
 	default:
-		r.again(c, run, p, end)
+		r.retryLater(c, run, p, end)
 	}
 	r.mu.Lock()
 	delete(r.active, c.key)
@@ -88,114 +88,114 @@
 	r.wake()
 }
 
-// learn takes what a run tells of items' speed.
-func (r *runner) learn(c *candidate, run *running, p *progress, end runEnd, before int64) {
-	had := p.events()
+// updateEstimates updates the estimator with the events that the run received.
+func (r *runner) updateEstimates(c *candidate, run *itemRun, p *progress, end runResult, before int64) {
+	received := p.eventCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.speed.Ran(had-before-1, time.Since(run.began))
-	if end.whole {
-		r.speed.Finished(had, c.item.Tokens)
+	r.estimator.Ran(received-before-1, time.Since(run.startedAt))
+	if end.complete {
+		r.estimator.Finished(received, c.item.Tokens)
 	}
 }
 
-// again leaves the item to a later run.
-func (r *runner) again(c *candidate, run *running, p *progress, end runEnd) {
-	r.meter.again.Inc()
-	p.avoid = ""
+// retryLater leaves the item for a later run.
+func (r *runner) retryLater(c *candidate, run *itemRun, p *progress, end runResult) {
+	r.meter.retries.Inc()
+	p.avoidTarget = ""
 	if end.delay > 0 {
-		p.avoid = string(run.target.Start)
-		p.notBefore = time.Now().Add(p.pause(end.delay))
+		p.avoidTarget = string(run.target.Start)
+		p.notBefore = time.Now().Add(p.backoff(end.delay))
 	}
 	r.jobs.Logger.Info("item_run_ended", zap.String("job", c.key.job), zap.String("id", c.item.ID), zap.String("target", run.target.ID),
 		zap.String("cause", end.cause), zap.Int64("last_event", p.lastEvent), zap.Int("failures", p.failures),
-		zap.Int64("ms", time.Since(run.began).Milliseconds()))
+		zap.Int64("ms", time.Since(run.startedAt).Milliseconds()))
 }
 
-// runOnce sends the item to the target and gathers its events.
-func (r *runner) runOnce(ctx context.Context, c *candidate, run *running, p *progress, body []byte) runEnd {
+// runOnce sends the item to the target and collects its events.
+func (r *runner) runOnce(ctx context.Context, c *candidate, run *itemRun, p *progress, body []byte) runResult {
 	request := &relay.Request{
 		ID: c.item.ID, Route: c.route, Account: c.account,
 		HTTP: h1.Request{Method: http.MethodPost, URI: c.item.Path, Host: c.host, Header: itemHeader(c.item.Headers), Body: body},
 	}
 	sender := relay.Sender{Wire: r.jobs.Wire, Pool: r.jobs.Pool}
 	answer, verdict, err := sender.Send(ctx, request, run.target, relay.NoDeadline, p.lastEvent, h1.Options{
-		MaxIdle: itemIdle, Deadline: time.Now().Add(itemLimit), Patience: itemFirstPatience,
+		MaxIdle: itemMaxIdle, Deadline: time.Now().Add(itemTimeout), Patience: itemFirstMaxWait,
 	})
 	if err != nil {
-		return brokenRun(err)
+		return errorResult(err)
 	}
 	switch verdict {
 	case relay.TurnedAway:
-		return runEnd{cause: "turned away", delay: afterBusy, health: routing.Neutral}
+		return runResult{cause: "rejected by the target", delay: rejectedDelay, health: routing.Neutral}
 	case relay.Elsewhere:
-		return runEnd{cause: "another target has the address", delay: afterBusy, health: routing.HardFailed}
+		return runResult{cause: "another target has the address", delay: rejectedDelay, health: routing.HardFailed}
 	}
 	defer answer.Close()
 	if answer.Status == http.StatusOK {
-		return gather(answer, p)
+		return collectEvents(answer, p)
 	}
-	answer.Drain(afterFailure)
-	return failedRun(answer.Status)
+	answer.Drain(failureDelay)
+	return statusResult(answer.Status)
 }
 
-// failedRun tells what an answer without a text means.
-func failedRun(status int) runEnd {
+// statusResult maps the status of an answer without events to the result of the run.
+func statusResult(status int) runResult {
 	switch status {
 	case http.StatusUnprocessableEntity:
-		return runEnd{never: true, cause: "the target can't do it", health: routing.Succeeded}
+		return runResult{impossible: true, cause: "the target can't do it", health: routing.Succeeded}
 	case http.StatusInternalServerError:
-		return runEnd{failed: true, cause: "the target failed", delay: afterFailure, health: routing.SoftFailed}
+		return runResult{failed: true, cause: "the target failed", delay: failureDelay, health: routing.SoftFailed}
 	default:
-		return runEnd{cause: http.StatusText(status), delay: afterFailure, health: routing.SoftFailed}
+		return runResult{cause: http.StatusText(status), delay: failureDelay, health: routing.SoftFailed}
 	}
 }
 
-// brokenRun tells what an error of the exchange means.
-func brokenRun(err error) runEnd {
-	return runEnd{broken: errorx.IsOfType(err, h1.Broken), cause: err.Error(), delay: afterFailure, health: routing.SoftFailed}
+// errorResult maps an error of the exchange to the result of the run.
+func errorResult(err error) runResult {
+	return runResult{broken: errorx.IsOfType(err, h1.Broken), cause: err.Error(), delay: failureDelay, health: routing.SoftFailed}
 }
 
-// noteFruitless counts runs that the target broke off without a new event. An
-// item that crashes each target must not take one down every moment until it
-// is too old: its runs get further and further apart.
-func (p *progress) noteFruitless(end runEnd, before int64) {
+// countUnsuccessful counts the consecutive runs that the target broke off without a new
+// event. They back off exponentially: an item that crashes every target must not take
+// one down every moment until it expires.
+func (p *progress) countUnsuccessful(end runResult, before int64) {
 	if !end.broken || p.lastEvent != before {
-		p.fruitless = 0
+		p.unsuccessful = 0
 		return
 	}
-	p.fruitless++
+	p.unsuccessful++
 }
 
-// pause returns the delay before the next run.
-func (p *progress) pause(delay time.Duration) time.Duration {
-	if p.fruitless > 1 {
-		delay = min(longestDelay, delay<<min(p.fruitless-1, 6))
+// backoff returns the delay before the next run.
+func (p *progress) backoff(delay time.Duration) time.Duration {
+	if p.unsuccessful > 1 {
+		delay = min(maxRetryDelay, delay<<min(p.unsuccessful-1, 6))
 	}
 	return delay
 }
 
-// gather adds the events of an answer to the progress. Events must follow each
-// other: a gap, or a run that does not go on where the last one ended, would
+// collectEvents adds the events of an answer to the progress. The events must be
+// consecutive: a gap, or a run that does not continue where the last one ended, would
 // leave a hole in the text.
-func gather(answer *h1.Answer, p *progress) runEnd {
+func collectEvents(answer *h1.Answer, p *progress) runResult {
 	var events sse.Splitter
-	buffer := make([]byte, itemReadSize)
+	buffer := make([]byte, itemReadBytes)
 	for {
-		n, err := answer.Read(buffer, itemGapPatience)
+		n, err := answer.Read(buffer, itemGapMaxWait)
 		events.Write(buffer[:n])
-		if !p.take(&events) {
-			return runEnd{cause: "events out of order", delay: afterFailure, health: routing.SoftFailed}
+		if !p.addEvents(&events) {
+			return runResult{cause: "events out of order", delay: failureDelay, health: routing.SoftFailed}
 		}
 		switch {
 		case err == io.EOF && len(events.Rest()) == 0 && p.lastEvent != noEvent:
-			return runEnd{whole: true, health: routing.Succeeded}
+			return runResult{complete: true, health: routing.Succeeded}
 		case err == io.EOF:
-			return runEnd{cause: "the stream ended within an event", delay: afterFailure, health: routing.SoftFailed}
+			return runResult{cause: "the stream ended within an event", delay: failureDelay, health: routing.SoftFailed}
 		case err != nil:
-			return brokenRun(err)
+			return errorResult(err)
 		case events.Overlong():
-			return runEnd{cause: "an event is too long", delay: afterFailure, health: routing.SoftFailed}
+			return runResult{cause: "an event is too long", delay: failureDelay, health: routing.SoftFailed}
 		}
 	}
 }
--- a/daemon/jobs/jobs.go
+++ b/daemon/jobs/jobs.go
@@ -1,21 +1,19 @@
 // Package jobs keeps batch jobs on the partitioned log and runs their items.
 //
-// Every daemon reads all acceptances, so each can accept a job; none is a
-// leader. In a large zone only the daemons that hold a partition do, and the others
-// forward calls to these; see follow.go.
+// Every daemon reads all acceptances, so each can accept a job; there is no leader. In a
+// large zone only the daemons that hold a partition do, and the others forward calls to
+// them; see follow.go.
 //
-// What has to be agreed is decided by the log: an append that demands
-// where its partition ends succeeds only if the appender had read everything
-// before. So a job is accepted once and within its quota, and an item has one
-// result at one position, whoever wrote them and however late an append took
-// effect.
+// All agreement is reached on the log: a conditional append at an expected end offset
+// succeeds only if the appender had read everything before it. So a job is accepted once
+// and within its quota, and an item has one result at one position, whoever wrote them
+// and however late an append took effect.
 //
-// The groups of the log deal out which daemon holds which partition: it reads
-// the results there, runs the items, and answers the other daemons' reads, so
-// that each result crosses the log once and not once for every daemon. That
-// only saves work: two daemons that both believe to hold a partition run an
-// item twice, and the log keeps one result; without any holder, reads are
-// answered from the log itself.
+// The log's consumer groups assign the partitions to daemons: the holder of a partition
+// reads the results there, runs the items, and answers the other daemons' reads, so that
+// each result crosses the log once and not once for every daemon. That only saves work:
+// two daemons that both believe they hold a partition run an item twice, and the log
+// keeps one result; without any holder, reads are answered from the log itself.
 package jobs
 
 import (
@@ -37,15 +35,15 @@
 	"tarragonhollow.example/tarragonhollow/target/h1"
 )
 
-// Topics are the names of the topics, as the log's adapter wants them.
+// Topics are the names of the topics, as the log's adapter expects them.
 type Topics struct {
-	// Jobs holds acceptances and ends, all in partition 0: one order for all
-	// jobs makes the quota exact.
+	// Jobs holds acceptances and ends, all in partition 0: a single order of all jobs
+	// makes the quota exact.
 	Jobs string
 	// Results and Bodies hold a job's results and items' bodies, each job in one
 	// partition.
 	Results, Bodies string
-	// Progress holds what is had of unfinished items, each job in one partition.
+	// Progress holds the events received for unfinished items, each job in one partition.
 	Progress string
 }
 
@@ -55,17 +53,17 @@
 	Host, Zone string
 	Log        partlog.Log
 	Groups     partlog.Groups
-	// Peers calls other daemons; Address tells a daemon's peer address by its name.
+	// Peers calls other daemons; Address returns a daemon's peer address by its name.
 	Peers   peer.Caller
 	Address func(host string) (string, bool)
-	// Others lists the other daemons; nil is none.
+	// ListPeers lists the other daemons; nil means none.
 	Others func() []places.Peer
-	// Fleet tells how many daemons there are.
+	// FleetSize returns the number of daemons.
 	Fleet func() int
-	// Large tells whether the own zone is so large that few of its daemons hold
-	// partitions, and Roomy whether this host is one of them; nil is a small zone.
+	// LargeZone reports whether the local zone is so large that few of its daemons hold
+	// partitions, and CanHoldPartitions whether this host may; nil means a small zone.
 	Large, Roomy func() bool
-	// Holders names the daemons that hold partitions, in a large zone; nil is Places.
+	// Holders names the daemons that hold partitions, in a large zone; nil means Places.
 	Holders Holders
 	Topics  Topics
 	// Parts is the number of partitions of each topic.
@@ -74,49 +72,49 @@
 	Routes func() *route.Table
 	Places *places.Places
 	Pool   *h1.Pool
-	// Wire prepares items as it does requests.
+	// Wire prepares items in the same way as requests.
 	Wire relay.Wire
-	// Crashes is told of targets that break off.
+	// Crashes records which items were running when targets broke connections.
 	Crashes *relay.Crashes
 	// KeepFor is how long after its acceptance a closed job can still be read.
 	KeepFor time.Duration
-	// Headroom is how many places of each target batch leaves free.
+	// Headroom is the number of slots of each target that batch leaves free.
 	Headroom int
 	Logger   *zap.Logger
 	Metrics  *metrics.Set
 }
 
-// Pace of the partitions. A read that waits may hear nothing of news for its
-// whole wait, so what has to be seen within 3 s, such as the end of a job, is
-// read at least every second. Results and bodies are asked for when they are
-// needed sooner than they come.
+// Read intervals of the partitions. A read that waits may miss new records for its whole
+// wait, so what has to be seen within 3 s, such as the end of a job, is read at least
+// every second. Results and bodies that are needed sooner are read on demand.
 var (
 	jobsPace    = partlog.Pace{Wait: time.Second, Gather: 300 * time.Millisecond}
 	resultsPace = partlog.Pace{Wait: 8 * time.Second, Gather: 200 * time.Millisecond}
 	bodiesPace  = partlog.Pace{Wait: 8 * time.Second, Gather: 200 * time.Millisecond}
 )
 
-// Jobs is safe for concurrent use.
+// Jobs accepts batch jobs, runs their items and returns their results. It is safe for
+// concurrent use.
 type Jobs struct {
 	Options
 
-	// following is the reading of the acceptances; see follow.go.
+	// following is the loop that reads the acceptances; see follow.go.
 	following following
 
-	mu   sync.Mutex
-	book *batch.Book
-	// news tells of each change of the book.
-	news     duty.News
-	accepted *cursor
-	results  []*cursor
-	writers  []*writer
-	runner   *runner
-	bodies   *bodyStore
-	owners   *owners
-	loads    loads
+	mu    sync.Mutex
+	store *batch.Book
+	// changes is notified of each change of the store.
+	changes     duty.News
+	accepted    *cursor
+	results     []*cursor
+	writers     []*writer
+	runner      *runner
+	bodies      *bodyStore
+	owners      *owners
+	loadLimiter loadLimiter
 }
 
-// New returns Jobs without any record read.
+// New returns Jobs that has read no records yet.
 func New(o Options) *Jobs {
 	if o.Large == nil {
 		o.Large = func() bool { return false }
@@ -127,12 +125,12 @@
 	if o.Roomy == nil {
 		o.Roomy = func() bool { return true }
 	}
-	j := &Jobs{Options: o, book: batch.NewBook()}
-	j.accepted = j.newCursor(partlog.Partition{Topic: o.Topics.Jobs}, j.book.ApplyJob)
-	j.following.duty.Loop = func(ctx context.Context) { partlog.Follow(ctx, j.Log, j.accepted.partition, jobsPace, j.accepted) }
+	j := &Jobs{Options: o, store: batch.NewBook()}
+	j.accepted = j.newCursor(partlog.Partition{Topic: o.Topics.Jobs}, j.store.ApplyJob)
+	j.following.loop.Loop = func(ctx context.Context) { partlog.Follow(ctx, j.Log, j.accepted.partition, jobsPace, j.accepted) }
 	for part := range o.Parts {
 		p := partlog.Partition{Topic: o.Topics.Results, Part: part}
-		c := j.newCursor(p, j.book.ApplyResult)
+		c := j.newCursor(p, j.store.ApplyResult)
 		j.results = append(j.results, c)
 		j.writers = append(j.writers, newWriter(j, c))
 	}
@@ -142,28 +140,28 @@
 	return j
 }
 
-// Run starts the duties.
+// Run starts the loops.
 func (j *Jobs) Run(group *duty.Group) {
 	group.Go(j.followAccepted)
 	for _, w := range j.writers {
 		group.Go(w.run)
 	}
-	group.Go(j.runner.join)
+	group.Go(j.runner.keepMembership)
 	group.Go(j.runner.run)
-	group.Go(j.runner.keep)
-	group.Go(j.handOver)
+	group.Go(j.runner.saveProgressLoop)
+	group.Go(j.handOffResults)
 }
 
 func (j *Jobs) part(job string) int { return Part(job, j.Parts) }
 
-// Part returns the partition, of so many, of a job's results, bodies and progress.
+// Part returns the partition, out of parts, of a job's results, bodies and progress.
 func Part(job string, parts int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(job))
 	return int(h.Sum32() % uint32(parts))
 }
 
-// cursor follows one partition into the book.
+// cursor applies the records of one partition to the store.
 type cursor struct {
 	jobs      *Jobs
 	partition partlog.Partition
@@ -173,9 +171,9 @@
 	// jobs.mu, like the fields below.
 	position int64
 	failing  bool
-	// read is when the partition was last read to its end.
-	read time.Time
-	// unfollow ends the reading of a held partition, nil for others.
+	// readAt is when the partition was last read to its end.
+	readAt time.Time
+	// unfollow stops reading a held partition, nil for others.
 	unfollow context.CancelFunc
 }
 
@@ -190,8 +188,8 @@
 	return c.position
 }
 
-// Load implements partlog.Reader. Records that were applied already change
-// nothing; the others follow them in log order.
+// Load implements partlog.Reader. Records that were already applied change nothing; the
+// others follow them in log order.
 func (c *cursor) Load(records []partlog.Kept, end int64) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
@@ -200,41 +198,41 @@
 		c.applyOne(k)
 	}
 	if c == c.jobs.accepted && c.position < end {
-		c.jobs.forgetAllBut(records)
+		c.jobs.retainAccepted(records)
 	}
 	c.position = max(c.position, end)
-	c.read = time.Now()
+	c.readAt = time.Now()
 	if first {
 		c.jobs.Logger.Info("partition_loaded", zap.String("topic", c.partition.Topic), zap.Int("part", c.partition.Part),
 			zap.Int("records", len(records)), zap.Int64("end", end))
 	}
-	c.jobs.news.Tell()
+	c.jobs.changes.Tell()
 }
 
 // Take implements partlog.Reader.
 func (c *cursor) Take(page partlog.Page) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
-	c.take(page.Records)
+	c.applyRecords(page.Records)
 	if c.position >= page.End {
-		c.read = time.Now()
+		c.readAt = time.Now()
 	}
 }
 
-// take applies the records that were not yet: own appends are applied as soon
-// as they are acknowledged, and a read that was on its way may bring them again.
-func (c *cursor) take(records []partlog.Kept) {
-	any := false
+// applyRecords applies the records that were not applied yet: local appends are applied
+// as soon as they are acknowledged, and a read in flight may return them again.
+func (c *cursor) applyRecords(records []partlog.Kept) {
+	applied := false
 	for _, k := range records {
 		if k.Offset != c.position {
 			continue
 		}
 		c.applyOne(k)
 		c.position++
-		any = true
+		applied = true
 	}
-	if any {
-		c.jobs.news.Tell()
+	if applied {
+		c.jobs.changes.Tell()
 	}
 }
 
@@ -248,7 +246,7 @@
 		return
 	}
 	if change.Job != "" {
-		c.jobs.runner.note(change)
+		c.jobs.runner.onChange(change)
 	}
 }
 
@@ -285,51 +283,51 @@
 	}
 }
 
-// unsettledPause is the pause before an append without an answer is sent again.
-const unsettledPause = 50 * time.Millisecond
+// appendRetryPause is the pause before an append without an answer is sent again.
+const appendRetryPause = 50 * time.Millisecond
 
-// appendAt appends records to the cursor's partition if it ends at the given
-// offset, and applies them. Conflict: others appended; catch up and look again.
+// appendAt appends records to the cursor's partition if it ends at the given offset, and
+// applies them. On a conflict another daemon has appended: catch up and check again.
 //
-// An append without an answer may have taken effect, or may do so seconds
-// later. It is settled by sending the same records with the same demand again:
-// only one of the two can take effect, and a conflict then means that the
-// partition has moved on. unsettled tells that the conflict may be the first
-// one's own doing, which only catching up shows. If ctx ends before a conflict
-// or an answer comes, the error is Unknown.
-func (j *Jobs) appendAt(ctx context.Context, c *cursor, at int64, records []partlog.Record) (unsettled bool, err error) {
+// An append without an answer may have taken effect, or may do so seconds later. It is
+// resolved by sending the same records with the same expected offset again: only one of
+// the two can take effect, and a conflict then means that the partition has moved on.
+// unresolved reports that the conflict may be with the first append itself, which only
+// catching up shows. If ctx ends before a conflict or an answer arrives, the error is
+// Unknown.
+func (j *Jobs) appendAt(ctx context.Context, c *cursor, at int64, records []partlog.Record) (unresolved bool, err error) {
 	for {
 		offset, err := j.Log.Append(ctx, c.partition, records, at)
 		if err == nil {
-			j.applyOwn(c, offset, records)
+			j.applyAppended(c, offset, records)
 			return false, nil
 		}
 		if partlog.IsConflict(err) {
-			return unsettled, err
+			return unresolved, err
 		}
-		if partlog.IsUnknown(err) && !unsettled {
-			unsettled = true
+		if partlog.IsUnknown(err) && !unresolved {
+			unresolved = true
 			j.Logger.Info("append_unsettled", zap.String("topic", c.partition.Topic), zap.Int("part", c.partition.Part),
 				zap.Int64("at", at), zap.Error(err))
 		}
-		if !unsettled {
+		if !unresolved {
 			return false, err
 		}
-		if !duty.Pause(ctx, unsettledPause) {
+		if !duty.Pause(ctx, appendRetryPause) {
 			return true, partlog.Unknown.Wrap(err, "the append at %d is not settled", at)
 		}
 	}
 }
 
-func (j *Jobs) applyOwn(c *cursor, offset int64, records []partlog.Record) {
+func (j *Jobs) applyAppended(c *cursor, offset int64, records []partlog.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	kept := make([]partlog.Kept, len(records))
 	for i, r := range records {
 		kept[i] = partlog.Kept{Record: r, Offset: offset + int64(i)}
 	}
-	c.take(kept)
+	c.applyRecords(kept)
 }
 
-// Loaded tells whether the jobs were read at all, where this daemon keeps any.
+// Loaded reports whether the acceptances were read, if this daemon needs them.
 func (j *Jobs) Loaded() bool { return j.accepted.Position() >= 0 || !j.needsAccepted() }
--- a/daemon/jobs/jobs_test.go
+++ b/daemon/jobs/jobs_test.go
@@ -37,12 +37,12 @@
 	RunSpecs(t, "jobs")
 }
 
-// limit bounds what is expected to come.
+// limit bounds the wait for an expected event.
 const limit = 15 * time.Second
 
 var topics = jobs.Topics{Jobs: "jobs", Results: "results", Bodies: "bodies", Progress: "progress"}
 
-// batchRoute takes jobs of the host h under /b/.
+// batchRoute returns a route for jobs of the host h under /b/.
 func batchRoute(tokenCap int64) route.Route {
 	return route.Route{Name: "b", Host: "h", Prefix: "/b/", Kind: route.Batch, MaxAttempts: 2, Due: time.Minute,
 		KeepFor: time.Hour, TokenCap: tokenCap, Groups: []route.Share{{Group: "g", Weight: 1}}}
@@ -59,14 +59,14 @@
 	return s
 }
 
-// bare is a job without bodies: its acceptance is its only append.
-func bare(id string) *jobs.Submission {
+// withoutBodies returns a job without bodies: its acceptance is its only append.
+func withoutBodies(id string) *jobs.Submission {
 	s := submission(id, 1)
 	s.Items[0].Body = nil
 	return s
 }
 
-// answer streams five events, from the one after After.
+// answer streams the events 0 to 4 that follow the one named by the header After.
 func answer(r *rawtarget.Request, c net.Conn) {
 	id := r.Header.Get("Id")
 	first := 0
@@ -95,16 +95,16 @@
 		target *rawtarget.Target
 		table  *route.Table
 		peers  *fakePeers
-		// fleet is how many daemons there are said to be.
+		// fleet is the number of daemons that the daemons are configured with.
 		fleet int
-		// holder is who holds all partitions of a large zone, "" for a small zone; only it
-		// is roomy.
+		// holder is the daemon that holds all partitions of a large zone, "" for a small
+		// zone; no other can hold partitions.
 		holder string
-		// views holds what each daemon knows of the targets.
+		// views holds each daemon's view of the targets.
 		views map[string]*places.Places
-		// reach holds how a host reaches the log, where it does not as the others do.
+		// reach holds the log as seen by the hosts whose access to it can fail.
 		reach map[string]*hostLog
-		// logger takes the daemons' lines.
+		// logger is the logger of all daemons.
 		logger *zap.Logger
 	)
 
@@ -115,7 +115,7 @@
 		reach = map[string]*hostLog{}
 		logger = zap.NewNop()
 		log = fakepartlog.New(4)
-		peers = &fakePeers{daemons: map[string]reader{}}
+		peers = &fakePeers{daemons: map[string]peerService{}}
 		script = answer
 		table = route.NewTable(1, []route.Route{batchRoute(0)}, route.Limits{})
 		var err error
@@ -124,7 +124,7 @@
 		DeferCleanup(target.Close)
 	})
 
-	// daemon starts one daemon on the log; groups may deal out other partitions.
+	// daemon starts one daemon on the log; groups may assign partitions differently.
 	daemon := func(name string, groups partlog.Groups) (*jobs.Jobs, context.CancelFunc) {
 		view := places.New(places.Options{Host: name, Zone: "z", Logger: zap.NewNop()})
 		views[name] = view
@@ -139,7 +139,7 @@
 		}
 		var holders jobs.Holders
 		if holder != "" {
-			holders = namedHolder{name, holder}
+			holders = fixedHolder{name, holder}
 		}
 		j := jobs.New(jobs.Options{
 			Large: func() bool { return holder != "" }, Roomy: func() bool { return name == holder }, Holders: holders,
@@ -173,7 +173,7 @@
 		r := batchRoute(0)
 		return j.Submit(ctx(), s, &r)
 	}
-	// all reads until every item has a result.
+	// all reads results until every item has one.
 	all := func(j *jobs.Jobs, id string) []batch.Result {
 		var got []batch.Result
 		Eventually(func(g Gomega) {
@@ -196,17 +196,17 @@
 		return n
 	}
 
-	// Thousands of hosts that all read the acceptances take the log's whole rate, and jobs
-	// are refused. In a large zone a host without partitions reads nothing of jobs and still
-	// serves every call about them.
-	It("serves jobs at a host of a large zone that reads nothing of them", func() {
+	// Thousands of hosts that all read the acceptances use up the log's whole rate, and jobs
+	// are refused. In a large zone a host without partitions doesn't read the jobs' records
+	// and still serves every call about them.
+	It("serves jobs at a host of a large zone that does not read their records", func() {
 		holder = "a"
 		reach["b"] = newHostLog(log)
-		reach["b"].set(turnedAway)
+		reach["b"].setFailure(rejected)
 		daemon("a", log)
 		b, _ := daemon("b", log)
 		Eventually(func() *outcome.Refusal { return submit(b, submission("j", 3)) }).WithTimeout(limit).Should(BeNil())
-		Expect(submit(b, submission("j", 3))).To(BeNil(), "the same job comes again")
+		Expect(submit(b, submission("j", 3))).To(BeNil(), "the same job is submitted again")
 		Expect(acceptances()).To(Equal(1))
 		Expect(all(b, "j")).To(HaveLen(3))
 		_, refusal := b.Read(ctx(), "", "unknown", 0, 0)
@@ -215,9 +215,9 @@
 		Expect(b.End(ctx(), "", "unknown").Code).To(Equal(outcome.NotFound))
 	})
 
-	// Guards against items of an ended job that go on at a daemon which has lost their
-	// partition, and so no longer reads the ends of jobs.
-	It("ends the items that it began when their job ends, after its partition has gone", func() {
+	// Guards against items of an ended job that continue to run on a daemon that has lost
+	// their partition, and so no longer reads the ends of jobs.
+	It("stops the items that it began when their job ends after its partition was reassigned", func() {
 		holder = "a"
 		hung := make(chan struct{})
 		running := make(chan struct{}, 10)
@@ -228,11 +228,11 @@
 		DeferCleanup(func() { close(hung) })
 		core, lines := observer.New(zap.InfoLevel)
 		logger = zap.New(core)
-		groups := &taken{everything: everything{log}}
+		groups := &revocableGroup{allPartitions: allPartitions{log}}
 		a, _ := daemon("a", groups)
 		Eventually(func() *outcome.Refusal { return submit(a, submission("j", 1)) }).WithTimeout(limit).Should(BeNil())
 		Eventually(running).WithTimeout(limit).Should(Receive())
-		groups.away.Store(true)
+		groups.revoked.Store(true)
 		Eventually(func() int { return lines.FilterMessage("partition_given_up").Len() }).WithTimeout(limit).Should(Equal(4))
 		_, err := log.Append(ctx(), partlog.Partition{Topic: topics.Jobs}, []partlog.Record{{Key: batch.EndedKey("j"), Value: []byte{1}}}, partlog.Anywhere)
 		Expect(err).NotTo(HaveOccurred())
@@ -240,13 +240,13 @@
 		Expect(lines.FilterMessage("item_run_ended").All()[0].ContextMap()).To(HaveKeyWithValue("cause", "the item or its job is over"))
 	})
 
-	It("shows the body of a waiting item, and ends a job, through the holder", func() {
+	It("returns the body of a waiting item, and ends a job, through the holder", func() {
 		holder = "a"
 		hung := make(chan struct{})
 		script = func(*rawtarget.Request, net.Conn) { <-hung }
 		DeferCleanup(func() { close(hung) })
 		reach["b"] = newHostLog(log)
-		reach["b"].set(turnedAway)
+		reach["b"].setFailure(rejected)
 		daemon("a", log)
 		b, _ := daemon("b", log)
 		Eventually(func() *outcome.Refusal { return submit(b, submission("j", 1)) }).WithTimeout(limit).Should(BeNil())
@@ -257,12 +257,12 @@
 		Expect(b.End(ctx(), "", "j")).To(BeNil())
 	})
 
-	// The holder is dead and no other one is known: what can't be said is refused for now,
-	// and no job is denied that may exist.
-	It("denies no job while nobody is reached that follows the jobs", func() {
+	// The holder has crashed and no other one is known. Calls are refused as log_unavailable:
+	// "no such job" could be wrong.
+	It("does not answer that a job is unknown while no daemon that follows the jobs is reached", func() {
 		holder = "gone"
 		reach["b"] = newHostLog(log)
-		reach["b"].set(turnedAway)
+		reach["b"].setFailure(rejected)
 		b, _ := daemon("b", log)
 		_, refusal := b.Read(ctx(), "", "j", 0, 0)
 		Expect(refusal.Code).To(Equal(outcome.LogUnavailable))
@@ -271,10 +271,10 @@
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 	})
 
-	// A target crashes behind a cut with items under way and starts again under its
-	// ID. Nothing comes on their connections any more; the items must not wait for
-	// that to be noticed.
-	It("runs items again at once whose target has started again", func() {
+	// A target that is cut off by the network crashes with items running and restarts under
+	// the same ID. Nothing arrives on the old connections any more; the items must not wait
+	// until a timeout shows it.
+	It("reruns items at once when their target has restarted", func() {
 		var once sync.Once
 		hung := make(chan struct{})
 		script = func(r *rawtarget.Request, c net.Conn) {
@@ -299,8 +299,8 @@
 		Expect(ended).To(HaveKeyWithValue("cause", "the target has started again"))
 	})
 
-	// A host loses power with an item half done. Begun anew elsewhere, the item would
-	// end late; the text that came before must not be lost, nor stand twice.
+	// A host loses power with an item half done. Started over on another host, the item
+	// would end late; the text received before must be neither lost nor duplicated.
 	It("goes on with an item from what its lost holder had of it", func() {
 		const before, whole = 20, 24
 		asked := make(chan string, 10)
@@ -319,7 +319,7 @@
 				rawtarget.Write(c, rawtarget.LastChunk)
 			}
 		}
-		a, stop := daemon("a", everything{log})
+		a, stop := daemon("a", allPartitions{log})
 		Expect(submit(a, submission("j", 1))).To(BeNil())
 		kept := func() int {
 			page, err := log.Newest(ctx(), partlog.Partition{Topic: topics.Progress, Part: jobs.Part("j", 4)}, "")
@@ -328,7 +328,7 @@
 		}
 		Eventually(kept).WithTimeout(limit).Should(Equal(1))
 		stop()
-		b, _ := daemon("b", everything{log})
+		b, _ := daemon("b", allPartitions{log})
 		result := all(b, "j")[0]
 		Expect(result.State).To(Equal(batch.Succeeded))
 		var events []string
@@ -341,17 +341,17 @@
 		Eventually(kept).WithTimeout(limit).Should(BeZero())
 	})
 
-	// The list of a long job stands apart from its acceptance and is read by the daemon
-	// that runs it. The others must still answer for the job.
-	It("runs a long job and shows its results and bodies at daemons that never read its list", func() {
+	// The item list of a long job is stored apart from its acceptance and is read only by
+	// the daemon that runs it. The others must still serve calls about the job.
+	It("runs a long job and returns its results and bodies at daemons that never read its list", func() {
 		fleet = 60
 		hold := make(chan struct{})
 		script = func(r *rawtarget.Request, c net.Conn) {
 			<-hold
 			answer(r, c)
 		}
-		a, _ := daemon("a", everything{log})
-		b, _ := daemon("b", emptyHanded{log})
+		a, _ := daemon("a", allPartitions{log})
+		b, _ := daemon("b", noPartitions{log})
 		const many = 20
 		Expect(submit(b, submission("j", many))).To(BeNil())
 		page, err := log.Newest(ctx(), partlog.Partition{Topic: topics.Jobs}, "")
@@ -364,7 +364,7 @@
 			_, refusal = j.Body(ctx(), "", "j", "other")
 			Expect(refusal.Code).To(Equal(outcome.NotFound))
 		}
-		// The holder is out of reach: the log tells the list and the body.
+		// The holder is unreachable: the list and the body are read from the log.
 		peers.setCut(true)
 		body, refusal := b.Body(ctx(), "", "j", "j-8")
 		Expect(refusal).To(BeNil())
@@ -375,13 +375,13 @@
 		Expect(all(a, "j")).To(Equal(all(b, "j")))
 	})
 
-	// All hosts lose power. Callers ask every daemon for results while the holders are
-	// not known again. If each loaded whole partitions for them, the log's rate would be
-	// gone, and nobody would learn the routes.
+	// All hosts lose power. Callers request results from every daemon before the holders are
+	// known again. If each daemon loaded whole partitions for them, the log's rate would be
+	// used up, and no daemon would learn the routes.
 	It("loads few partitions for callers in a large fleet while holders can't be reached", func() {
 		fleet = 60
-		daemon("a", everything{log})
-		b, _ := daemon("b", emptyHanded{log})
+		daemon("a", allPartitions{log})
+		b, _ := daemon("b", noPartitions{log})
 		for _, id := range []string{"j1", "j2", "j3", "j4", "j5", "j6"} {
 			Expect(submit(b, submission(id, 1))).To(BeNil())
 		}
@@ -402,16 +402,16 @@
 		Expect(all(b, "j6")).To(HaveLen(1))
 	})
 
-	It("asks a partition's holder for results in a large fleet", func() {
+	It("requests results from a partition's holder in a large fleet", func() {
 		fleet = 100
 		a := alone()
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 5))).To(BeNil())
 		Expect(all(b, "j")).To(Equal(all(a, "j")))
 		Expect(peers.called()).To(BeNumerically(">", 0))
 	})
 
-	It("runs a job and shows its results alike at every daemon", func() {
+	It("runs a job and returns the same results at every daemon", func() {
 		a, b := alone(), func() *jobs.Jobs { j, _ := daemon("b", log); return j }()
 		Expect(submit(a, submission("j", 6))).To(BeNil())
 		at, other := all(a, "j"), all(b, "j")
@@ -425,9 +425,9 @@
 		Expect(string(body)).To(Equal("body of j-3"))
 	})
 
-	// A client that got no answer sends its job again to other daemons, at the
-	// same moment. Accepted twice, each item would have two results.
-	It("accepts a job once, however often it is sent and wherever", func() {
+	// A client that got no answer sends its job again to other daemons, at the same time.
+	// If the job were accepted twice, each item would have two results.
+	It("accepts a job once, however often and to whichever daemon it is sent", func() {
 		var daemons []*jobs.Jobs
 		for _, name := range []string{"a", "b", "c"} {
 			j, _ := daemon(name, log)
@@ -446,9 +446,9 @@
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// Several daemons accept jobs at once, each below the cap by its own count.
-	It("keeps the quota over all daemons at once", func() {
-		script = func(*rawtarget.Request, net.Conn) {} // nothing ends
+	// Several daemons accept jobs concurrently, each below the cap by its local count.
+	It("enforces the quota across daemons that accept jobs concurrently", func() {
+		script = func(*rawtarget.Request, net.Conn) {} // no item ends
 		var daemons []*jobs.Jobs
 		for _, name := range []string{"a", "b", "c"} {
 			j, _ := daemon(name, log)
@@ -478,36 +478,36 @@
 		Expect(count).To(Equal(map[outcome.Code]int{"": 3, outcome.CallerLimit: 9}))
 	})
 
-	// The log turns one host away and serves the others. A job that arrives there must
-	// not be late for that, let alone be refused.
-	It("hands a job in through another daemon when the log turns its own host away", func() {
+	// The log rejects one host and serves the others. A job that arrives at that host must
+	// be neither late nor refused because of it.
+	It("submits a job through another daemon when the log rejects the local host", func() {
 		reach["a"] = newHostLog(log)
-		a, _ := daemon("a", emptyHanded{log})
+		a, _ := daemon("a", noPartitions{log})
 		b, _ := daemon("b", log)
-		reach["a"].set(turnedAway)
+		reach["a"].setFailure(rejected)
 		Expect(submit(a, submission("j", 3))).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 		Expect(all(b, "j")).To(HaveLen(3))
 	})
 
-	// A host is cut off from the log and does not know it yet: its calls get no
-	// answer. The job must not wait for them to time out.
+	// A host is cut off from the log and has not detected it yet: its calls get no answer.
+	// The job must not wait for them to time out.
 	It("hands a job in through another daemon when its own call gets no answer", func() {
 		reach["a"] = newHostLog(log)
-		a, _ := daemon("a", emptyHanded{log})
+		a, _ := daemon("a", noPartitions{log})
 		daemon("b", log)
-		reach["a"].set(silent)
+		reach["a"].setFailure(unanswered)
 		r := batchRoute(0)
-		// Nothing but the detour ends this call.
+		// Only the fallback through the other daemon ends this call.
 		Expect(a.Submit(context.Background(), submission("j", 1), &r)).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// The log is out for all. What is known not to be kept is refused at once, and
-	// truly: no way of the job has run.
+	// The log is unavailable to all hosts. A job that is known not to be stored is refused at
+	// once, and correctly as not run: no attempt to submit it took effect.
 	It("refuses a job at once and truly when no daemon reaches the log", func() {
 		a := alone()
-		daemon("b", emptyHanded{log})
+		daemon("b", noPartitions{log})
 		log.SetDown(true)
 		r := batchRoute(0)
 		refusal := a.Submit(context.Background(), submission("j", 1), &r)
@@ -517,27 +517,26 @@
 		Expect(acceptances()).To(BeZero())
 	})
 
-	// The daemon that was asked on the way may have handed the job in, and no word of
-	// it came back.
-	It("does not say that a job was not accepted when another daemon may have handed it in", func() {
+	// The other daemon that was called may have submitted the job, but its reply was lost.
+	It("does not say that a job was not accepted when another daemon may have submitted it", func() {
 		reach["a"] = newHostLog(log)
-		a, _ := daemon("a", emptyHanded{log})
+		a, _ := daemon("a", noPartitions{log})
 		daemon("b", log)
-		reach["a"].set(turnedAway)
-		peers.loseAnswers(true)
-		refusal := submit(a, bare("j"))
+		reach["a"].setFailure(rejected)
+		peers.setDropReplies(true)
+		refusal := submit(a, withoutBodies("j"))
 		Expect(refusal.Run).To(Equal(outcome.MayHaveRun))
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// The log turns a host away while an item ends there. Its result must be shown in
-	// time, and must not be lost with the host.
-	It("has results written by another daemon when the log turns its own host away", func() {
+	// The log rejects a host while an item ends there. Its result must be returned to callers
+	// in time, and must not be lost with the host.
+	It("has results written by another daemon when the log rejects the local host", func() {
 		reach["a"] = newHostLog(log)
-		a, stop := daemon("a", everything{log})
-		b, _ := daemon("b", emptyHanded{log})
+		a, stop := daemon("a", allPartitions{log})
+		b, _ := daemon("b", noPartitions{log})
 		script = func(r *rawtarget.Request, c net.Conn) {
-			reach["a"].set(turnedAway)
+			reach["a"].setFailure(rejected)
 			answer(r, c)
 		}
 		Expect(submit(a, submission("j", 1))).To(BeNil())
@@ -546,29 +545,29 @@
 		Expect(target.Requests()).To(HaveLen(1))
 	})
 
-	// The log turns a host away for longer than its membership lasts, and another one
-	// takes its partitions over. Both would run the items that are still to run.
-	It("starts no items of partitions that another daemon holds by now", func() {
-		groups := &leaving{everything: everything{log}}
+	// The log rejects a host for longer than its membership lasts, and its partitions are
+	// assigned to another one. Both would run the items that have not started yet.
+	It("starts no items of partitions that were reassigned to another daemon", func() {
+		groups := &losableGroup{allPartitions: allPartitions{log}}
 		a, _ := daemon("a", groups)
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("before", 1))).To(BeNil())
 		all(a, "before")
-		groups.lost.Store(true)
-		var hearer boardHearer
-		Expect(views["a"].Register(boardRegistrar{&hearer})).To(Succeed())
+		groups.unreachable.Store(true)
+		var hearer reportReceiver
+		Expect(views["a"].Register(reportRegistrar{&hearer})).To(Succeed())
 		number := uint64(0)
 		tellParts := func() {
 			number++
 			Expect(hearer.Hear(board.Word{From: "b", Number: number, Zone: "z", Held: []uint64{1}, Parts: []int{0, 1, 2, 3}}, nil)).To(Succeed())
 		}
 		turn := 0
-		// A membership that was just renewed counts for more than another's word.
+		// A membership that was just renewed takes precedence over another daemon's report.
 		Eventually(func() bool {
 			tellParts()
 			turn++
 			id := fmt.Sprint("j", turn)
-			Expect(submit(b, bare(id))).To(BeNil())
+			Expect(submit(b, withoutBodies(id))).To(BeNil())
 			time.Sleep(700 * time.Millisecond)
 			view, refusal := b.Read(ctx(), "", id, 0, 0)
 			Expect(refusal).To(BeNil())
@@ -581,11 +580,11 @@
 		}, "1s").Should(Equal(before))
 	})
 
-	// A daemon asks another one to write a result, gets no word in time and asks again.
-	// The result must not be written twice: hosts that restart read the newest record
-	// of each key, and would show it at another position than before.
+	// A daemon calls another one to write a result, gets no reply in time and calls again.
+	// The result must not be written twice: hosts that restart read only the newest record
+	// of each key, and would return it at another position than before.
 	It("writes a result once however often it is handed over", func() {
-		script = func(*rawtarget.Request, net.Conn) {} // nothing ends by itself
+		script = func(*rawtarget.Request, net.Conn) {} // no item ends on its own
 		a := alone()
 		Expect(submit(a, submission("j", 3))).To(BeNil())
 		log.SetDown(true)
@@ -622,52 +621,52 @@
 		}
 	})
 
-	It("settles an acceptance whose answer was lost", func() {
+	It("resolves an acceptance whose answer was lost", func() {
 		a := alone()
 		log.LoseAnswers(1)
-		Expect(submit(a, bare("j"))).To(BeNil())
+		Expect(submit(a, withoutBodies("j"))).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// The append gets no answer and takes effect seconds later, after the same
-	// job was accepted by another append. It must not be accepted twice.
-	It("lets an acceptance that takes effect late do nothing", func() {
+	// The append gets no answer and takes effect seconds later, after the same job was
+	// accepted by another append. It must not be accepted twice.
+	It("ignores an acceptance that takes effect late", func() {
 		a := alone()
 		log.DelayAppends(1)
-		Expect(submit(a, bare("j"))).To(BeNil())
+		Expect(submit(a, withoutBodies("j"))).To(BeNil())
 		log.Settle()
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// No answer comes until the caller's time is up. "Not run" would be a lie:
-	// the job may be accepted any moment.
-	It("does not say that a job was not accepted while that may still happen", func() {
+	// No answer arrives before the caller's deadline. "Not run" would be wrong: the job may
+	// be accepted any moment.
+	It("does not say that a job was not accepted while it may still be accepted", func() {
 		a := alone()
 		log.DelayAppends(1000)
 		r := batchRoute(0)
 		short, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
-		refusal := a.Submit(short, bare("j"), &r)
+		refusal := a.Submit(short, withoutBodies("j"), &r)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Run).To(Equal(outcome.MayHaveRun))
 		log.DelayAppends(0)
 		log.Settle()
-		Expect(submit(a, bare("j"))).To(BeNil())
+		Expect(submit(a, withoutBodies("j"))).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 	})
 
-	// The append took effect and its answer was lost; sent again it conflicts with
-	// itself, and the read that would show it fails. The job is accepted: "not
-	// run" would make the client give it up while its items run.
-	It("does not say that a job was not accepted when it can't read what its own append did", func() {
+	// The append took effect and its answer was lost; sent again it conflicts with itself,
+	// and the read that would show it fails. The job is accepted: "not run" would make the
+	// client give it up while its items run.
+	It("does not say that a job was not accepted when it can't read the effect of its own append", func() {
 		a := alone()
 		log.LoseAnswers(1)
 		log.SetReadsDown(true)
-		refusal := submit(a, bare("j"))
+		refusal := submit(a, withoutBodies("j"))
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Run).To(Equal(outcome.MayHaveRun))
 		log.SetReadsDown(false)
-		Expect(submit(a, bare("j"))).To(BeNil())
+		Expect(submit(a, withoutBodies("j"))).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 	})
 
@@ -684,13 +683,13 @@
 		Expect(refusal.Code).To(Equal(outcome.NotFound))
 	})
 
-	// A result was written by one daemon and read there. Another daemon's waiting
-	// read of the log heard nothing of it, and told a client that the position
-	// it had read was empty.
-	It("does not say that a position is empty that another daemon has shown", func() {
+	// A result was written by one daemon and returned to a client. Another daemon's waiting
+	// read of the log did not return it, and so that daemon told the client that the same
+	// position was empty.
+	It("does not say that a position is empty whose result another daemon has returned", func() {
 		log.SetDeaf(true)
 		a := alone()
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 1))).To(BeNil())
 		shown := all(a, "j")
 		v, refusal := b.Read(ctx(), "", "j", 0, 10*time.Millisecond)
@@ -698,21 +697,21 @@
 		Expect(v.Results).To(Equal(shown))
 	})
 
-	// The daemon that holds a job's partition is cut off from the others, or dead.
-	// Its results must still be read, at the same positions.
+	// The daemon that holds a job's partition is cut off from the others, or has crashed.
+	// Its results must still be readable, at the same positions.
 	It("reads results from the log when their holder can't be reached", func() {
 		fleet = 100
 		a := alone()
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 5))).To(BeNil())
 		shown := all(a, "j")
 		peers.setCut(true)
 		Expect(all(b, "j")).To(Equal(shown))
 	})
 
-	It("counts finished items that were never read here before it refuses for the quota", func() {
+	It("reads the results of finished items from the log before it refuses a job for the quota", func() {
 		a := alone()
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		limited := batchRoute(50)
 		Expect(a.Submit(ctx(), submission("j", 5), &limited)).To(BeNil())
 		all(a, "j")
@@ -720,8 +719,8 @@
 	})
 
 	It("gives an item one result when two daemons both run it", func() {
-		a, _ := daemon("a", everything{log})
-		b, _ := daemon("b", everything{log})
+		a, _ := daemon("a", allPartitions{log})
+		b, _ := daemon("b", allPartitions{log})
 		Expect(submit(a, submission("j", 8))).To(BeNil())
 		got := all(a, "j")
 		Expect(all(b, "j")).To(Equal(got))
@@ -732,7 +731,7 @@
 		}
 	})
 
-	It("shows the same results after every daemon lost its memory and the log its history", func() {
+	It("returns the same results after every daemon restarted and the log expired old records", func() {
 		a, stop := daemon("a", log)
 		Expect(submit(a, submission("j", 7))).To(BeNil())
 		got := all(a, "j")
@@ -749,7 +748,7 @@
 		Expect(string(body)).To(Equal("body of j-6"))
 	})
 
-	It("goes on with a broken item after its last event", func() {
+	It("resumes an item after its last event when its run breaks", func() {
 		var mu sync.Mutex
 		asked := map[string]int{}
 		script = func(r *rawtarget.Request, c net.Conn) {
@@ -776,7 +775,7 @@
 		}
 	})
 
-	It("does not join a run that leaves events out", func() {
+	It("does not append a run that leaves out events", func() {
 		var once sync.Once
 		script = func(r *rawtarget.Request, c net.Conn) {
 			gap := false
@@ -794,7 +793,7 @@
 		Expect(all(a, "j")[0].Output).To(Equal(output("j-0")))
 	})
 
-	DescribeTable("gives up what can't be done, after as many tries as are allowed",
+	DescribeTable("gives up items that can't succeed, after the allowed attempts",
 		func(status, tries int) {
 			script = func(r *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, rawtarget.Whole(status, "no", "Id: "+r.Header.Get("Id")))
@@ -804,13 +803,13 @@
 			Expect(all(a, "j")[0].State).To(Equal(batch.Errored))
 			Expect(target.Requests()).To(HaveLen(tries))
 		},
-		Entry("the target says never", 422, 1),
+		Entry("the target reports that it can never succeed", 422, 1),
 		Entry("the target fails each time", 500, 2),
 	)
 
-	// One item's output is longer than a record of the log. Written again and
-	// again it would hold up every result of its partition for ever.
-	It("ends an item as errored whose output the log can't hold, and goes on with the others", func() {
+	// One item's output is longer than a record of the log. Retried without end, its write
+	// would block every result of its partition for ever.
+	It("ends an item as errored whose output exceeds the log's record size, and continues with the others", func() {
 		script = func(r *rawtarget.Request, c net.Conn) {
 			if id := r.Header.Get("Id"); id == "j-0" {
 				rawtarget.Write(c, head(id)+rawtarget.Chunk(rawtarget.Event(0, strings.Repeat("x", fakepartlog.MaxRecordBytes)))+rawtarget.LastChunk)
@@ -825,10 +824,10 @@
 		}
 	})
 
-	It("stops an ended job's items, at the daemon that runs them too", func() {
+	It("stops an ended job's items, also at another daemon that runs them", func() {
 		script = func(*rawtarget.Request, net.Conn) {}
 		a, _ := daemon("a", log)
-		b, _ := daemon("b", emptyHanded{log})
+		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 3))).To(BeNil())
 		Eventually(target.Requests).WithTimeout(limit).Should(HaveLen(3))
 		Expect(b.End(ctx(), "", "j")).To(BeNil())
--- a/daemon/jobs/membership.go
+++ b/daemon/jobs/membership.go
@@ -12,28 +12,29 @@
 )
 
 const (
-	// groupName is the group whose partitions say who runs which items.
+	// groupName is the consumer group whose partitions determine which daemon runs which
+	// items.
 	groupName = "runners"
-	// memberTTL is how long a membership lasts without renewal: a host that died
-	// is replaced within it, and one that was paused for less keeps its items.
+	// memberTTL is how long a membership lasts without renewal: a host that crashed is
+	// replaced within it, and one that was paused for less keeps its items.
 	memberTTL = 2500 * time.Millisecond
-	// renewEvery leaves two renewals to be lost.
-	renewEvery = 800 * time.Millisecond
-	// forgetEvery is the pace at which old jobs are looked for.
-	forgetEvery = 10 * time.Second
-	// forgetSlack is added to the time for which a job can be read: the clock that
-	// stamped its acceptance may differ from this one, and clocks jump by seconds.
-	forgetSlack = 15 * time.Second
+	// renewInterval allows two consecutive renewals to be lost.
+	renewInterval = 800 * time.Millisecond
+	// expiryInterval is how often expired jobs are looked for.
+	expiryInterval = 10 * time.Second
+	// expiryGrace is added to the retention time of a job: the clock that stamped its
+	// acceptance may differ from this one, and clocks jump by seconds.
+	expiryGrace = 15 * time.Second
 )
 
-// join keeps the membership and takes what it holds.
-func (r *runner) join(ctx context.Context) {
+// keepMembership renews the membership and updates the partitions held.
+func (r *runner) keepMembership(ctx context.Context) {
 	generation := int64(0)
-	forgot := time.Now()
+	lastExpiry := time.Now()
 	for !r.isStopping() {
 		if r.jobs.Large() && !r.jobs.Roomy() {
-			r.leave(ctx)
-			if !duty.Pause(ctx, renewEvery) {
+			r.leaveGroup(ctx)
+			if !duty.Pause(ctx, renewInterval) {
 				return
 			}
 			continue
@@ -41,27 +42,27 @@
 		claim, err := r.jobs.Groups.Join(ctx, groupName, r.jobs.Host, []string{r.jobs.Topics.Results}, memberTTL, generation)
 		if err == nil {
 			generation = claim.Generation
-			r.hold(ctx, claim)
+			r.updateHeld(ctx, claim)
 		} else if ctx.Err() == nil {
-			// The partitions stay in use: running an item that another daemon runs
-			// too costs a run, stopping all would cost the deadline.
+			// The partitions stay in use: running an item that another daemon also runs
+			// costs a run; stopping all would miss the items' due times.
 			r.jobs.Logger.Info("membership_not_renewed", zap.Error(err))
 		}
-		if time.Since(forgot) > forgetEvery {
-			forgot = time.Now()
-			r.forget(ctx)
+		if time.Since(lastExpiry) > expiryInterval {
+			lastExpiry = time.Now()
+			r.removeExpired(ctx)
 		}
-		if !duty.Pause(ctx, renewEvery) {
+		if !duty.Pause(ctx, renewInterval) {
 			return
 		}
 	}
 }
 
-// leave gives back the partitions of a daemon that has found its zone to be large and its
-// host to be small.
-func (r *runner) leave(ctx context.Context) {
+// leaveGroup releases the partitions of a daemon that has found its zone to be large and
+// its host to be small.
+func (r *runner) leaveGroup(ctx context.Context) {
 	r.mu.Lock()
-	held := len(r.owned)
+	held := len(r.heldSince)
 	r.mu.Unlock()
 	if held == 0 {
 		return
@@ -70,7 +71,7 @@
 		r.jobs.Logger.Info("group_not_left", zap.Error(err))
 		return
 	}
-	r.hold(ctx, partlog.Claim{})
+	r.updateHeld(ctx, partlog.Claim{})
 }
 
 func (r *runner) isStopping() bool {
@@ -79,8 +80,8 @@
 	return r.stopping
 }
 
-// hold takes the partitions that the daemon runs from now on.
-func (r *runner) hold(ctx context.Context, claim partlog.Claim) {
+// updateHeld sets the partitions whose items the daemon runs from now on.
+func (r *runner) updateHeld(ctx context.Context, claim partlog.Claim) {
 	held := map[int]bool{}
 	for _, p := range claim.Parts {
 		held[p.Part] = true
@@ -92,18 +93,18 @@
 	if r.stopping {
 		return
 	}
-	r.renewed = now
-	for part := range r.owned {
+	r.renewedAt = now
+	for part := range r.heldSince {
 		if !held[part] {
-			delete(r.owned, part)
-			r.gaveUp[part] = now
+			delete(r.heldSince, part)
+			r.releasedAt[part] = now
 			r.jobs.bodies.unfollow(part)
 			r.jobs.Logger.Info("partition_given_up", zap.Int("part", part), zap.Int64("generation", claim.Generation))
 		}
 	}
 	for part := range held {
-		if _, had := r.owned[part]; !had {
-			r.owned[part] = now
+		if _, had := r.heldSince[part]; !had {
+			r.heldSince[part] = now
 			r.jobs.bodies.follow(ctx, part)
 			go r.restoreProgress(ctx, part)
 			r.jobs.Logger.Info("partition_held", zap.Int("part", part), zap.Int64("generation", claim.Generation))
@@ -138,45 +139,45 @@
 	partlog.Follow(ctx, j.Log, c.partition, resultsPace, c)
 }
 
-// forget drops the jobs of the held partitions that nobody may ask for any
-// more. The acceptance goes first: a job without it is run by nobody, while one
-// without its results would be run again.
-func (r *runner) forget(ctx context.Context) {
-	for _, id := range r.forgettable() {
-		if err := r.jobs.drop(ctx, id); err != nil {
+// removeExpired removes the jobs of the held partitions whose retention time is over. The
+// acceptance is removed first: a job without it is run by no daemon, while one without
+// its results would be run again.
+func (r *runner) removeExpired(ctx context.Context) {
+	for _, id := range r.expiredJobs() {
+		if err := r.jobs.removeJob(ctx, id); err != nil {
 			r.jobs.Logger.Info("job_not_forgotten", zap.String("job", id), zap.Error(err))
 			return
 		}
 	}
 }
 
-func (r *runner) forgettable() []string {
+func (r *runner) expiredJobs() []string {
 	r.jobs.mu.Lock()
 	defer r.jobs.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var mine []string
-	for _, id := range r.jobs.book.Forgettable(time.Now(), r.jobs.KeepFor+forgetSlack) {
-		if _, held := r.owned[r.jobs.part(id)]; held {
-			mine = append(mine, id)
+	var ids []string
+	for _, id := range r.jobs.store.Forgettable(time.Now(), r.jobs.KeepFor+expiryGrace) {
+		if _, held := r.heldSince[r.jobs.part(id)]; held {
+			ids = append(ids, id)
 		}
 	}
-	return mine
+	return ids
 }
 
-// drop removes all records of a job.
-func (j *Jobs) drop(ctx context.Context, id string) error {
+// removeJob deletes all records of a job from the log.
+func (j *Jobs) removeJob(ctx context.Context, id string) error {
 	j.mu.Lock()
-	known := j.book.Job(id)
+	known := j.store.Job(id)
 	j.mu.Unlock()
 	if known == nil {
 		return nil
 	}
-	if err := j.list(ctx, id); err != nil {
+	if err := j.loadItems(ctx, id); err != nil {
 		return err
 	}
-	gone := []partlog.Record{{Key: batch.AcceptedKey(id)}, {Key: batch.EndedKey(id)}}
-	if _, err := j.Log.Append(ctx, j.accepted.partition, gone, partlog.Anywhere); err != nil {
+	tombstones := []partlog.Record{{Key: batch.AcceptedKey(id)}, {Key: batch.EndedKey(id)}}
+	if _, err := j.Log.Append(ctx, j.accepted.partition, tombstones, partlog.Anywhere); err != nil {
 		return err
 	}
 	var results, progress []partlog.Record
--- a/daemon/jobs/meter.go
+++ b/daemon/jobs/meter.go
@@ -9,17 +9,17 @@
 // meter counts items.
 type meter struct {
 	succeeded, errored *metrics.Counter
-	// again counts runs that did not end their item, yields those of them that
-	// gave way to online work.
-	again, yields *metrics.Counter
+	// retries counts runs that did not end their item, preemptions those of them that
+	// were preempted by online work.
+	retries, preemptions *metrics.Counter
 }
 
 func newMeter(set *metrics.Set) *meter {
 	return &meter{
-		succeeded: set.GetOrCreateCounter(`tarragonhollow_items_total{state="succeeded"}`),
-		errored:   set.GetOrCreateCounter(`tarragonhollow_items_total{state="errored"}`),
-		again:     set.GetOrCreateCounter("tarragonhollow_item_runs_again_total"),
-		yields:    set.GetOrCreateCounter("tarragonhollow_item_yields_total"),
+		succeeded:   set.GetOrCreateCounter(`tarragonhollow_items_total{state="succeeded"}`),
+		errored:     set.GetOrCreateCounter(`tarragonhollow_items_total{state="errored"}`),
+		retries:     set.GetOrCreateCounter("tarragonhollow_item_runs_again_total"),
+		preemptions: set.GetOrCreateCounter("tarragonhollow_item_yields_total"),
 	}
 }
 
--- a/daemon/jobs/progress.go
+++ b/daemon/jobs/progress.go
@@ -15,47 +15,48 @@
 )
 
 const (
-	// keepEvery is the pace at which the progress of items is looked through. One
-	// append a partition and look tells of all its items, some 15 appends a second
-	// for 12 partitions, of a rate of 800.
-	keepEvery = 700 * time.Millisecond
-	// keepTime bounds one append of progress; it is not waited for by anybody.
-	keepTime = time.Second
-	// restorePatience is how long the items of a partition that came from another
-	// daemon wait for their progress to be read. Begun anew, an item takes seconds.
-	restorePatience = 2500 * time.Millisecond
+	// saveInterval is how often the progress of items is checked. One append per
+	// partition saves all its items: some 15 appends a second for 12 partitions, of a
+	// rate of 800.
+	saveInterval = 700 * time.Millisecond
+	// saveTimeout bounds one append of progress; nothing waits for it.
+	saveTimeout = time.Second
+	// restoreMaxWait is how long the items of a partition that came from another daemon
+	// wait for their progress to be read. An item that starts over takes seconds.
+	restoreMaxWait = 2500 * time.Millisecond
 )
 
-// progress is what is kept of an unfinished item between its runs. Only its run, or
-// whoever starts one, uses it; the text is also read by the one that keeps it on the
-// log.
+// progress is the state of an unfinished item between its runs. It is used only by the
+// item's run or by the code that starts one; the text is also read by the loop that saves
+// it to the log.
 type progress struct {
 	mu sync.Mutex
 	// lastEvent is the number of the last event received, output the data of all.
 	lastEvent int64
 	output    []string
 	bytes     int
-	// kept is how many events the log holds.
-	kept int64
+	// saved is the number of events that the log holds.
+	saved int64
 
-	// failures counts the answers by which the target told that the item failed.
+	// failures counts the answers in which the target reported that the item failed.
 	failures int
-	// fruitless counts the runs in a row that were broken off without an event.
-	fruitless int
+	// unsuccessful counts the consecutive runs that were broken off without an event.
+	unsuccessful int
 	// notBefore delays the next run.
 	notBefore time.Time
-	// avoid is the start of the target that the last run failed at.
-	avoid string
-	// unrouted is since when no route fits.
-	unrouted time.Time
-	// missing is since when the body is looked for.
-	missing time.Time
+	// avoidTarget is the start of the target at which the last run failed.
+	avoidTarget string
+	// unroutedSince is since when no route matches.
+	unroutedSince time.Time
+	// bodyMissingSince is since when the body is missing, or was last requested from the
+	// log.
+	bodyMissingSince time.Time
 }
 
 func newProgress() *progress { return &progress{lastEvent: noEvent} }
 
-// take adds the whole events; false tells of a gap.
-func (p *progress) take(events *sse.Splitter) bool {
+// addEvents adds the complete events; it returns false if there is a gap.
+func (p *progress) addEvents(events *sse.Splitter) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
@@ -75,17 +76,17 @@
 	}
 }
 
-// events is how many events of the item are had.
-func (p *progress) events() int64 {
+// eventCount returns how many events of the item were received.
+func (p *progress) eventCount() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastEvent + 1
 }
 
-// begun tells whether anything of the item is had.
-func (p *progress) begun() bool { return p.events() > 0 }
+// begun reports whether any event of the item was received.
+func (p *progress) begun() bool { return p.eventCount() > 0 }
 
-// text is the data of all events.
+// text returns the data of all events.
 func (p *progress) text() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,7 +100,8 @@
 	p.output, p.bytes, p.lastEvent = nil, 0, noEvent
 }
 
-// restore takes what the log holds, if it is more than what is had here.
+// restore adopts the progress from the log and returns true if it is ahead of the local
+// one.
 func (p *progress) restore(from batch.Progress) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,48 +109,50 @@
 		return false
 	}
 	p.lastEvent, p.output, p.bytes = from.LastEvent, []string{from.Output}, len(from.Output)
-	p.kept = from.LastEvent + 1
+	p.saved = from.LastEvent + 1
 	return true
 }
 
-// worth decides whether an item is kept again; see batch.WorthKeeping.
-type worth func(events, kept int64, bytes int) bool
+// savePolicy is a function that reports whether an item's progress should be saved again; see
+// batch.ShouldSave.
+type savePolicy func(events, kept int64, bytes int) bool
 
-// anyGrowth keeps whatever is new: nothing follows the stop of a daemon.
-func anyGrowth(events, kept int64, bytes int) bool {
-	return events > kept && batch.WorthKeeping(events, 0, bytes)
+// saveAnyGrowth saves all new progress; it is used when the daemon stops, since no later
+// save follows.
+func saveAnyGrowth(events, saved int64, bytes int) bool {
+	return events > saved && batch.WorthKeeping(events, 0, bytes)
 }
 
-// snapshot returns the item's progress if it is worth keeping, and counts it as kept.
-func (p *progress) snapshot(keep worth) (batch.Progress, bool) {
+// snapshot returns the item's progress if it should be saved, and marks it as saved.
+func (p *progress) snapshot(shouldSave savePolicy) (batch.Progress, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	events := p.lastEvent + 1
-	if !keep(events, p.kept, p.bytes) {
+	if !shouldSave(events, p.saved, p.bytes) {
 		return batch.Progress{}, false
 	}
-	p.kept = events
+	p.saved = events
 	return batch.Progress{LastEvent: p.lastEvent, Output: strings.Join(p.output, "\n")}, true
 }
 
-// wasKept tells whether the log holds any progress of the item.
-func (p *progress) wasKept() bool {
+// isSaved reports whether the log holds any progress of the item.
+func (p *progress) isSaved() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.kept > 0
+	return p.saved > 0
 }
 
-// keep keeps the progress of items on the log until ctx is done.
-func (r *runner) keep(ctx context.Context) {
-	duty.Every(ctx, keepEvery, func() { r.keepProgress(ctx, batch.WorthKeeping) })
+// saveProgressLoop saves the progress of items to the log until ctx is done.
+func (r *runner) saveProgressLoop(ctx context.Context) {
+	duty.Every(ctx, saveInterval, func() { r.saveProgress(ctx, batch.WorthKeeping) })
 }
 
-// keepProgress writes the progress that is worth it, in one append a partition. One
-// that fails is left: the next look writes more.
-func (r *runner) keepProgress(ctx context.Context, keep worth) {
-	ctx, cancel := context.WithTimeout(ctx, keepTime)
+// saveProgress writes the progress that should be saved, in one append per partition. A
+// failed append is not repeated: the next interval saves more.
+func (r *runner) saveProgress(ctx context.Context, shouldSave savePolicy) {
+	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
-	for part, records := range r.progressRecords(keep) {
+	for part, records := range r.progressRecords(shouldSave) {
 		p := partlog.Partition{Topic: r.jobs.Topics.Progress, Part: part}
 		_, err := r.jobs.Log.Append(ctx, p, records, partlog.Anywhere)
 		if err != nil {
@@ -157,9 +161,9 @@
 	}
 }
 
-// progressRecords gathers the records by partition: what is new of unfinished items,
-// and the ends of those that the log still holds.
-func (r *runner) progressRecords(keep worth) map[int][]partlog.Record {
+// progressRecords collects the records by partition: new progress of unfinished items,
+// and tombstones for ended items whose progress the log still holds.
+func (r *runner) progressRecords(shouldSave savePolicy) map[int][]partlog.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	records := map[int][]partlog.Record{}
@@ -167,12 +171,12 @@
 		part := r.jobs.part(key.job)
 		records[part] = append(records[part], partlog.Record{Key: batch.ResultKey(key.job, key.item), Value: value})
 	}
-	for _, key := range r.over {
+	for _, key := range r.endedItems {
 		add(key, nil)
 	}
-	r.over = nil
+	r.endedItems = nil
 	for key, p := range r.progress {
-		snapshot, ok := p.snapshot(keep)
+		snapshot, ok := p.snapshot(shouldSave)
 		if !ok {
 			continue
 		}
@@ -187,16 +191,16 @@
 	return records
 }
 
-// forgetProgress drops what is had of an item that is over, here and on the log. r.mu
+// dropProgress removes the progress of an item that has ended, here and on the log. r.mu
 // is held.
-func (r *runner) forgetProgress(key itemKey) {
-	if p := r.progress[key]; p != nil && p.wasKept() {
-		r.over = append(r.over, key)
+func (r *runner) dropProgress(key itemKey) {
+	if p := r.progress[key]; p != nil && p.isSaved() {
+		r.endedItems = append(r.endedItems, key)
 	}
 	delete(r.progress, key)
 }
 
-// restoreProgress reads the progress of a partition that came here.
+// restoreProgress reads the progress of a partition that was assigned to this daemon.
 func (r *runner) restoreProgress(ctx context.Context, part int) {
 	p := partlog.Partition{Topic: r.jobs.Topics.Progress, Part: part}
 	err := partlog.Load(ctx, r.jobs.Log, p, &progressReader{runner: r, part: part})
@@ -205,7 +209,7 @@
 	}
 }
 
-// progressReader takes the progress of one partition.
+// progressReader applies the saved progress of one partition.
 type progressReader struct {
 	runner *runner
 	part   int
@@ -230,13 +234,13 @@
 	}
 	r := pr.runner
 	r.mu.Lock()
-	r.restored[pr.part] = time.Now()
+	r.restoredAt[pr.part] = time.Now()
 	r.mu.Unlock()
 	r.jobs.Logger.Info("progress_restored", zap.Int("part", pr.part), zap.Int("records", len(records)), zap.Int("items", restored))
 	r.wake()
 }
 
-// restoreOne takes the progress of an item that has not ended and does not run here.
+// restoreOne restores the progress of an item that has not ended and does not run here.
 func (pr *progressReader) restoreOne(k partlog.Kept) bool {
 	r := pr.runner
 	if k.Unreadable {
@@ -246,7 +250,7 @@
 	if err != nil {
 		r.jobs.Logger.Error("record_unreadable", zap.String("key", k.Key), zap.Int64("offset", k.Offset), zap.Error(err))
 	}
-	if !ok || err != nil || r.jobs.over(job, progress.Item) {
+	if !ok || err != nil || r.jobs.itemEnded(job, progress.Item) {
 		return false
 	}
 	key := itemKey{job, progress.Item}
--- a/daemon/jobs/tenure.go
+++ b/daemon/jobs/tenure.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-// tellHeld tells the other daemons which items they must not run: those that run here,
-// or whose results are not written yet, or that were begun here, although their
-// partition has gone or may have gone. It tells them too which partitions are held here
-// for certain.
+// publishHeld sends the other daemons the items that they must not run although the
+// partition was, or may have been, reassigned: those that run here, those whose results
+// are not written yet, and those that were begun here. It also sends which partitions are
+// certainly held here.
 //
-// Failure guarded against: the log turns this daemon away, its partitions go to
-// another one, and that runs the items a second time that run or have ended here.
-func (r *runner) tellHeld() {
+// Failure guarded against: the log rejects this daemon, its partitions are assigned to
+// another one, and that runs again the items that run or have ended here.
+func (r *runner) publishHeld() {
 	unwritten := r.jobs.unwritten()
 	elsewhere := r.jobs.Places.PartsElsewhere()
 	now := time.Now()
 	r.mu.Lock()
-	certain := r.certain(now)
+	valid := r.isMember(now)
 	var held []uint64
-	tell := func(key itemKey) {
-		if _, mine := r.owned[r.jobs.part(key.job)]; !mine || !certain {
+	publish := func(key itemKey) {
+		if _, isHeld := r.heldSince[r.jobs.part(key.job)]; !isHeld || !valid {
 			held = append(held, key.hash())
 		}
 	}
 	for key := range r.active {
-		tell(key)
+		publish(key)
 	}
 	for _, key := range unwritten {
-		tell(key)
+		publish(key)
 	}
 	for key, p := range r.progress {
-		if r.active[key] == nil && r.tenure(now, r.jobs.part(key.job), elsewhere) != none && p.begun() {
-			tell(key)
+		if r.active[key] == nil && r.scopeOf(now, r.jobs.part(key.job), elsewhere) != scopeNone && p.begun() {
+			publish(key)
 		}
 	}
 	var parts []int
-	if certain {
-		parts = slices.Sorted(maps.Keys(r.owned))
+	if valid {
+		parts = slices.Sorted(maps.Keys(r.heldSince))
 	}
 	r.mu.Unlock()
 	r.jobs.Places.SetHeld(held, parts)
 }
 
-// tenure is which items of a partition this daemon runs.
-type tenure int
+// runScope is which items of a partition this daemon runs.
+type runScope int
 
 const (
-	// none: the partition is another daemon's.
-	none tenure = iota
-	// begunOnly: it is another daemon's by now; what was begun here is finished here,
-	// since the other one has less of it, or nothing.
-	begunOnly
-	// all: it is held here.
-	all
+	// scopeNone means none: the partition is held by another daemon.
+	scopeNone runScope = iota
+	// scopeBegun means only those begun here: the partition was reassigned, but its new
+	// holder has less of their progress, or none.
+	scopeBegun
+	// scopeAll means all: the partition is held here.
+	scopeAll
 )
 
-// finishFor is how long items that were begun here are still started after their
-// partition has gone: about as long as an item takes beside online work.
-const finishFor = 8 * time.Second
+// finishWindow is how long after the loss of a partition the items that were begun here
+// are still started: about as long as an item takes beside online work.
+const finishWindow = 8 * time.Second
 
-// tenure tells which items of the partition run here. elsewhere holds the partitions
-// that other daemons hold for certain. r.mu is held.
-func (r *runner) tenure(now time.Time, part int, elsewhere map[int]bool) tenure {
+// scopeOf returns which items of the partition run here. elsewhere holds the partitions
+// that other daemons certainly hold. r.mu is held.
+func (r *runner) scopeOf(now time.Time, part int, elsewhere map[int]bool) runScope {
 	if r.stopping {
-		return none
+		return scopeNone
 	}
-	_, held := r.owned[part]
+	_, held := r.heldSince[part]
 	switch {
-	case held && (r.certain(now) || !elsewhere[part]):
-		return all
-	case held || now.Sub(r.gaveUp[part]) < finishFor:
-		return begunOnly
+	case held && (r.isMember(now) || !elsewhere[part]):
+		return scopeAll
+	case held || now.Sub(r.releasedAt[part]) < finishWindow:
+		return scopeBegun
 	default:
-		return none
+		return scopeNone
 	}
 }
 
-// certain tells whether the partitions are held for certain: the membership was
-// renewed lately, so that they can't have been dealt to others. r.mu is held.
-func (r *runner) certain(now time.Time) bool { return !r.stopping && now.Sub(r.renewed) < memberTTL }
+// isMember reports whether the partitions are certainly held: the membership was renewed
+// recently enough that they can't have been assigned to other daemons. r.mu is held.
+func (r *runner) isMember(now time.Time) bool { return !r.stopping && now.Sub(r.renewedAt) < memberTTL }
--- a/daemon/jobs/waiting.go
+++ b/daemon/jobs/waiting.go
@@ -9,27 +9,27 @@
 	"tarragonhollow.example/tarragonhollow/core/route"
 )
 
-// takeoverWait is how long the items of a partition that came from another daemon
-// wait, except those of new jobs: that daemon may live and finish them. It learns of
-// its loss within a renewal, and then says what it still runs.
-const takeoverWait = renewEvery + 300*time.Millisecond
+// takeoverWait is how long the items of a partition that came from another daemon wait,
+// except those of new jobs: that daemon may be alive and finish them. It learns of the
+// reassignment within a renewal, and then reports what it still runs.
+const takeoverWait = renewInterval + 300*time.Millisecond
 
 // candidate is an item that could run now.
 type candidate struct {
 	key  itemKey
 	item batch.Item
 	host string
-	// account is the client account whose job it is, "" for none.
+	// account is the client account that owns the job, "" for none.
 	account string
-	// route is nil if none fits.
+	// route is nil if none matches.
 	route *route.Route
 	due   time.Time
 	age   time.Duration
-	// behind tells that the item can't be on time.
-	behind bool
+	// late is set if the item can't finish by its due time.
+	late bool
 }
 
-// routeName is empty without a route.
+// routeName returns the route's name, "" without a route.
 func (c *candidate) routeName() string {
 	if c.route == nil {
 		return ""
@@ -37,8 +37,8 @@
 	return c.route.Name
 }
 
-// waiting lists the items of the held partitions that neither run nor have a
-// result, in order of their due time.
+// waiting lists the items of the held partitions that neither run nor have a result,
+// ordered by due time.
 func (r *runner) waiting(table *route.Table) []candidate {
 	now := time.Now()
 	held := r.jobs.Places.HeldElsewhere()
@@ -51,53 +51,53 @@
 		return nil
 	}
 	var list []candidate
-	r.jobs.book.Jobs(func(j *batch.Job) {
+	r.jobs.store.Jobs(func(j *batch.Job) {
 		part := r.jobs.part(j.ID)
-		switch r.tenure(now, part, parts) {
-		case all:
+		switch r.scopeOf(now, part, parts) {
+		case scopeAll:
 			if r.ready(now, j, part) {
 				list = r.appendWaiting(list, now, j, table, func(key itemKey) bool { return len(held) == 0 || !held[key.hash()] })
 			}
-		case begunOnly:
+		case scopeBegun:
 			list = r.appendWaiting(list, now, j, table, r.begun)
 		}
 	})
-	r.order(now, list)
+	r.sortByDue(now, list)
 	return list
 }
 
-// order sorts the items by their due time, those that can't be on time behind the
-// others; see batch.OnTime. r.mu is held.
-func (r *runner) order(now time.Time, list []candidate) {
-	r.speed.Had(now, len(r.active))
-	places, known := r.speed.Places()
+// sortByDue sorts the items by their due time, those that can't finish by then last; see
+// batch.OnTime. r.mu is held.
+func (r *runner) sortByDue(now time.Time, list []candidate) {
+	r.estimator.Had(now, len(r.active))
+	slots, known := r.estimator.Places()
 	if known {
-		works := make([]batch.Work, 0, len(list)+len(r.active))
+		work := make([]batch.Work, 0, len(list)+len(r.active))
 		for i := range list {
 			c := &list[i]
-			works = append(works, batch.Work{Due: c.due.Sub(now), Left: r.left(c.key, c.item.Tokens)})
+			work = append(work, batch.Work{Due: c.due.Sub(now), Left: r.remaining(c.key, c.item.Tokens)})
 		}
 		for _, run := range r.active {
-			works = append(works, batch.Work{Due: run.due.Sub(now), Left: r.left(run.key, run.tokens)})
+			work = append(work, batch.Work{Due: run.due.Sub(now), Left: r.remaining(run.key, run.tokens)})
 		}
-		first := batch.OnTime(works, places)
+		onTime := batch.OnTime(work, slots)
 		for i := range list {
-			list[i].behind = !first[i]
+			list[i].late = !onTime[i]
 		}
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(compareBool(a.behind, b.behind), a.due.Compare(b.due),
+		return cmp.Or(compareBool(a.late, b.late), a.due.Compare(b.due),
 			cmp.Compare(a.key.job, b.key.job), cmp.Compare(a.key.item, b.key.item))
 	})
 }
 
-// left estimates how long an item still runs. r.mu is held.
-func (r *runner) left(key itemKey, tokens int64) time.Duration {
-	had := int64(0)
+// remaining estimates how long an item still runs. r.mu is held.
+func (r *runner) remaining(key itemKey, tokens int64) time.Duration {
+	received := int64(0)
 	if p := r.progress[key]; p != nil {
-		had = p.events()
+		received = p.eventCount()
 	}
-	return r.speed.Left(tokens, had)
+	return r.estimator.Left(tokens, received)
 }
 
 // compareBool orders false before true.
@@ -112,32 +112,32 @@
 	}
 }
 
-// begun tells whether anything of the item is had here. r.mu is held.
+// begun reports whether any event of the item was received here. r.mu is held.
 func (r *runner) begun(key itemKey) bool {
 	p := r.progress[key]
 	return p != nil && p.begun()
 }
 
-// ready tells whether items of a held partition may run.
+// ready reports whether the items of a held partition may run.
 func (r *runner) ready(now time.Time, j *batch.Job, part int) bool {
-	since := r.owned[part]
-	// What was finished before the partition came here must have been read.
-	if !j.Open() || !r.jobs.results[part].read.After(since) {
+	since := r.heldSince[part]
+	// All results from before the partition was assigned here must have been read.
+	if !j.Open() || !r.jobs.results[part].readAt.After(since) {
 		return false
 	}
-	return since.UnixMilli() <= j.AcceptedMs || r.takenOver(now, part, since)
+	return since.UnixMilli() <= j.AcceptedMs || r.takeoverDone(now, part, since)
 }
 
-// takenOver tells whether the items of a partition that came from another daemon may
-// run: that daemon had time to say what it still runs, and their progress was read.
-func (r *runner) takenOver(now time.Time, part int, since time.Time) bool {
+// takeoverDone reports whether the items of a partition that came from another daemon may
+// run: that daemon had time to report what it still runs, and their progress was read.
+func (r *runner) takeoverDone(now time.Time, part int, since time.Time) bool {
 	held := now.Sub(since)
-	return held >= takeoverWait && (r.restored[part].After(since) || held >= restorePatience)
+	return held >= takeoverWait && (r.restoredAt[part].After(since) || held >= restoreMaxWait)
 }
 
-// appendWaiting adds the items of a job that may run here and neither run nor have a
+// appendWaiting appends the items of a job that may run here and neither run nor have a
 // result.
-func (r *runner) appendWaiting(list []candidate, now time.Time, j *batch.Job, table *route.Table, here func(itemKey) bool) []candidate {
+func (r *runner) appendWaiting(list []candidate, now time.Time, j *batch.Job, table *route.Table, runsHere func(itemKey) bool) []candidate {
 	if !j.Open() {
 		return list
 	}
@@ -145,7 +145,7 @@
 	accepted := time.UnixMilli(j.AcceptedMs)
 	for i := range j.Items {
 		key := itemKey{j.ID, i}
-		if j.Finished(i) || r.active[key] != nil || !here(key) {
+		if j.Finished(i) || r.active[key] != nil || !runsHere(key) {
 			continue
 		}
 		if p := r.progress[key]; p != nil && now.Before(p.notBefore) {
--- a/daemon/jobs/writer.go
+++ b/daemon/jobs/writer.go
@@ -14,39 +14,40 @@
 )
 
 const (
-	// gatherResults is how long results are gathered into one append; it is a
-	// fraction of the pace at which other daemons read them.
-	gatherResults = 100 * time.Millisecond
-	// writePause is the pause after a failed append.
-	writePause = 200 * time.Millisecond
-	// settleTime bounds one try to settle an append.
-	settleTime = 5 * time.Second
-	// maxRecordBytes bounds one result; the log's records hold 256 KiB with their
+	// resultLinger is how long results are batched up for one append, a fraction of the
+	// interval at which other daemons read them.
+	resultLinger = 100 * time.Millisecond
+	// writeRetryPause is the pause after a failed append.
+	writeRetryPause = 200 * time.Millisecond
+	// resolveTimeout bounds one attempt to write results, until the append's outcome is
+	// known.
+	resolveTimeout = 5 * time.Second
+	// maxRecordBytes bounds one result; the log's records hold 256 KiB including their
 	// key.
 	maxRecordBytes = 255 << 10
 	// maxResultBytes bounds the results of one append.
 	maxResultBytes = 1 << 20
 )
 
-// entry is a result that waits to be written.
-type entry struct {
+// queuedResult is a result that waits to be written.
+type queuedResult struct {
 	job    string
 	result batch.Result
-	// since is when it began to wait.
-	since time.Time
+	// queuedAt is when it was queued.
+	queuedAt time.Time
 }
 
-func (e *entry) key() itemKey { return itemKey{e.job, e.result.Item} }
+func (e *queuedResult) key() itemKey { return itemKey{e.job, e.result.Item} }
 
-// writer writes the results of one partition. Each append demands that the
-// partition ends where this daemon has read to, so an item that another daemon
-// finished first is seen before a second result could be written.
+// writer writes the results of one partition. Each append requires that the partition
+// ends where this daemon has read to, so the result of an item that another daemon
+// finished first is seen before a second one could be written.
 type writer struct {
 	jobs   *Jobs
 	cursor *cursor
 
 	mu    sync.Mutex
-	queue []entry
+	queue []queuedResult
 	wakes chan struct{}
 }
 
@@ -55,34 +56,34 @@
 }
 
 // add queues a result. The queue is bounded by the items that run here.
-func (w *writer) add(e entry) {
+func (w *writer) add(e queuedResult) {
 	w.mu.Lock()
 	w.queue = append(w.queue, e)
 	w.mu.Unlock()
 	duty.Wake(w.wakes)
 }
 
-// waiting returns a copy of what waits since the given moment or longer.
-func (w *writer) waiting(since time.Time) []entry {
+// waiting returns a copy of the results that were queued at or before the given time.
+func (w *writer) waiting(since time.Time) []queuedResult {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var list []entry
+	var list []queuedResult
 	for _, e := range w.queue {
-		if !e.since.After(since) {
+		if !e.queuedAt.After(since) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// remove drops what another daemon has written.
+// remove drops the results that another daemon has written.
 func (w *writer) remove(written map[itemKey]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.queue = slices.DeleteFunc(w.queue, func(e entry) bool { return written[e.key()] })
+	w.queue = slices.DeleteFunc(w.queue, func(e queuedResult) bool { return written[e.key()] })
 }
 
-// empty tells whether everything is written.
+// empty reports whether everything is written.
 func (w *writer) empty() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -97,13 +98,13 @@
 			return
 		case <-w.wakes:
 		}
-		if !duty.Pause(ctx, gatherResults) {
+		if !duty.Pause(ctx, resultLinger) {
 			return
 		}
 		for !w.empty() && ctx.Err() == nil {
 			if err := w.write(ctx); err != nil {
 				w.jobs.Logger.Info("results_not_written", zap.Int("part", w.cursor.partition.Part), zap.Error(err))
-				duty.Pause(ctx, writePause)
+				duty.Pause(ctx, writeRetryPause)
 			}
 		}
 	}
@@ -111,13 +112,13 @@
 
 // write appends the head of the queue.
 func (w *writer) write(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTime)
+	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
 	at, head, records, err := w.next()
 	if err != nil || len(head) == 0 {
 		return err
 	}
-	// What an append without an answer did is seen before the next one.
+	// If the append gets no answer, its effect is read before the next one.
 	_, err = w.jobs.appendAt(ctx, w.cursor, at, records)
 	if partlog.IsConflict(err) {
 		return w.jobs.catchUp(ctx, w.cursor)
@@ -128,15 +129,15 @@
 	return err
 }
 
-// next drops what the book has already and returns the rest's head with the
-// offset that it must stand at. Both are taken under one lock: a result that
-// is read in between would move the offset and fail the append.
+// next drops the results that the store already has and returns the head of the remaining
+// ones with the offset at which it must be appended. Both are determined under one lock:
+// a result read in between would move the offset and fail the append.
 //
-// An item's second result in the queue is dropped too. Failure guarded against: it is
-// queued by a run here and by a daemon that hands it over, perhaps twice. Two records
-// of one item in one append both stand on the log; a host that reads the newest of each
-// key then shows the item at another position than before.
-func (w *writer) next() (int64, []entry, []partlog.Record, error) {
+// A second result of an item in the queue is dropped too. Failure guarded against: a
+// result is queued by a run here and by a daemon that hands it off, perhaps twice. Two
+// records of one item in one append would both be on the log; a host that reads only the
+// newest record of each key would then return the item at another position than before.
+func (w *writer) next() (int64, []queuedResult, []partlog.Record, error) {
 	w.jobs.mu.Lock()
 	defer w.jobs.mu.Unlock()
 	w.mu.Lock()
@@ -145,23 +146,23 @@
 	if at < 0 {
 		return 0, nil, nil, partlog.Unavailable.New("the partition was not read yet")
 	}
-	var open []entry
+	var pending []queuedResult
 	queued := map[itemKey]bool{}
 	for _, e := range w.queue {
-		known := w.jobs.book.Job(e.job)
+		known := w.jobs.store.Job(e.job)
 		if known != nil && !known.Finished(e.result.Item) && !queued[e.key()] {
 			queued[e.key()] = true
-			open = append(open, e)
+			pending = append(pending, e)
 		}
 	}
-	w.queue = open
-	return encodeResults(at, open)
+	w.queue = pending
+	return encodeResults(at, pending)
 }
 
-func encodeResults(at int64, open []entry) (int64, []entry, []partlog.Record, error) {
+func encodeResults(at int64, pending []queuedResult) (int64, []queuedResult, []partlog.Record, error) {
 	var records []partlog.Record
 	size := 0
-	for i, e := range open {
+	for i, e := range pending {
 		value, err := encodeResult(e.result)
 		if err != nil {
 			return 0, nil, nil, err
@@ -171,12 +172,12 @@
 		}
 		records = append(records, partlog.Record{Key: batch.ResultKey(e.job, e.result.Item), Value: value})
 	}
-	return at, open[:len(records)], records, nil
+	return at, pending[:len(records)], records, nil
 }
 
-// encodeResult returns the result's record. One that the log can't hold ends as
-// errored: written as it is, it would be refused again and again, and hold up
-// every result behind it.
+// encodeResult returns the result's record. A result that exceeds the log's record size
+// is stored as errored: written as it is, it would be rejected again and again, and block
+// all results behind it.
 func encodeResult(r batch.Result) ([]byte, error) {
 	value, err := batch.Encode(r)
 	if err != nil || len(value) <= maxRecordBytes {
