--- a/daemon/duty/duty.go
+++ b/daemon/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty runs the daemon's duties: one named goroutine each, one exit
-// path, joined by bounded rings.
+// Package duty runs the daemon's loops: one goroutine each, which ends when its context is
+// done, connected by bounded queues.
 package duty
 
 import (
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// Group starts duties and waits for them.
+// Group starts loops and waits for them.
 type Group struct {
 	ctx context.Context
 	wg  sync.WaitGroup
 }
 
-// NewGroup returns a group whose duties end when ctx is done.
+// NewGroup returns a group whose loops end when ctx is done.
 func NewGroup(ctx context.Context) *Group { return &Group{ctx: ctx} }
 
-// Go runs loop as a duty. The loop returns when its context is done.
+// Go runs loop in a goroutine. The loop must return when its context is done.
 func (g *Group) Go(loop func(ctx context.Context)) {
 	g.wg.Add(1)
 	go func() {
@@ -25,5 +25,5 @@
 	}()
 }
 
-// Wait returns when all duties have ended.
+// Wait returns when all loops have ended.
 func (g *Group) Wait() { g.wg.Wait() }
--- a/daemon/duty/news.go
+++ b/daemon/duty/news.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// News wakes all that wait for a change. The zero value is ready. It is safe for
-// concurrent use.
+// Notifier wakes all goroutines that wait for a change. The zero value is ready to use. It
+// is safe for concurrent use.
 type News struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// Next returns a channel that the next Tell closes. Take it before looking at what may
-// have changed: a change between the two is then not missed.
+// Next returns a channel that the next Notify closes. Call it before reading the state that
+// may change: a change in between is then not missed.
 func (n *News) Next() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -20,7 +20,7 @@
 	return n.next
 }
 
-// Tell wakes all that wait.
+// Notify wakes all waiting goroutines.
 func (n *News) Tell() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/daemon/duty/pause.go
+++ b/daemon/duty/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for d, or for the end of ctx; it tells whether the whole of d has
-// passed. A d of zero or less returns at once.
+// Pause waits for d or until ctx is done, and reports whether all of d has passed. It
+// returns at once if d is zero or less.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(0, d))
 	defer timer.Stop()
@@ -18,16 +18,16 @@
 	}
 }
 
-// Every calls work at a pace until ctx is done. Calls that take longer than the pace
-// leave out turns.
-func Every(ctx context.Context, pace time.Duration, work func()) {
-	tick := time.NewTicker(pace)
-	defer tick.Stop()
+// Every calls work at the given interval until ctx is done. Ticks during a call that takes
+// longer than the interval are skipped.
+func Every(ctx context.Context, interval time.Duration, work func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			work()
 		}
 	}
--- a/daemon/duty/ring.go
+++ b/daemon/duty/ring.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Ring is a bounded queue between two duties. A full ring refuses instead of
-// blocking, so that no duty waits for a slower one; what is refused is counted.
+// Queue is a bounded queue between two loops. A full queue rejects values instead of
+// blocking, so that no loop waits for a slower one; rejected values are counted.
 type Ring[T any] struct {
 	ch      chan T
 	dropped atomic.Uint64
 }
 
-// NewRing returns a ring of the given capacity.
+// NewQueue returns a queue of the given capacity.
 func NewRing[T any](capacity int) *Ring[T] { return &Ring[T]{ch: make(chan T, capacity)} }
 
-// Offer adds v and tells whether there was room.
+// Offer adds v and reports whether the queue had room for it.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.ch <- v:
@@ -26,8 +26,8 @@
 // C returns the receiving side.
 func (r *Ring[T]) C() <-chan T { return r.ch }
 
-// Len returns how many values wait.
+// Len returns the number of queued values.
 func (r *Ring[T]) Len() int { return len(r.ch) }
 
-// Dropped returns how many values were refused.
+// Dropped returns the number of values rejected so far.
 func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
--- a/daemon/duty/switch.go
+++ b/daemon/duty/switch.go
@@ -2,18 +2,19 @@
 
 import "context"
 
-// Switch is a duty that runs while it is needed. It is not safe for concurrent use.
+// Switch starts and stops a loop as needed. It is not safe for concurrent use.
 type Switch struct {
-	// Loop is the duty; it returns when its context is done.
+	// Loop is the loop to run; it must return when its context is done.
 	Loop   func(ctx context.Context)
 	cancel context.CancelFunc
 	group  *Group
 }
 
-// Running tells whether the duty was started and not stopped.
+// Running reports whether the loop was started and not stopped since.
 func (s *Switch) Running() bool { return s.cancel != nil }
 
-// Set starts or stops the duty, and tells whether that is a change.
+// Set starts the loop if on is true and stops it if not, and reports whether that is a
+// change. The loop's context is derived from ctx.
 func (s *Switch) Set(ctx context.Context, on bool) (changed bool) {
 	if on == s.Running() {
 		return false
@@ -28,7 +29,8 @@
 	return true
 }
 
-// Stop stops the duty and waits for its end.
+// Stop stops the loop and waits until it has returned. It does nothing if the loop isn't
+// running.
 func (s *Switch) Stop() {
 	if !s.Running() {
 		return
--- a/daemon/duty/wake.go
+++ b/daemon/duty/wake.go
@@ -1,7 +1,7 @@
 package duty
 
-// Wake leaves a token in c for the loop that waits there. One that was left before
-// and is not yet taken serves as well, so it never blocks. c has room for one.
+// Wake sends a token to c to wake the loop that receives from it. It never blocks: if a
+// token is still pending, that one suffices. c must have a capacity of one.
 func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
