--- a/daemon/trail/trail.go
+++ b/daemon/trail/trail.go
@@ -1,7 +1,7 @@
-// Package trail keeps the last decisions that a daemon took by itself (a target
-// taken out, a shard taken over, batch held back, a request condemned), so that
-// operators see in the status what the fleet did and why. The events are those
-// of the log: a logger made by Wrap keeps the ones named in Kinds.
+// Package trail keeps the history of a daemon's last automatic decisions (a target ejected,
+// a shard taken over, batch withheld from a target, a request quarantined), so that
+// operators see in the status what the fleet did and why. The events are those of the log:
+// a logger returned by Wrap records the ones named in EventNames.
 package trail
 
 import (
@@ -13,10 +13,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Kept is how many events are kept.
+// MaxEvents is the number of events that are kept.
 const Kept = 256
 
-// Kinds names the log events that tell a decision.
+// EventNames lists the log events that record a decision.
 var Kinds = []string{
 	"batch_held_back",
 	"config_in_force",
@@ -46,25 +46,25 @@
 
 // Event is one decision.
 type Event struct {
-	// AtMs is when, Unix milliseconds.
+	// AtMs is the time of the decision in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
-	// Event is the log line's event.
+	// Event is the name of the log event.
 	Event string `json:"event"`
-	// Fields are the line's other values: the cause and its figures.
+	// Fields are the log line's other fields: the cause and the values behind it.
 	Fields map[string]any `json:"fields"`
 }
 
-// Trail is a bounded list of events, safe for concurrent use.
+// History is a bounded list of events. It is safe for concurrent use.
 type Trail struct {
 	mu     sync.Mutex
 	events []Event
 	next   int
 }
 
-// New returns an empty trail.
+// New returns an empty history.
 func New() *Trail { return &Trail{} }
 
-// add keeps the event in place of the oldest one.
+// add adds the event; if the history is full, it replaces the oldest one.
 func (t *Trail) add(e Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,34 +76,34 @@
 	t.next = (t.next + 1) % Kept
 }
 
-// Events returns what is kept, oldest first.
+// Events returns the kept events, oldest first.
 func (t *Trail) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append(slices.Clone(t.events[t.next:]), t.events[:t.next]...)
 }
 
-// Wrap returns a logger that writes like l and also keeps decisions in t,
-// whatever level l is set to.
+// Wrap returns a logger that writes like l and also records decisions in t, regardless of
+// l's level.
 func (t *Trail) Wrap(l *zap.Logger) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewTee(c, &core{trail: t})
+		return zapcore.NewTee(c, &core{history: t})
 	}))
 }
 
-// core is the zap core that keeps decisions.
+// core is the zap core that records decisions.
 type core struct {
-	trail  *Trail
-	fields []zapcore.Field
+	history *Trail
+	fields  []zapcore.Field
 }
 
-// Enabled implements zapcore.LevelEnabler: a decision is kept even where the
-// log's level hides its line.
+// Enabled implements zapcore.LevelEnabler. It is independent of the log's level, so that
+// decisions are recorded even if the log omits them.
 func (c *core) Enabled(l zapcore.Level) bool { return l >= zapcore.InfoLevel }
 
 // With implements zapcore.Core.
 func (c *core) With(fields []zapcore.Field) zapcore.Core {
-	return &core{trail: c.trail, fields: append(slices.Clone(c.fields), fields...)}
+	return &core{history: c.history, fields: append(slices.Clone(c.fields), fields...)}
 }
 
 // Check implements zapcore.Core.
@@ -125,7 +125,7 @@
 			enc.Fields[key] = d.String()
 		}
 	}
-	c.trail.add(Event{AtMs: e.Time.UnixMilli(), Event: e.Message, Fields: enc.Fields})
+	c.history.add(Event{AtMs: e.Time.UnixMilli(), Event: e.Message, Fields: enc.Fields})
 	return nil
 }
 
--- a/daemon/trail/trail_test.go
+++ b/daemon/trail/trail_test.go
@@ -16,8 +16,8 @@
 	RunSpecs(t, "Trail")
 }
 
-var _ = Describe("A trail", func() {
-	It("keeps the last decisions with their fields, also where the log is quiet, and nothing else", func() {
+var _ = Describe("A decision history", func() {
+	It("keeps only the last decisions, with their fields, even if the log writes nothing", func() {
 		kept := trail.New()
 		quiet := zap.New(zapcore.NewNopCore())
 		log := kept.Wrap(quiet).With(zap.String("host", "entry-1"))
