--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -18,102 +18,107 @@
 )
 
 const (
-	// idleRepeatable bounds how long a kept connection may have been idle before it
-	// carries a request that may be repeated. One that may not gets a new
-	// connection: a target may have forgotten a kept one without a sign, and what
-	// is sent on it is lost.
-	idleRepeatable = time.Minute
-	onlyNew        = time.Duration(0)
-	// firstPatience is how long a repeatable request waits for the next bytes of an
-	// answer that has begun.
-	firstPatience = retry.LongestSilence
-	// gapFactor and the bounds give the silence within a resumable stream after
-	// which it goes on at another target: some way beyond the pause that callers
-	// are promised, and well before they leave.
-	gapFactor  = 1.5
-	leastGap   = 300 * time.Millisecond
-	longestGap = 800 * time.Millisecond
-	// leastPatience is left for the first event after a head that came late.
-	leastPatience = 20 * time.Millisecond
-	// maxBuffered bounds an answer that is read whole before it is passed on.
+	// maxIdleRepeatable is the longest idle time of a pooled connection that may carry a
+	// repeatable request. Other requests get a new connection: the target may have dropped
+	// a pooled one silently, and a request sent on it would be lost.
+	maxIdleRepeatable = time.Minute
+	newConnectionOnly = time.Duration(0)
+	// bodyTimeout is how long a repeatable request waits for the next bytes of an answer
+	// that has begun.
+	bodyTimeout = retry.LongestSilence
+	// A resumable stream without data for gapTimeoutFactor times the route's gap objective,
+	// within the two bounds, is resumed at another target: later than the gap that callers
+	// are promised, and well before they disconnect.
+	gapTimeoutFactor = 1.5
+	minGapTimeout    = 300 * time.Millisecond
+	maxGapTimeout    = 800 * time.Millisecond
+	// minFirstEventTimeout is the minimum wait for a stream's first event, for answers whose
+	// head arrived late.
+	minFirstEventTimeout = 20 * time.Millisecond
+	// maxBuffered is the maximum size, in bytes, of an answer that is read whole before it
+	// is forwarded.
 	maxBuffered = 16 << 20
-	// readSize is the most that is read of an answer at once.
+	// readSize is the size of the read buffer, in bytes.
 	readSize = 16 << 10
 )
 
 var errorNamespace = errorx.NewNamespace("relay")
 
-// errEnded is the type of errors about attempts that were ended here.
-var errEnded = errorNamespace.NewType("ended")
+// errAttemptEnded is the type of errors for attempts that this daemon ended.
+var errAttemptEnded = errorNamespace.NewType("ended")
 
-// errStartedAgain ends the attempts at a target that has started again.
-var errStartedAgain = errEnded.New("the target has started again")
+// errTargetRestarted ends the attempts at a target that has restarted.
+var errTargetRestarted = errAttemptEnded.New("the target has started again")
 
-// attempt is how one attempt at a target ended.
-type attempt struct {
-	// done tells that the caller has its answer, or that it was cut off.
+// attemptResult is the result of one attempt at a target.
+type attemptResult struct {
+	// done reports that an answer was delivered to the caller; aborted, that the caller's
+	// answer could not be completed.
 	done, aborted bool
 	// reached is false only if the target certainly did not run the request.
 	reached bool
-	// broken tells that the target broke the connection.
+	// broken reports that the target broke the connection.
 	broken bool
-	// busy tells that the target refused for load.
+	// busy reports that the target rejected the request because of load.
 	busy   bool
 	detail string
 	health routing.Outcome
 }
 
-// served returns the time that an answered request took.
-func (a attempt) served(began time.Time) time.Duration {
+// serviceTime returns the time since start for an attempt that succeeded, 0 otherwise.
+func (a attemptResult) serviceTime(start time.Time) time.Duration {
 	if a.done && !a.aborted && a.health == routing.Succeeded {
-		return time.Since(began)
+		return time.Since(start)
 	}
 	return 0
 }
 
-// repeats tells whether another attempt would be allowed after one more run.
-func (u *run) repeats() bool {
-	return u.request.Route.Repeatable() && u.runs+1 < u.request.Route.MaxAttempts
+// mayRetry reports whether another attempt would still be allowed if the current one fails
+// after the target ran the request.
+func (s *requestState) mayRetry() bool {
+	return s.request.Route.Repeatable() && s.runs+1 < s.request.Route.MaxAttempts
 }
 
 // attempt sends the request to the target once.
-func (u *run) attempt(ctx context.Context, t roster.Target) attempt {
-	options := h1.Options{MaxIdle: onlyNew, Deadline: u.request.Deadline}
-	if u.request.Route.Repeatable() {
-		options.MaxIdle = idleRepeatable
+func (s *requestState) attempt(ctx context.Context, t roster.Target) attemptResult {
+	options := h1.Options{MaxIdle: newConnectionOnly, Deadline: s.request.Deadline}
+	if s.request.Route.Repeatable() {
+		options.MaxIdle = maxIdleRepeatable
 	}
-	if u.repeats() {
-		options.Patience = u.patience
+	if s.mayRetry() {
+		options.Patience = s.firstByteTimeout
 	}
-	sender := Sender{u.relay.Wire, u.relay.Pool}
-	answer, verdict, err := sender.Send(ctx, u.request, t, time.Until(u.request.Deadline), u.out.lastEvent, options)
+	sender := Sender{s.relay.Wire, s.relay.Pool}
+	answer, verdict, err := sender.Send(ctx, s.request, t, time.Until(s.request.Deadline), s.delivery.lastEvent, options)
 	if err != nil {
-		return u.failedSend(ctx, err)
+		return s.attemptFailed(ctx, err)
 	}
 	switch verdict {
 	case TurnedAway:
-		return attempt{busy: true, detail: "turned away by " + t.ID, health: routing.Neutral}
+		return attemptResult{busy: true, detail: "turned away by " + t.ID, health: routing.Neutral}
 	case Elsewhere:
-		return attempt{detail: t.ID + " is no longer at its address", health: routing.HardFailed}
+		return attemptResult{detail: t.ID + " is no longer at its address", health: routing.HardFailed}
 	}
 	defer answer.Close()
-	if u.request.Route.Kind == route.Stream && answer.Status == http.StatusOK {
-		return u.stream(ctx, answer)
+	if s.request.Route.Kind == route.Stream && answer.Status == http.StatusOK {
+		return s.forwardStream(ctx, answer)
 	}
-	return u.whole(ctx, t, answer)
+	return s.forwardWhole(ctx, t, answer)
 }
 
-// failedSend is failedSend for an attempt that may have had no sign yet.
-func (u *run) failedSend(ctx context.Context, err error) attempt {
-	if !u.signed.Load() && ctx.Err() == nil && errorx.IsOfType(err, h1.Silent) {
-		u.relay.gaveUp(u.group(), u.patience)
+// attemptFailed classifies the error of a failed attempt, and records a timeout if the
+// target sent no first byte in time.
+func (s *requestState) attemptFailed(ctx context.Context, err error) attemptResult {
+	if !s.answerStarted.Load() && ctx.Err() == nil && errorx.IsOfType(err, h1.Silent) {
+		s.relay.noteFirstByteTimeout(s.group(), s.firstByteTimeout)
 	}
-	return failedSend(ctx, err)
+	return classifyError(ctx, err)
 }
 
-// failedSend tells what an error before the answer's head means.
-func failedSend(ctx context.Context, err error) attempt {
-	a := attempt{reached: true, detail: err.Error(), health: routing.SoftFailed}
+// classifyError returns the result of an attempt that failed with err before its answer
+// was read whole.
+func classifyError(ctx context.Context, err error) attemptResult {
+	a := attemptResult{reached: true, detail: err.Error(), health: routing.SoftFailed}
 	switch {
 	case errorx.IsOfType(err, h1.NotSent):
 		a.reached = false
@@ -122,130 +127,134 @@
 		a.broken = true
 	}
 	if ctx.Err() != nil {
-		// The connection was closed here; the target did nothing wrong.
+		// This daemon closed the connection; the target is not at fault.
 		a.health = routing.Neutral
 		a.detail = "ended here: " + context.Cause(ctx).Error()
 	}
 	return a
 }
 
-// whole reads the answer to its end before it is passed on, so that one that
-// breaks off can be asked for again or told as broken.
-func (u *run) whole(ctx context.Context, t roster.Target, answer *h1.Answer) attempt {
-	u.sign()
+// forwardWhole reads the answer to its end before it forwards it, so that a truncated one
+// can be retried or reported as failed.
+func (s *requestState) forwardWhole(ctx context.Context, t roster.Target, answer *h1.Answer) attemptResult {
+	s.noteFirstByte()
 	var body []byte
 	buffer := make([]byte, readSize)
 	for {
-		n, err := answer.Read(buffer, u.bodyPatience())
-		if refusal := u.request.hold(n); refusal != nil {
-			return attempt{reached: true, detail: refusal.Message, health: routing.Neutral}
+		n, err := answer.Read(buffer, s.bodyReadTimeout())
+		if refusal := s.request.reserveMemory(n); refusal != nil {
+			return attemptResult{reached: true, detail: refusal.Message, health: routing.Neutral}
 		}
 		body = append(body, buffer[:n]...)
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			return failedSend(ctx, err)
+			return classifyError(ctx, err)
 		}
 		if len(body) > maxBuffered {
-			return attempt{reached: true, detail: "the answer is too long", health: routing.SoftFailed}
+			return attemptResult{reached: true, detail: "the answer is too long", health: routing.SoftFailed}
 		}
 	}
 	if answer.Status == http.StatusInternalServerError {
-		u.out.keep(answer.Status, answer.Header, body)
-		if u.repeats() {
-			return attempt{reached: true, detail: "failed at " + t.ID, health: routing.SoftFailed}
+		s.delivery.keepFailure(answer.Status, answer.Header, body)
+		if s.mayRetry() {
+			return attemptResult{reached: true, detail: "failed at " + t.ID, health: routing.SoftFailed}
 		}
-		u.out.sendKept()
-		return attempt{done: true, health: routing.SoftFailed}
+		s.delivery.sendFailure()
+		return attemptResult{done: true, health: routing.SoftFailed}
 	}
-	u.out.send(answer.Status, answer.Header, body)
-	return attempt{done: true, health: routing.Succeeded}
+	s.delivery.sendWhole(answer.Status, answer.Header, body)
+	return attemptResult{done: true, health: routing.Succeeded}
 }
 
-// hold reserves the memory for n more bytes of an answer. Attempts add up: what a failed
-// one reserved is free when the request ends.
-func (r *Request) hold(n int) *outcome.Refusal {
+// reserveMemory reserves the memory for n more bytes of an answer. Reservations of failed
+// attempts add up; all are released when the request ends.
+func (r *Request) reserveMemory(n int) *outcome.Refusal {
 	if r.Memory == nil || n == 0 {
 		return nil
 	}
 	return r.Memory.Grow(int64(n))
 }
 
-func (u *run) bodyPatience() time.Duration {
-	if u.repeats() {
-		return firstPatience
+// bodyReadTimeout returns the timeout of one read of an answer's body, 0 for none.
+func (s *requestState) bodyReadTimeout() time.Duration {
+	if s.mayRetry() {
+		return bodyTimeout
 	}
 	return 0
 }
 
-// sign notes the first sign of an answer.
-func (u *run) sign() {
-	if u.firstByte == 0 {
-		u.firstByte = time.Since(u.request.Arrived)
+// noteFirstByte records that an answer has started: with the head of an answer that is read
+// whole, or with the first new event of a stream. The attempt's time counts in the
+// statistics of the target group.
+func (s *requestState) noteFirstByte() {
+	if s.timeToFirstByte == 0 {
+		s.timeToFirstByte = time.Since(s.request.Arrived)
 	}
-	if u.signed.CompareAndSwap(false, true) {
-		u.relay.answered(u.group(), time.Since(u.began))
+	if s.answerStarted.CompareAndSwap(false, true) {
+		s.relay.noteFirstByte(s.group(), time.Since(s.attemptStart))
 	}
 }
 
-// stream passes whole events on as they come. A break leaves the delivery at
-// the last whole event, from which another target can go on.
-func (u *run) stream(ctx context.Context, answer *h1.Answer) attempt {
+// forwardStream forwards complete events as they arrive. If the stream breaks, the delivery
+// is at its last complete event, from which another target can resume.
+func (s *requestState) forwardStream(ctx context.Context, answer *h1.Answer) attemptResult {
 	var events sse.Splitter
 	buffer := make([]byte, readSize)
 	for {
-		n, err := answer.Read(buffer, u.eventPatience())
+		n, err := answer.Read(buffer, s.eventReadTimeout())
 		events.Write(buffer[:n])
-		if sent := u.forward(answer, &events); sent != nil {
-			return attempt{done: true, aborted: true, detail: sent.Error(), health: routing.Neutral}
+		if writeErr := s.forwardEvents(answer, &events); writeErr != nil {
+			return attemptResult{done: true, aborted: true, detail: writeErr.Error(), health: routing.Neutral}
 		}
 		switch {
 		case err == io.EOF && len(events.Rest()) == 0:
-			u.out.finish(answer)
-			return attempt{done: true, health: routing.Succeeded}
+			s.delivery.finish(answer)
+			return attemptResult{done: true, health: routing.Succeeded}
 		case err == io.EOF:
-			return attempt{reached: true, detail: "the stream ended within an event", health: routing.SoftFailed}
+			return attemptResult{reached: true, detail: "the stream ended within an event", health: routing.SoftFailed}
 		case err != nil:
-			return u.failedSend(ctx, err)
+			return s.attemptFailed(ctx, err)
 		case events.Overlong():
-			return attempt{reached: true, detail: "an event is too long", health: routing.SoftFailed}
+			return attemptResult{reached: true, detail: "an event is too long", health: routing.SoftFailed}
 		}
 	}
 }
 
-// forward passes the whole events on.
-func (u *run) forward(answer *h1.Answer, events *sse.Splitter) error {
-	passed := false
+// forwardEvents forwards the complete events that the splitter holds, and skips those that
+// the caller already has.
+func (s *requestState) forwardEvents(answer *h1.Answer, events *sse.Splitter) error {
+	forwarded := false
 	for {
 		e, ok := events.Next()
 		if !ok {
 			break
 		}
-		if e.ID >= 0 && e.ID <= u.out.lastEvent {
+		if e.ID >= 0 && e.ID <= s.delivery.lastEvent {
 			continue
 		}
-		u.sign()
-		if err := u.out.event(answer, e); err != nil {
+		s.noteFirstByte()
+		if err := s.delivery.sendEvent(answer, e); err != nil {
 			return err
 		}
-		passed = true
+		forwarded = true
 	}
-	if passed {
-		u.out.flush()
+	if forwarded {
+		s.delivery.flush()
 	}
 	return nil
 }
 
-// eventPatience is the silence after which a stream is given up at its target,
-// 0 for none.
-func (u *run) eventPatience() time.Duration {
-	if !u.repeats() {
+// eventReadTimeout returns how long a stream may send nothing before its attempt is given
+// up, 0 for no limit.
+func (s *requestState) eventReadTimeout() time.Duration {
+	if !s.mayRetry() {
 		return 0
 	}
-	if !u.signed.Load() {
-		return max(u.patience-time.Since(u.began), leastPatience)
+	if !s.answerStarted.Load() {
+		return max(s.firstByteTimeout-time.Since(s.attemptStart), minFirstEventTimeout)
 	}
-	gap := time.Duration(gapFactor * float64(u.request.Route.GapObjective))
-	return min(max(gap, leastGap), longestGap)
+	timeout := time.Duration(gapTimeoutFactor * float64(s.request.Route.GapObjective))
+	return min(max(timeout, minGapTimeout), maxGapTimeout)
 }
--- a/daemon/relay/crashes.go
+++ b/daemon/relay/crashes.go
@@ -15,53 +15,54 @@
 )
 
 const (
-	// crashWindow is within how long the broken connections of one target are one
-	// crash, and requests that ended there may have been part of it.
+	// crashWindow is the time within which broken connections of one target count as one
+	// crash, and within which a request that ended there may have caused it.
 	crashWindow = 500 * time.Millisecond
-	// aliveTime bounds the look whether a target takes connections.
-	aliveTime = 100 * time.Millisecond
-	// settlePause is the pause before a verdict that others' tellings may change
-	// is asked for again; settleLimit bounds the asking.
-	settlePause = 25 * time.Millisecond
-	settleLimit = 12
+	// reachableTimeout bounds the check whether a target accepts connections.
+	reachableTimeout = 100 * time.Millisecond
+	// pendingPause is the interval at which a pending verdict, which reports from other
+	// daemons may change, is queried again; maxPendingPolls bounds the queries.
+	pendingPause    = 25 * time.Millisecond
+	maxPendingPolls = 12
 )
 
-// Suspects knows which requests crash targets; see suspects.Tracker.
+// Suspects tracks which requests crash targets; see suspects.Tracker.
 type Suspects interface {
 	Verdict(fingerprint string) retry.Verdict
 	Crashed(c retry.Crash)
 	Completed(fingerprint string)
 }
 
-// Crashes notes which requests run at which target, and tells the suspects when
+// CrashDetector records which requests run at which target, and reports to Suspects when
 // a target crashes.
 //
-// Failure guarded against: a request that crashes each target that runs it,
-// sent again by its caller to one daemon after the other, takes the fleet's
-// targets down one by one, with everything that runs there. A broken connection
-// alone proves nothing, since answers get lost: only a target that takes no
-// connection any more has crashed.
+// Failure guarded against: a caller resends a request that crashes every target that runs
+// it to one daemon after another, and so takes down the fleet's targets one by one, with
+// everything that runs on them. A broken connection alone proves nothing, since answers
+// get lost: a target counts as crashed only if it no longer accepts connections.
 type Crashes struct {
 	suspects Suspects
 	pool     *h1.Pool
 
 	mu      sync.Mutex
-	targets map[string]*crashState
+	targets map[string]*targetState
 }
 
-// crashState is what is known of one target.
-type crashState struct {
-	running map[string]int
-	ended   map[string]time.Time
-	told    time.Time
+// targetState holds the requests that run at one target, and when others recently ended
+// there, by fingerprint.
+type targetState struct {
+	running    map[string]int
+	endedAt    map[string]time.Time
+	reportedAt time.Time
 }
 
-// NewCrashes returns a watch that tells suspects.
+// NewCrashDetector returns a detector that reports crashes to suspects. It probes targets
+// through the pool.
 func NewCrashes(suspects Suspects, pool *h1.Pool) *Crashes {
-	return &Crashes{suspects: suspects, pool: pool, targets: map[string]*crashState{}}
+	return &Crashes{suspects: suspects, pool: pool, targets: map[string]*targetState{}}
 }
 
-// Fingerprint names a request by its content: a caller that sends it again gives
+// Fingerprint identifies a request by its content: a caller that resends a request may give
 // it another ID.
 func Fingerprint(r *h1.Request) string {
 	h := xxhash.New()
@@ -70,30 +71,29 @@
 	return strconv.FormatUint(h.Sum64(), 16)
 }
 
-// Watch sends a request by run, which returns whether the target broke the
-// connection, and tells of the target's crash, if it was one. It returns once the
-// other daemons know of that.
+// Watch calls run, which sends a request to the target and reports whether the target broke
+// the connection. If the target has crashed, Watch reports it to Suspects before it returns.
 func (c *Crashes) Watch(ctx context.Context, t roster.Target, fingerprint string, run func() (broken bool)) {
 	c.begin(string(t.Start), fingerprint)
 	defer c.end(string(t.Start), fingerprint)
 	if run() && ctx.Err() == nil {
-		c.broke(ctx, t)
+		c.connectionBroken(ctx, t)
 	}
 }
 
-// begin notes a request that is about to be sent.
+// begin records a request that is about to be sent.
 func (c *Crashes) begin(target, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[target]
 	if s == nil {
-		s = &crashState{running: map[string]int{}, ended: map[string]time.Time{}}
+		s = &targetState{running: map[string]int{}, endedAt: map[string]time.Time{}}
 		c.targets[target] = s
 	}
 	s.running[fingerprint]++
 }
 
-// end takes back what begin noted.
+// end records that a request has ended, and drops expired entries.
 func (c *Crashes) end(target, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,42 +105,43 @@
 	if s.running[fingerprint]--; s.running[fingerprint] <= 0 {
 		delete(s.running, fingerprint)
 	}
-	for f, at := range s.ended {
+	for f, at := range s.endedAt {
 		if now.Sub(at) > crashWindow {
-			delete(s.ended, f)
+			delete(s.endedAt, f)
 		}
 	}
-	s.ended[fingerprint] = now
-	if len(s.running) == 0 && len(s.ended) == 1 && now.Sub(s.told) > crashWindow {
+	s.endedAt[fingerprint] = now
+	if len(s.running) == 0 && len(s.endedAt) == 1 && now.Sub(s.reportedAt) > crashWindow {
 		delete(c.targets, target)
 	}
 }
 
-// broke is told of a connection that a target broke.
-func (c *Crashes) broke(ctx context.Context, t roster.Target) {
-	running := c.suspected(string(t.Start))
-	if len(running) == 0 || c.pool.Reachable(ctx, t.Address, aliveTime) {
+// connectionBroken handles a connection that the target broke: it reports a crash if the
+// target no longer accepts connections.
+func (c *Crashes) connectionBroken(ctx context.Context, t roster.Target) {
+	running := c.suspectedRequests(string(t.Start))
+	if len(running) == 0 || c.pool.Reachable(ctx, t.Address, reachableTimeout) {
 		return
 	}
 	c.suspects.Crashed(retry.Crash{Target: string(t.Start), Running: running, Total: len(running)})
 }
 
-// suspected lists the requests that may have crashed the target, once for all
-// connections that break together.
-func (c *Crashes) suspected(target string) []string {
+// suspectedRequests returns the fingerprints of the requests that may have crashed the
+// target. Of the connections that break within crashWindow, only the first gets the list.
+func (c *Crashes) suspectedRequests(target string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[target]
 	now := time.Now()
-	if s == nil || now.Sub(s.told) < crashWindow {
+	if s == nil || now.Sub(s.reportedAt) < crashWindow {
 		return nil
 	}
-	s.told = now
+	s.reportedAt = now
 	var list []string
 	for f := range s.running {
 		list = append(list, f)
 	}
-	for f, at := range s.ended {
+	for f, at := range s.endedAt {
 		if s.running[f] == 0 && now.Sub(at) < crashWindow {
 			list = append(list, f)
 		}
@@ -148,11 +149,12 @@
 	return list
 }
 
-// Verdict asks the suspects, and again while tellings are still coming in.
+// Verdict returns the verdict of Suspects on a request, and waits for a pending one while
+// reports from other daemons are still arriving.
 func (c *Crashes) Verdict(ctx context.Context, fingerprint string) retry.Verdict {
 	verdict := c.suspects.Verdict(fingerprint)
-	for range settleLimit {
-		if verdict != retry.Pending || !duty.Pause(ctx, settlePause) {
+	for range maxPendingPolls {
+		if verdict != retry.Pending || !duty.Pause(ctx, pendingPause) {
 			break
 		}
 		verdict = c.suspects.Verdict(fingerprint)
@@ -160,5 +162,5 @@
 	return verdict
 }
 
-// Completed clears a request that was answered.
+// Completed clears a request that a target answered.
 func (c *Crashes) Completed(fingerprint string) { c.suspects.Completed(fingerprint) }
--- a/daemon/relay/delivery.go
+++ b/daemon/relay/delivery.go
@@ -7,14 +7,13 @@
 	"tarragonhollow.example/tarragonhollow/target/sse"
 )
 
-// hopByHop are the headers that concern one connection only.
+// hopByHop lists the hop-by-hop headers, which apply to one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// DropHopByHop removes the headers that concern one connection only, and those
-// that Connection names.
+// DropHopByHop removes the hop-by-hop headers, and those that Connection names.
 func DropHopByHop(header http.Header) {
 	for _, name := range header.Values("Connection") {
 		for _, field := range splitList(name) {
@@ -26,19 +25,21 @@
 	}
 }
 
-// delivery is the answer as the caller gets it.
+// delivery writes the answer to the caller.
 type delivery struct {
-	w     http.ResponseWriter
-	begun bool
-	// status is the answer's, 0 before it.
+	w        http.ResponseWriter
+	headSent bool
+	// status is the HTTP status sent, 0 before the head.
 	status int
-	// lastEvent is the number of the last event passed on, or NoEvent.
+	// lastEvent is the ID of the last event forwarded, or NoEvent.
 	lastEvent int64
-	// kept is a target's own failure, passed on if nothing better comes.
-	kept *keptAnswer
+	// failure is a target's own error answer (500), forwarded if no attempt gives a better
+	// one.
+	failure *bufferedAnswer
 }
 
-type keptAnswer struct {
+// bufferedAnswer is an answer that was read whole.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -48,13 +49,13 @@
 	return &delivery{w: w, lastEvent: NoEvent}
 }
 
-// begin sends the head of the first target that answers; a stream that goes on
-// elsewhere keeps it.
-func (d *delivery) begin(status int, header http.Header) {
-	if d.begun {
+// sendHead sends the head of the first target that answers. A stream that is resumed at
+// another target keeps it.
+func (d *delivery) sendHead(status int, header http.Header) {
+	if d.headSent {
 		return
 	}
-	d.begun = true
+	d.headSent = true
 	d.status = status
 	copied := header.Clone()
 	DropHopByHop(copied)
@@ -63,7 +64,7 @@
 		d.w.Header()[name] = values
 	}
 	if len(copied["Content-Type"]) == 0 {
-		// Without it net/http would guess one, which the target did not send.
+		// Otherwise net/http would add a guessed one that the target did not send.
 		d.w.Header()["Content-Type"] = nil
 	}
 	if len(copied["Date"]) == 0 {
@@ -72,23 +73,24 @@
 	d.w.WriteHeader(status)
 }
 
-// send passes a whole answer on.
-func (d *delivery) send(status int, header http.Header, body []byte) {
+// sendWhole sends a whole answer.
+func (d *delivery) sendWhole(status int, header http.Header, body []byte) {
 	setLength(d.w.Header(), len(body), status)
-	d.begin(status, header)
-	_, _ = d.w.Write(body) // a caller that left is seen by its context
+	d.sendHead(status, header)
+	_, _ = d.w.Write(body) // a caller that disconnected shows in its context
 }
 
-// keep holds a failure back while another attempt is made.
-func (d *delivery) keep(status int, header http.Header, body []byte) {
-	d.kept = &keptAnswer{status, header, body}
+// keepFailure stores a target's error answer while another attempt is made.
+func (d *delivery) keepFailure(status int, header http.Header, body []byte) {
+	d.failure = &bufferedAnswer{status, header, body}
 }
 
-func (d *delivery) sendKept() { d.send(d.kept.status, d.kept.header, d.kept.body) }
+// sendFailure sends the stored error answer.
+func (d *delivery) sendFailure() { d.sendWhole(d.failure.status, d.failure.header, d.failure.body) }
 
-// event passes one event on.
-func (d *delivery) event(answer *h1.Answer, e sse.Event) error {
-	d.begin(answer.Status, answer.Header)
+// sendEvent sends one event, preceded by the head if it has not been sent.
+func (d *delivery) sendEvent(answer *h1.Answer, e sse.Event) error {
+	d.sendHead(answer.Status, answer.Header)
 	if _, err := d.w.Write(e.Raw); err != nil {
 		return err
 	}
@@ -104,5 +106,5 @@
 	}
 }
 
-// finish ends a stream; one without any event still has its head.
-func (d *delivery) finish(answer *h1.Answer) { d.begin(answer.Status, answer.Header) }
+// finish ends a stream. It sends the head if the stream had no event.
+func (d *delivery) finish(answer *h1.Answer) { d.sendHead(answer.Status, answer.Header) }
--- a/daemon/relay/fakewire/fakewire.go
+++ b/daemon/relay/fakewire/fakewire.go
@@ -1,4 +1,4 @@
-// Package fakewire is a small protocol between daemons and targets, for tests.
+// Package fakewire implements a small protocol between daemons and targets for tests.
 package fakewire
 
 import (
@@ -11,9 +11,9 @@
 	"tarragonhollow.example/tarragonhollow/target/h1"
 )
 
-// Wire implements relay.Wire: Id names the request or item, Expect the target, Left
-// gives the milliseconds left and After the last event; Not-Run in an answer says
-// that the request did not run.
+// Wire implements relay.Wire. Its headers: Id is the request's or item's ID, Expect the
+// target's ID, Left the remaining milliseconds, and After the last event; Not-Run in an
+// answer means that the target did not run the request.
 type Wire struct{}
 
 // Prepare implements relay.Wire.
@@ -26,10 +26,10 @@
 	return &request
 }
 
-// Mine implements relay.Wire.
+// Matches implements relay.Wire.
 func (Wire) Mine(id string, _ int, header http.Header) bool { return header.Get("Id") == id }
 
-// Judge implements relay.Wire.
+// Classify implements relay.Wire.
 func (Wire) Judge(status int, header http.Header) relay.Verdict {
 	switch {
 	case status == http.StatusMisdirectedRequest:
--- a/daemon/relay/headers.go
+++ b/daemon/relay/headers.go
@@ -15,7 +15,7 @@
 	return fields
 }
 
-// setLength tells the body's length where an answer may have a body.
+// setLength sets Content-Length unless the status allows no body.
 func setLength(header http.Header, length, status int) {
 	if status == http.StatusNoContent || status == http.StatusNotModified {
 		return
--- a/daemon/relay/meter.go
+++ b/daemon/relay/meter.go
@@ -8,7 +8,7 @@
 	"tarragonhollow.example/tarragonhollow/core/route"
 )
 
-// meter counts requests.
+// meter holds the metrics of requests.
 type meter struct {
 	set     *metrics.Set
 	retries *metrics.Counter
@@ -18,12 +18,13 @@
 	return &meter{set: set, retries: set.GetOrCreateCounter("tarragonhollow_relay_retries_total")}
 }
 
-// ended counts a request by kind and outcome, with its times.
-func (m *meter) ended(kind route.Kind, word string, took, first time.Duration) {
-	labels := `{kind="` + kind.String() + `",outcome="` + word + `"}`
+// observe records a finished request by kind and outcome, with its duration and, if it is
+// not 0, its time to the first byte.
+func (m *meter) observe(kind route.Kind, outcomeLabel string, took, timeToFirstByte time.Duration) {
+	labels := `{kind="` + kind.String() + `",outcome="` + outcomeLabel + `"}`
 	m.set.GetOrCreateCounter("tarragonhollow_relay_requests_total" + labels).Inc()
 	m.set.GetOrCreateHistogram(`tarragonhollow_relay_request_seconds{kind="` + kind.String() + `"}`).Update(took.Seconds())
-	if first > 0 {
-		m.set.GetOrCreateHistogram(`tarragonhollow_relay_first_byte_seconds{kind="` + kind.String() + `"}`).Update(first.Seconds())
+	if timeToFirstByte > 0 {
+		m.set.GetOrCreateHistogram(`tarragonhollow_relay_first_byte_seconds{kind="` + kind.String() + `"}`).Update(timeToFirstByte.Seconds())
 	}
 }
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -1,7 +1,7 @@
-// Package relay forwards a caller's request byte for byte to a target and the
-// target's answer back. It sends a request again only where the route allows
-// it or the target is known not to have run it, goes on with a broken stream
-// at another target, and never lets a broken answer look whole.
+// Package relay forwards a caller's request byte for byte to a target and the target's
+// answer back. It retries a request only where the route allows it or the target is known
+// not to have run it, resumes a broken stream at another target, and never lets a truncated
+// answer appear complete.
 package relay
 
 import (
@@ -28,67 +28,66 @@
 )
 
 const (
-	// maxRefusals bounds the targets that may turn one request away, or be
-	// unreachable, before the caller is told to come back: asking the whole group
-	// under overload would only add to it.
-	maxRefusals = 4
-	// retryShare is the part of the requests that may be sent again; see
-	// retry.Budget.
-	retryShare = 0.2
+	// maxRejections bounds how many targets may reject one request or be unreachable
+	// before the caller is told to retry later: trying the whole group under overload would
+	// only add to the load.
+	maxRejections = 4
+	// retryBudgetShare is the share of the requests that may be retried; see retry.Budget.
+	retryBudgetShare = 0.2
 )
 
 // Request is one request of a caller.
 type Request struct {
-	// ID is the caller's name for the request.
+	// ID is the request ID that the caller gave.
 	ID    string
 	Route *route.Route
 	// Account is the client account's name, "" if there is none.
 	Account string
-	// Rank is the request's priority; 0 goes first.
+	// Rank is the request's priority; 0 is the highest.
 	Rank int
-	// HTTP is what the caller sent; its header holds no hop-by-hop fields.
+	// HTTP is the request as the caller sent it, without hop-by-hop headers.
 	HTTP h1.Request
-	// Arrived is when the request was read, Deadline when the caller stops
-	// waiting.
+	// Arrived is when the request was read, Deadline when the caller stops waiting.
 	Arrived, Deadline time.Time
-	// Memory bounds what is held of the answer; nil is no bound.
+	// Memory bounds the buffered bytes of the answer; nil for no bound.
 	Memory *bodymemory.Claim
 }
 
-// Verdict is what an answer's head says of the request.
+// Verdict is what an answer's head says about the request.
 type Verdict int
 
 const (
-	// Ran: the target dealt with the request.
+	// Ran: the target ran the request.
 	Ran Verdict = iota
-	// TurnedAway: the target did not run it for load.
+	// Rejected: the target did not run the request because of load.
 	TurnedAway
-	// Elsewhere: another target than the one expected has the address.
+	// WrongTarget: another target than the expected one now has the address.
 	Elsewhere
 )
 
-// NoDeadline stands for a request that may take as long as it needs.
+// NoDeadline means that a request has no time limit.
 const NoDeadline time.Duration = 0
 
-// NoEvent is the place before a stream's first event.
+// NoEvent is the position before a stream's first event.
 const NoEvent int64 = -1
 
-// Wire turns requests into what targets expect and reads their heads.
+// Wire is the protocol spoken with targets: it converts requests and interprets the heads
+// of answers.
 type Wire interface {
-	// Prepare returns the request for a target. left is the time that the target
-	// has; after is the last event already delivered, or NoEvent.
+	// Prepare returns the request for a target. left is the time that the target has, or
+	// NoDeadline; after is the ID of the last event already delivered, or NoEvent.
 	Prepare(r *Request, t roster.Target, left time.Duration, after int64) *h1.Request
-	// Mine tells whether an answer is that of the request with the ID.
+	// Matches reports whether an answer belongs to the request with the ID.
 	Mine(id string, status int, header http.Header) bool
-	// Judge reads an answer's head.
+	// Classify returns the verdict that an answer's head implies.
 	Judge(status int, header http.Header) Verdict
 }
 
-// Quotas count the requests of accounts; see quotas.Quotas.
+// Quotas enforces the quotas of client accounts; see quotas.Quotas.
 type Quotas interface {
-	// Take takes a token for a request of the account, "" for none, or tells why not.
+	// Take takes a token for a request of the account ("" for none), or returns a refusal.
 	Take(ctx context.Context, account string) (quotas.Leave, *outcome.Refusal)
-	// Back gives back the token of a request that no target ran.
+	// Refund returns the token of a request that no target ran.
 	Back(quotas.Leave)
 }
 
@@ -98,7 +97,7 @@
 	Pool    *h1.Pool
 	Places  *places.Places
 	Crashes *Crashes
-	// Quotas count the requests of accounts.
+	// Quotas enforces the quotas of client accounts.
 	Quotas  Quotas
 	Logger  *zap.Logger
 	Metrics *metrics.Set
@@ -111,309 +110,313 @@
 
 	mu     sync.Mutex
 	budget *retry.Budget
-	// silences holds, by group, what was learned of targets' first signs.
-	silences map[string]*retry.Silence
+	// firstByteStats holds the statistics of the time to the first byte by target group.
+	firstByteStats map[string]*retry.Silence
 }
 
-// New returns a relay.
+// New returns a Relay.
 func New(o Options) *Relay {
-	return &Relay{Options: o, meter: newMeter(o.Metrics), budget: retry.NewBudget(retryShare, time.Now()),
-		silences: map[string]*retry.Silence{}}
+	return &Relay{Options: o, meter: newMeter(o.Metrics), budget: retry.NewBudget(retryBudgetShare, time.Now()),
+		firstByteStats: map[string]*retry.Silence{}}
 }
 
-// patience returns how long a request waits for the first sign of its answer.
-func (r *Relay) patience(group string, place places.Place) time.Duration {
-	if place.Running >= place.Slots {
+// firstByteTimeout returns how long a request in the slot waits for the first byte of its
+// answer.
+func (r *Relay) firstByteTimeout(group string, slot places.Place) time.Duration {
+	if slot.Running >= slot.Slots {
 		return retry.LongestSilence // it may queue
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silence(group).Patience()
+	return r.groupFirstByteStats(group).Patience()
 }
 
-// answered takes the time to the first sign of an answer.
-func (r *Relay) answered(group string, took time.Duration) {
+// noteFirstByte records the time to the first byte of an answer.
+func (r *Relay) noteFirstByte(group string, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silence(group).Answered(took)
+	r.groupFirstByteStats(group).Answered(took)
 }
 
-// gaveUp takes a silence that was given up.
-func (r *Relay) gaveUp(group string, patience time.Duration) {
+// noteFirstByteTimeout records an attempt that was given up after timeout without a first
+// byte.
+func (r *Relay) noteFirstByteTimeout(group string, timeout time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silence(group).GaveUp(patience)
+	r.groupFirstByteStats(group).GaveUp(timeout)
 }
 
-// silence returns what was learned of a group. r.mu is held.
-func (r *Relay) silence(group string) *retry.Silence {
-	s := r.silences[group]
+// groupFirstByteStats returns the first-byte statistics of a target group. The caller holds
+// r.mu.
+func (r *Relay) groupFirstByteStats(group string) *retry.Silence {
+	s := r.firstByteStats[group]
 	if s == nil {
 		s = &retry.Silence{}
-		r.silences[group] = s
+		r.firstByteStats[group] = s
 	}
 	return s
 }
 
-// Serve answers the request on w. It returns a refusal if nothing was written
-// yet: the caller of Serve writes it. Aborted tells that an answer was begun
-// and cannot be ended; its connection must be broken.
+// Serve answers the request on w. If it wrote nothing and the caller is still connected,
+// Result.Refusal is the answer to be written. Result.Aborted reports that an answer was
+// begun but cannot be completed; the connection must then be broken.
 func (r *Relay) Serve(ctx context.Context, request *Request, w http.ResponseWriter) Result {
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	r.mu.Lock()
 	r.budget.First()
 	r.mu.Unlock()
-	run := &run{relay: r, request: request, out: newDelivery(w), exclude: map[string]bool{},
+	state := &requestState{relay: r, request: request, delivery: newDelivery(w), excluded: map[string]bool{},
 		fingerprint: Fingerprint(&request.HTTP)}
-	result := run.serveCounted(ctx)
-	r.end(request, run, result)
+	result := state.serveWithQuota(ctx)
+	r.recordEnd(request, state, result)
 	return result
 }
 
-// serveCounted serves the request if its account's quota has room. It counts once,
-// however many targets it meets, and not at all if none ran it.
-func (u *run) serveCounted(ctx context.Context) Result {
-	leave, refusal := u.relay.Quotas.Take(ctx, u.request.Account)
+// serveWithQuota serves the request if its account's quota allows it. The request counts
+// once, however many targets it is sent to, and not at all if none ran it.
+func (s *requestState) serveWithQuota(ctx context.Context) Result {
+	token, refusal := s.relay.Quotas.Take(ctx, s.request.Account)
 	if refusal != nil {
-		return u.refuse(refusal)
+		return s.refuse(refusal)
 	}
-	result := u.serve(ctx)
-	if u.runs == 0 && (result.Left || result.Refusal != nil) {
-		u.relay.Quotas.Back(leave)
+	result := s.serve(ctx)
+	if s.runs == 0 && (result.Left || result.Refusal != nil) {
+		s.relay.Quotas.Back(token)
 	}
 	return result
 }
 
-// Result is how Serve ended.
+// Result is the result of Serve.
 type Result struct {
-	// Refusal is the answer that is still to be written; nil if one was.
+	// Refusal is the answer that is still to be written; nil if one was written.
 	Refusal *outcome.Refusal
-	// Aborted tells that a begun answer must be cut off.
+	// Aborted reports that an answer was begun and must be cut off.
 	Aborted bool
-	// Left tells that the caller went away.
+	// CallerLeft reports that the caller disconnected.
 	Left bool
 }
 
-// run is one request on its way.
-type run struct {
-	relay   *Relay
-	request *Request
-	out     *delivery
-	exclude map[string]bool
-	// fingerprint names the request's content; alone asks for a target where as
-	// little else as possible runs.
+// requestState is the state of one request while it is served.
+type requestState struct {
+	relay    *Relay
+	request  *Request
+	delivery *delivery
+	excluded map[string]bool
+	// fingerprint identifies the request's content; alone requests a target where as little
+	// else as possible runs.
 	fingerprint string
 	alone       bool
-	// runs counts the attempts that may have run, refusals the others.
-	runs, refusals int
-	groupName      string
-	lastTarget     roster.Target
-	firstByte      time.Duration
-	cause          string
-	// began is when the running attempt began, patience how long it waits for the first
-	// sign of an answer; signed tells that one has come.
-	began    time.Time
-	patience time.Duration
-	signed   atomic.Bool
+	// runs counts the attempts that a target may have run, rejections the others.
+	runs, rejections int
+	groupName        string
+	lastTarget       roster.Target
+	timeToFirstByte  time.Duration
+	lastFailure      string
+	// attemptStart is when the current attempt began, firstByteTimeout how long it waits for
+	// the first byte of the answer; answerStarted reports that it has arrived.
+	attemptStart     time.Time
+	firstByteTimeout time.Duration
+	answerStarted    atomic.Bool
 }
 
 // serve makes attempts until one ends the request.
-func (u *run) serve(ctx context.Context) Result {
+func (s *requestState) serve(ctx context.Context) Result {
 	for {
-		if refusal := u.mayRun(ctx); refusal != nil {
-			return u.refuse(refusal)
+		if refusal := s.checkQuarantine(ctx); refusal != nil {
+			return s.refuse(refusal)
 		}
-		place, refusal := u.relay.Places.Take(ctx, places.Ask{
-			Group: u.group(), Exclude: u.exclude, Patience: routing.QueuePatience(time.Until(u.request.Deadline), u.request.Rank), Alone: u.alone,
-			LastChance: !u.repeats(),
+		slot, refusal := s.relay.Places.Take(ctx, places.Ask{
+			Group: s.group(), Exclude: s.excluded, Patience: routing.QueuePatience(time.Until(s.request.Deadline), s.request.Rank), Alone: s.alone,
+			LastChance: !s.mayRetry(),
 		})
 		if refusal != nil {
-			return u.refuse(refusal)
+			return s.refuse(refusal)
 		}
-		target := place.Target
-		u.lastTarget = target
-		u.tellSent(place)
-		u.began, u.patience = time.Now(), u.relay.patience(u.group(), place)
-		u.signed.Store(false)
-		stopWatch := u.doubtWhenSilent(place)
-		ended := u.attemptAt(ctx, place)
+		target := slot.Target
+		s.lastTarget = target
+		s.logSent(slot)
+		s.attemptStart, s.firstByteTimeout = time.Now(), s.relay.firstByteTimeout(s.group(), slot)
+		s.answerStarted.Store(false)
+		stopWatch := s.degradeWhenSilent(slot)
+		ended := s.runAttempt(ctx, slot)
 		stopWatch()
-		u.relay.Places.Release(place, ended.health, ended.served(u.began))
+		s.relay.Places.Release(slot, ended.health, ended.serviceTime(s.attemptStart))
 		if ended.done {
 			return Result{Aborted: ended.aborted}
 		}
-		if result, final := u.next(ctx, target, ended); final {
+		if result, final := s.afterFailure(ctx, target, ended); final {
 			return result
 		}
 	}
 }
 
-// doubtWhenSilent has a target doubted that leaves a request with a slot of its own
-// without a sign for as long as a repeatable one would wait: one that may run once only
-// goes on waiting, and others must not follow it. The function returned ends the watch.
-func (u *run) doubtWhenSilent(place places.Place) (stop func()) {
-	if place.Running >= place.Slots {
+// degradeWhenSilent marks the target degraded if it sends no first byte within
+// firstByteTimeout to a request that got a free slot. A non-repeatable request keeps
+// waiting beyond that time, but no other request should be sent to the target meanwhile.
+// The function returned stops the timer.
+func (s *requestState) degradeWhenSilent(slot places.Place) (stop func()) {
+	if slot.Running >= slot.Slots {
 		return func() {}
 	}
-	timer := time.AfterFunc(u.patience, func() {
-		if !u.signed.Load() {
-			u.relay.Logger.Info("target_silent", zap.String("id", u.request.ID), zap.String("target", place.ID),
-				zap.Int("running_there", place.Running), zap.Int64("ms", u.patience.Milliseconds()))
-			u.relay.Places.Doubt(place)
+	timer := time.AfterFunc(s.firstByteTimeout, func() {
+		if !s.answerStarted.Load() {
+			s.relay.Logger.Info("target_silent", zap.String("id", s.request.ID), zap.String("target", slot.ID),
+				zap.Int("running_there", slot.Running), zap.Int64("ms", s.firstByteTimeout.Milliseconds()))
+			s.relay.Places.Doubt(slot)
 		}
 	})
 	return func() { timer.Stop() }
 }
 
-// tellSent writes which target the request goes to and why. The line that ends a
-// request is missing if its host loses power meanwhile; then this one tells where
-// it was.
-func (u *run) tellSent(p places.Place) {
-	u.relay.Logger.Info("request_sent", zap.String("id", u.request.ID), zap.String("target", p.ID), zap.String("zone", p.Zone),
-		zap.Int("attempt", u.runs+u.refusals+1), zap.Int("running_there", p.Running), zap.Int64("heard_ms", p.WordAge.Milliseconds()),
-		zap.String("by", p.By),
-		zap.Int64("left_ms", time.Until(u.request.Deadline).Milliseconds()))
+// logSent logs which target the request is sent to and why. If the host loses power before
+// the request's final log line, this line still shows where the request was.
+func (s *requestState) logSent(slot places.Place) {
+	s.relay.Logger.Info("request_sent", zap.String("id", s.request.ID), zap.String("target", slot.ID), zap.String("zone", slot.Zone),
+		zap.Int("attempt", s.runs+s.rejections+1), zap.Int("running_there", slot.Running), zap.Int64("heard_ms", slot.WordAge.Milliseconds()),
+		zap.String("by", slot.By),
+		zap.Int64("left_ms", time.Until(s.request.Deadline).Milliseconds()))
 }
 
-// mayRun refuses a request that crashed the targets that ran it, and notes
-// whether it must run apart from others.
-func (u *run) mayRun(ctx context.Context) *outcome.Refusal {
-	switch u.relay.Crashes.Verdict(ctx, u.fingerprint) {
+// checkQuarantine returns a refusal for a request that is quarantined because it crashed the
+// targets that ran it, and records whether the request should run alone.
+func (s *requestState) checkQuarantine(ctx context.Context) *outcome.Refusal {
+	switch s.relay.Crashes.Verdict(ctx, s.fingerprint) {
 	case retry.Condemned:
 		return outcome.Refuse(outcome.NoTarget, "this request crashed the targets that ran it")
 	case retry.Isolated, retry.Quarantined:
-		u.alone = true
+		s.alone = true
 	}
 	return nil
 }
 
-// attemptAt makes one attempt and tells of the target's crash, if it is one. The
-// attempt ends when the target is known to have started again: it has forgotten the
+// runAttempt makes one attempt, and reports a crash of the target to the crash detector.
+// The attempt ends when the target is known to have restarted, since the restart lost the
 // request.
-func (u *run) attemptAt(ctx context.Context, place places.Place) (ended attempt) {
+func (s *requestState) runAttempt(ctx context.Context, slot places.Place) (result attemptResult) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := context.AfterFunc(place.Alive, func() { cancel(errStartedAgain) })
+	stop := context.AfterFunc(slot.Alive, func() { cancel(errTargetRestarted) })
 	defer stop()
-	u.relay.Crashes.Watch(ctx, place.Target, u.fingerprint, func() bool {
-		ended = u.attempt(ctx, place.Target)
-		return ended.broken
+	s.relay.Crashes.Watch(ctx, slot.Target, s.fingerprint, func() bool {
+		result = s.attempt(ctx, slot.Target)
+		return result.broken
 	})
-	if ended.done && !ended.aborted {
-		u.relay.Crashes.Completed(u.fingerprint)
+	if result.done && !result.aborted {
+		s.relay.Crashes.Completed(s.fingerprint)
 	}
-	return ended
+	return result
 }
 
-// group is the target group of all attempts: a stream that began at one goes on
-// there.
-func (u *run) group() string {
-	if u.groupName == "" {
-		u.groupName = u.request.Route.Pick(rand.Float64())
+// group returns the target group, which is the same for all attempts: a stream must be
+// resumed in the group where it began.
+func (s *requestState) group() string {
+	if s.groupName == "" {
+		s.groupName = s.request.Route.Pick(rand.Float64())
 	}
-	return u.groupName
+	return s.groupName
 }
 
-// next decides what follows a failed attempt.
-func (u *run) next(ctx context.Context, target roster.Target, failed attempt) (Result, bool) {
-	u.cause = failed.detail
-	u.exclude[string(target.Start)] = true
+// afterFailure handles a failed attempt. It returns false after the backoff if another
+// attempt follows, or the final result and true.
+func (s *requestState) afterFailure(ctx context.Context, target roster.Target, failed attemptResult) (Result, bool) {
+	s.lastFailure = failed.detail
+	s.excluded[string(target.Start)] = true
 	if failed.reached {
-		u.runs++
+		s.runs++
 	} else {
-		u.refusals++
+		s.rejections++
 	}
 	if ctx.Err() != nil {
-		return u.outOfTime(ctx), true
+		return s.endEarly(ctx), true
 	}
-	if u.refusals > maxRefusals {
-		return u.refuse(outcome.Refuse(outcome.Overloaded, "%s", failed.detail).After(retry.RetryAfterMs)), true
+	if s.rejections > maxRejections {
+		return s.refuse(outcome.Refuse(outcome.Overloaded, "%s", failed.detail).After(retry.RetryAfterMs)), true
 	}
 	for {
-		decision := u.decide(failed)
+		decision := s.decideRetry(failed)
 		if decision.Refusal != nil {
-			return u.refuse(decision.Refusal), true
+			return s.refuse(decision.Refusal), true
 		}
 		if !duty.Pause(ctx, decision.Backoff) {
-			return u.outOfTime(ctx), true
+			return s.endEarly(ctx), true
 		}
 		if !decision.Undecided {
-			u.relay.meter.retries.Inc()
+			s.relay.meter.retries.Inc()
 			return Result{}, false
 		}
 	}
 }
 
-func (u *run) decide(failed attempt) retry.Decision {
-	u.relay.mu.Lock()
-	defer u.relay.mu.Unlock()
+// decideRetry returns the decision on a failed attempt, which may spend the retry budget.
+func (s *requestState) decideRetry(failed attemptResult) retry.Decision {
+	s.relay.mu.Lock()
+	defer s.relay.mu.Unlock()
 	return retry.Decide(retry.Situation{
 		Failure:       retry.Failure{Reached: failed.reached, Busy: failed.busy, Detail: failed.detail},
-		Repeatable:    u.request.Route.Repeatable(),
-		ReachedBefore: u.runs > 0,
-		Attempts:      u.runs,
-		Retries:       u.request.Route.MaxAttempts - 1,
-		Now:           time.Now(), Deadline: u.request.Deadline, WaitUntil: u.request.Deadline,
+		Repeatable:    s.request.Route.Repeatable(),
+		ReachedBefore: s.runs > 0,
+		Attempts:      s.runs,
+		Retries:       s.request.Route.MaxAttempts - 1,
+		Now:           time.Now(), Deadline: s.request.Deadline, WaitUntil: s.request.Deadline,
 		Random: rand.Float64(),
-	}, u.relay.budget)
+	}, s.relay.budget)
 }
 
-// refuse ends the request without an answer of a target. An answer that was
-// begun is cut off; the last failure that a target itself answered is passed
-// on; otherwise the refusal is told, and only one that is true: a request that
-// may have run is never said not to have.
-func (u *run) refuse(refusal *outcome.Refusal) Result {
-	if u.out.begun {
+// refuse ends the request without a successful answer. An answer that was begun is cut off;
+// otherwise the last error answer of a target is forwarded if there is one, else the
+// refusal is returned. The refusal never claims that a request did not run if it may have.
+func (s *requestState) refuse(refusal *outcome.Refusal) Result {
+	if s.delivery.headSent {
 		return Result{Aborted: true}
 	}
-	if u.out.kept != nil {
-		u.out.sendKept()
+	if s.delivery.failure != nil {
+		s.delivery.sendFailure()
 		return Result{}
 	}
-	if u.runs > 0 {
+	if s.runs > 0 {
 		refusal = refusal.WithRun(outcome.MayHaveRun)
 	}
 	return Result{Refusal: refusal}
 }
 
-// outOfTime ends a request whose caller left or whose time is up.
-func (u *run) outOfTime(ctx context.Context) Result {
-	if time.Now().Before(u.request.Deadline) {
-		return Result{Left: true, Aborted: u.out.begun}
+// endEarly ends a request whose caller disconnected or whose deadline has passed.
+func (s *requestState) endEarly(ctx context.Context) Result {
+	if time.Now().Before(s.request.Deadline) {
+		return Result{Left: true, Aborted: s.delivery.headSent}
 	}
-	refusal := outcome.Refuse(outcome.DeadlineExceeded, "no answer within %s", u.request.Deadline.Sub(u.request.Arrived))
-	return u.refuse(refusal)
+	refusal := outcome.Refuse(outcome.DeadlineExceeded, "no answer within %s", s.request.Deadline.Sub(s.request.Arrived))
+	return s.refuse(refusal)
 }
 
-// end writes the request's line and counts it.
-func (r *Relay) end(request *Request, u *run, result Result) {
+// recordEnd logs the end of a request and updates its metrics.
+func (r *Relay) recordEnd(request *Request, state *requestState, result Result) {
 	took := time.Since(request.Arrived)
-	word := "served"
+	outcomeLabel := "served"
 	switch {
 	case result.Left:
-		word = "caller_left"
+		outcomeLabel = "caller_left"
 	case result.Aborted:
-		word = "broken_off"
+		outcomeLabel = "broken_off"
 	case result.Refusal != nil:
-		word = string(result.Refusal.Code)
+		outcomeLabel = string(result.Refusal.Code)
 	}
-	r.meter.ended(request.Route.Kind, word, took, u.firstByte)
+	r.meter.observe(request.Route.Kind, outcomeLabel, took, state.timeToFirstByte)
 	fields := []zap.Field{
-		zap.String("id", request.ID), zap.String("account", request.Account), zap.String("route", request.Route.Name), zap.String("group", u.groupName),
-		zap.Int64("objective_ms", request.Route.Objective.Milliseconds()), zap.String("outcome", word),
-		zap.Int("status", u.out.status), zap.Int("runs", u.runs), zap.Int("refusals", u.refusals),
-		zap.String("target", u.lastTarget.ID), zap.Int64("ms", took.Milliseconds()),
-		zap.Int64("first_ms", u.firstByte.Milliseconds()), zap.Int64("last_event", u.out.lastEvent),
+		zap.String("id", request.ID), zap.String("account", request.Account), zap.String("route", request.Route.Name), zap.String("group", state.groupName),
+		zap.Int64("objective_ms", request.Route.Objective.Milliseconds()), zap.String("outcome", outcomeLabel),
+		zap.Int("status", state.delivery.status), zap.Int("runs", state.runs), zap.Int("refusals", state.rejections),
+		zap.String("target", state.lastTarget.ID), zap.Int64("ms", took.Milliseconds()),
+		zap.Int64("first_ms", state.timeToFirstByte.Milliseconds()), zap.Int64("last_event", state.delivery.lastEvent),
 	}
 	if result.Refusal != nil {
 		fields = append(fields, zap.String("run", string(result.Refusal.Run)), zap.Int64("retry_after_ms", result.Refusal.RetryAfterMs),
 			zap.String("reason", result.Refusal.Message))
 	}
-	if u.cause != "" {
-		fields = append(fields, zap.String("cause", u.cause))
+	if state.lastFailure != "" {
+		fields = append(fields, zap.String("cause", state.lastFailure))
 	}
-	if word == "served" {
+	if outcomeLabel == "served" {
 		r.Logger.Info("request", fields...)
 		return
 	}
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -35,8 +35,8 @@
 	RunSpecs(t, "relay")
 }
 
-// limit bounds what is expected to come.
-const limit = 5 * time.Second
+// timeout bounds the waits for expected events.
+const timeout = 5 * time.Second
 
 const idHeader = "Id: r"
 
@@ -52,15 +52,15 @@
 	return text
 }
 
-// silent returns the lines that tell of a silence of the target.
-func silent(lines *observer.ObservedLogs, target string) []observer.LoggedEntry {
+// silenceLogs returns the log lines that report the target as silent.
+func silenceLogs(lines *observer.ObservedLogs, target string) []observer.LoggedEntry {
 	return lines.FilterMessage("target_silent").FilterField(zap.String("target", target)).All()
 }
 
-// fakeQuotas counts the tokens that requests take and give back.
+// fakeQuotas counts the tokens that requests take and return.
 type fakeQuotas struct {
-	taken, back int
-	refusal     *outcome.Refusal
+	taken, returned int
+	refusal         *outcome.Refusal
 }
 
 func (f *fakeQuotas) Take(_ context.Context, account string) (quotas.Leave, *outcome.Refusal) {
@@ -71,7 +71,7 @@
 	return quotas.Leave{}, nil
 }
 
-func (f *fakeQuotas) Back(quotas.Leave) { f.back++ }
+func (f *fakeQuotas) Back(quotas.Leave) { f.returned++ }
 
 var _ = Describe("The relay", func() {
 	var (
@@ -80,7 +80,7 @@
 		targets  []*rawtarget.Target
 		request  *relay.Request
 		suspects *fakesuspects.Tracker
-		counted  *fakeQuotas
+		tokens   *fakeQuotas
 	)
 
 	BeforeEach(func() {
@@ -89,19 +89,19 @@
 		pool := h1.NewPool(func() {})
 		DeferCleanup(pool.Close)
 		suspects = fakesuspects.New(2)
-		counted = &fakeQuotas{}
-		r = relay.New(relay.Options{Wire: fakewire.Wire{}, Pool: pool, Places: view, Crashes: relay.NewCrashes(suspects, pool), Quotas: counted, Logger: zap.NewNop(), Metrics: metrics.NewSet()})
+		tokens = &fakeQuotas{}
+		r = relay.New(relay.Options{Wire: fakewire.Wire{}, Pool: pool, Places: view, Crashes: relay.NewCrashes(suspects, pool), Quotas: tokens, Logger: zap.NewNop(), Metrics: metrics.NewSet()})
 		request = &relay.Request{
 			ID:      "r",
-			Route:   &route.Route{Kind: route.Idempotent, MaxAttempts: 3, Groups: []route.Share{{Group: "g", Weight: 1}}, Timeout: limit},
+			Route:   &route.Route{Kind: route.Idempotent, MaxAttempts: 3, Groups: []route.Share{{Group: "g", Weight: 1}}, Timeout: timeout},
 			HTTP:    h1.Request{Method: "POST", URI: "/x", Host: "h"},
-			Arrived: time.Now(), Deadline: time.Now().Add(limit),
+			Arrived: time.Now(), Deadline: time.Now().Add(timeout),
 		}
 	})
 
-	// with starts targets; the script gets the number of the request over all of
-	// them, so that which one is asked first does not matter.
-	with := func(n int, script func(turn int, r *rawtarget.Request, c net.Conn)) {
+	// startTargets starts n targets. The script gets the number of the request counted over
+	// all of them, so that it does not matter which one is used first.
+	startTargets := func(n int, script func(turn int, r *rawtarget.Request, c net.Conn)) {
 		turns := make(chan int, 100)
 		for i := range 100 {
 			turns <- i
@@ -127,20 +127,20 @@
 		return all
 	}
 	// An account is over its quota. Its request must reach no target, and the caller is
-	// told when to come back.
-	It("sends nothing of an account that is over its quota", func() {
-		with(1, func(_ int, _ *rawtarget.Request, c net.Conn) { rawtarget.Write(c, rawtarget.Whole(200, "x", idHeader)) })
-		counted.refusal = outcome.Refuse(outcome.CallerLimit, "over").After(70)
+	// told when to retry.
+	It("sends no request of an account that is over its quota", func() {
+		startTargets(1, func(_ int, _ *rawtarget.Request, c net.Conn) { rawtarget.Write(c, rawtarget.Whole(200, "x", idHeader)) })
+		tokens.refusal = outcome.Refuse(outcome.CallerLimit, "over").After(70)
 		result := r.Serve(context.Background(), request, httptest.NewRecorder())
-		Expect(result.Refusal).To(Equal(counted.refusal))
+		Expect(result.Refusal).To(Equal(tokens.refusal))
 		Expect(sent()).To(BeEmpty())
 	})
 
-	// Each caller's attempt counts once on its account's quota, however many targets it
-	// meets, and not at all if none of them ran it.
-	DescribeTable("counts a request that ran once and one that did not run not at all",
+	// A request counts once against its account's quota, however many targets it is sent to,
+	// and not at all if none of them ran it.
+	DescribeTable("counts a request once if it ran, and not at all if it did not",
 		func(answers []string, back int) {
-			with(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
+			startTargets(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
 				answer := answers[min(turn, len(answers)-1)]
 				if answer == "" {
 					rawtarget.Reset(c)
@@ -149,25 +149,25 @@
 				rawtarget.Write(c, answer)
 			})
 			r.Serve(context.Background(), request, httptest.NewRecorder())
-			Expect(counted.taken).To(Equal(1))
-			Expect(counted.back).To(Equal(back))
+			Expect(tokens.taken).To(Equal(1))
+			Expect(tokens.returned).To(Equal(back))
 		},
 		Entry("answered", []string{rawtarget.Whole(200, "x", idHeader)}, 0),
 		Entry("answered by the second", []string{rawtarget.Whole(503, "", idHeader, "Not-Run: 1"), rawtarget.Whole(200, "x", idHeader)}, 0),
 		Entry("failed", []string{rawtarget.Whole(500, "", idHeader)}, 0),
-		Entry("broken off everywhere", []string{""}, 0),
-		Entry("turned away everywhere", []string{rawtarget.Whole(503, "", idHeader, "Not-Run: 1")}, 1),
+		Entry("connection reset by every target", []string{""}, 0),
+		Entry("rejected by every target", []string{rawtarget.Whole(503, "", idHeader, "Not-Run: 1")}, 1),
 	)
 
 	serve := func() (*httptest.ResponseRecorder, relay.Result) {
 		w := httptest.NewRecorder()
 		return w, r.Serve(context.Background(), request, w)
 	}
-	whole := func(c net.Conn) { rawtarget.Write(c, rawtarget.Whole(200, "answer", idHeader, "Sign: s")) }
-	notRun := func(c net.Conn) { rawtarget.Write(c, rawtarget.Whole(503, "", idHeader, "Not-Run: 1")) }
+	writeAnswer := func(c net.Conn) { rawtarget.Write(c, rawtarget.Whole(200, "answer", idHeader, "Sign: s")) }
+	writeNotRun := func(c net.Conn) { rawtarget.Write(c, rawtarget.Whole(503, "", idHeader, "Not-Run: 1")) }
 
-	It("passes the answer on as the target gave it", func() {
-		with(1, func(_ int, _ *rawtarget.Request, c net.Conn) { whole(c) })
+	It("forwards the answer unchanged", func() {
+		startTargets(1, func(_ int, _ *rawtarget.Request, c net.Conn) { writeAnswer(c) })
 		w, result := serve()
 		Expect(result).To(Equal(relay.Result{}))
 		Expect(w.Code).To(Equal(200))
@@ -175,18 +175,18 @@
 		Expect(w.Header().Get("Sign")).To(Equal("s"))
 		left, err := strconv.Atoi(sent()[0].Header.Get("Left"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(left).To(BeNumerically("<=", limit.Milliseconds()))
+		Expect(left).To(BeNumerically("<=", timeout.Milliseconds()))
 	})
 
-	// A host loses power with requests under way, so that none of them has a line at
-	// its end. On call must still find out where each of them was.
-	It("tells where a request goes before it is sent there", func() {
+	// A host loses power while requests are in flight, so that none of them gets its final
+	// log line. The operator on call must still be able to find out where each of them was.
+	It("logs the target of a request before it is sent", func() {
 		core, lines := observer.New(zap.InfoLevel)
 		r.Logger = zap.New(core)
-		with(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
+		startTargets(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
 			sent := lines.FilterMessage("request_sent").All()
 			if len(sent) == 1 {
-				whole(c)
+				writeAnswer(c)
 			}
 		})
 		w, _ := serve()
@@ -198,12 +198,12 @@
 		Expect(fields).To(HaveKeyWithValue("running_there", BeEquivalentTo(0)))
 	})
 
-	// An order is sent and its answer is lost. Sent again it would be placed
-	// twice; told as not run, the guest would place it again by hand.
-	DescribeTable("runs what may not be repeated at most once",
-		func(spoil func(c net.Conn)) {
+	// An order is sent and its answer is lost. A retry would place it twice; if it were
+	// reported as not run, the guest would place it again by hand.
+	DescribeTable("runs a non-repeatable request at most once",
+		func(breakAnswer func(c net.Conn)) {
 			request.Route.Kind = route.NonIdempotent
-			with(3, func(_ int, _ *rawtarget.Request, c net.Conn) { spoil(c) })
+			startTargets(3, func(_ int, _ *rawtarget.Request, c net.Conn) { breakAnswer(c) })
 			w, result := serve()
 			Expect(sent()).To(HaveLen(1))
 			Expect(result.Refusal).NotTo(BeNil())
@@ -216,20 +216,20 @@
 			rawtarget.Write(c, rawtarget.Head(200, idHeader, "Content-Length: 9")+"half")
 			_ = c.Close()
 		}),
-		Entry("no HTTP", func(c net.Conn) { rawtarget.Write(c, "??\r\n\r\n"); _ = c.Close() }),
+		Entry("not HTTP", func(c net.Conn) { rawtarget.Write(c, "??\r\n\r\n"); _ = c.Close() }),
 	)
 
-	// A target forgets connections that nobody used for a moment, without a sign.
-	// The next request on one is reset; an order that is lost so can't be sent
-	// again, and the guest is told that it may have been placed.
-	It("sends what may not be repeated on no connection that its target may have forgotten", func() {
+	// A target silently drops connections that were idle for a moment. The next request on
+	// one is reset; an order lost this way can't be retried, and the guest is told that it
+	// may have been placed.
+	It("sends a non-repeatable request on no connection that its target may have dropped", func() {
 		request.Route.Kind = route.NonIdempotent
-		with(1, func(_ int, r *rawtarget.Request, c net.Conn) {
+		startTargets(1, func(_ int, r *rawtarget.Request, c net.Conn) {
 			if r.Turn > 0 {
 				rawtarget.Reset(c)
 				return
 			}
-			whole(c)
+			writeAnswer(c)
 		})
 		for range 3 {
 			w, result := serve()
@@ -238,15 +238,15 @@
 		}
 	})
 
-	It("sends what may not be repeated elsewhere only if the target says it did not run", func() {
+	It("retries a non-repeatable request only if the target says that it did not run", func() {
 		request.Route.Kind = route.NonIdempotent
 		request.Route.MaxAttempts = 1
-		with(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
+		startTargets(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
 			if turn == 0 {
-				notRun(c)
+				writeNotRun(c)
 				return
 			}
-			whole(c)
+			writeAnswer(c)
 		})
 		w, result := serve()
 		Expect(result).To(Equal(relay.Result{}))
@@ -254,23 +254,23 @@
 		Expect(sent()).To(HaveLen(2))
 	})
 
-	It("says truly that nothing ran when every target turned it away", func() {
+	It("reports that a request did not run when every target rejected it", func() {
 		request.Route.Kind = route.NonIdempotent
-		with(2, func(_ int, _ *rawtarget.Request, c net.Conn) { notRun(c) })
+		startTargets(2, func(_ int, _ *rawtarget.Request, c net.Conn) { writeNotRun(c) })
 		_, result := serve()
 		Expect(result.Refusal.Run).To(Equal(outcome.NotRun))
 		Expect(result.Refusal.RetryAfterMs).To(BeNumerically(">", 0))
 	})
 
-	It("asks again for a broken answer that may be repeated, within the attempts", func() {
-		with(4, func(_ int, _ *rawtarget.Request, c net.Conn) { _ = c.Close() })
+	It("retries a repeatable request after a broken answer, up to the maximum of attempts", func() {
+		startTargets(4, func(_ int, _ *rawtarget.Request, c net.Conn) { _ = c.Close() })
 		_, result := serve()
 		Expect(sent()).To(HaveLen(request.Route.MaxAttempts))
 		Expect(result.Refusal.Run).To(Equal(outcome.MayHaveRun))
 	})
 
-	It("passes a target's own failure on when no attempt is left", func() {
-		with(4, func(_ int, _ *rawtarget.Request, c net.Conn) {
+	It("forwards a target's own error answer when no attempt is left", func() {
+		startTargets(4, func(_ int, _ *rawtarget.Request, c net.Conn) {
 			rawtarget.Write(c, rawtarget.Whole(500, "failed", idHeader, "Sign: s"))
 		})
 		w, result := serve()
@@ -280,22 +280,22 @@
 		Expect(sent()).To(HaveLen(request.Route.MaxAttempts))
 	})
 
-	It("does not take another target at the address for the one it chose", func() {
-		with(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
+	It("tries another target if a different one answers at the address", func() {
+		startTargets(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
 			if turn == 0 {
 				rawtarget.Write(c, rawtarget.Whole(421, ""))
 				return
 			}
-			whole(c)
+			writeAnswer(c)
 		})
 		w, _ := serve()
 		Expect(w.Code).To(Equal(200))
 	})
 
-	// A request crashes every target that runs it, and its caller sends it again
-	// and again. Without memory it takes down the whole group.
-	It("refuses a request that crashed two targets, and says truly that this one did not run", func() {
-		with(4, func(_ int, _ *rawtarget.Request, c net.Conn) { _ = c.Close() })
+	// A request crashes every target that runs it, and its caller resends it repeatedly.
+	// Unless crashes are remembered, it takes down the whole group.
+	It("refuses a request that crashed two targets, and reports that the resent one did not run", func() {
+		startTargets(4, func(_ int, _ *rawtarget.Request, c net.Conn) { _ = c.Close() })
 		for i := range targets {
 			t := targets[i]
 			t.OnRequest(t.Close)
@@ -309,30 +309,30 @@
 		Expect(sent()).To(HaveLen(2))
 	})
 
-	It("suspects no request whose answers were only lost", func() {
-		with(4, func(_ int, _ *rawtarget.Request, c net.Conn) { rawtarget.Reset(c) })
+	It("does not suspect a request whose answers were only lost", func() {
+		startTargets(4, func(_ int, _ *rawtarget.Request, c net.Conn) { rawtarget.Reset(c) })
 		_, _ = serve()
 		Expect(sent()).To(HaveLen(request.Route.MaxAttempts))
 		Expect(suspects.Verdict(relay.Fingerprint(&request.HTTP))).To(Equal(retry.Clear))
 	})
 
-	// startAgain tells that a target has started again at the same address.
-	startAgain := func(i int) {
+	// restartTarget updates the roster as if target i had restarted at the same address.
+	restartTarget := func(i int) {
 		view.Update(func(now time.Time, ros *roster.Roster) {
 			ros.Set(now, roster.Target{ID: fmt.Sprint("t", i), Born: 1, Group: "g", Address: targets[i].Address, Zone: "z", Slots: 2})
 		})
 	}
 
-	// Engines go dark with their connections open. A guest's question that went to one
-	// must be answered by another within its objective, and what may run once only must
-	// not follow it there.
-	It("leaves a target that gives no sign, long before the longest patience, and tells of it", func() {
+	// Engines stop answering while their connections stay open. A guest's question that was
+	// sent to one must be answered by another within its objective, and non-repeatable
+	// requests must not be sent to the silent one.
+	It("gives up a silent target long before the longest timeout, and marks it degraded", func() {
 		core, lines := observer.New(zap.InfoLevel)
 		r.Logger = zap.New(core)
-		var dark atomic.Pointer[string]
-		with(2, func(_ int, got *rawtarget.Request, c net.Conn) {
-			if expected := got.Header.Get("Expect"); dark.CompareAndSwap(nil, nil) || *dark.Load() != expected {
-				whole(c)
+		var silentTarget atomic.Pointer[string]
+		startTargets(2, func(_ int, got *rawtarget.Request, c net.Conn) {
+			if expected := got.Header.Get("Expect"); silentTarget.CompareAndSwap(nil, nil) || *silentTarget.Load() != expected {
+				writeAnswer(c)
 			}
 		})
 		for range 40 {
@@ -340,7 +340,7 @@
 			Expect(result).To(Equal(relay.Result{}))
 		}
 		name := "t0"
-		dark.Store(&name)
+		silentTarget.Store(&name)
 		const guests = 30
 		for range guests {
 			w, _ := serve()
@@ -355,23 +355,23 @@
 				silences++
 			}
 		}
-		for _, line := range silent(lines, "t0") {
+		for _, line := range silenceLogs(lines, "t0") {
 			Expect(line.ContextMap()["ms"]).To(BeNumerically("<", retry.LongestSilence.Milliseconds()))
 		}
-		// The first one that met it told the others.
+		// The first request that met the silence marked the target for the others.
 		Expect(silences).To(Equal(1))
 	})
 
-	It("has a target doubted that leaves what may run once without a sign", func() {
+	It("marks a target degraded that does not answer a non-repeatable request in time", func() {
 		core, lines := observer.New(zap.InfoLevel)
 		r.Logger = zap.New(core)
 		hold := make(chan struct{})
 		var slow atomic.Bool
-		with(2, func(_ int, got *rawtarget.Request, c net.Conn) {
+		startTargets(2, func(_ int, got *rawtarget.Request, c net.Conn) {
 			if slow.Load() && got.Header.Get("Expect") == "t0" {
 				<-hold
 			}
-			whole(c)
+			writeAnswer(c)
 		})
 		request.Route.Kind, request.Route.MaxAttempts = route.NonIdempotent, 1
 		for range 40 {
@@ -382,29 +382,29 @@
 		go func() {
 			defer close(served)
 			defer GinkgoRecover()
-			for len(silent(lines, "t0")) == 0 {
+			for len(silenceLogs(lines, "t0")) == 0 {
 				serve()
 			}
 		}()
-		Eventually(func() int { return len(silent(lines, "t0")) }).WithTimeout(limit).Should(Equal(1))
+		Eventually(func() int { return len(silenceLogs(lines, "t0")) }).WithTimeout(timeout).Should(Equal(1))
 		for range 3 {
 			w, _ := serve()
 			Expect(w.Body.String()).To(Equal("answer"))
 		}
 		close(hold)
-		Eventually(served).WithTimeout(limit).Should(BeClosed())
+		Eventually(served).WithTimeout(timeout).Should(BeClosed())
 	})
 
-	// A target crashes behind a cut and starts again under its ID. Its callers'
-	// connections show nothing of it, and their answers never come.
-	It("goes on elsewhere at once when its target has started again", func() {
-		hangs := make(chan string, 1)
-		with(2, func(turn int, got *rawtarget.Request, c net.Conn) {
+	// A target crashes behind a network partition and restarts under the same ID. The
+	// connections to it show no error, and the answers never arrive.
+	It("retries at another target at once when its target has restarted", func() {
+		hung := make(chan string, 1)
+		startTargets(2, func(turn int, got *rawtarget.Request, c net.Conn) {
 			if turn == 0 {
-				hangs <- c.LocalAddr().String()
+				hung <- c.LocalAddr().String()
 				return
 			}
-			whole(c)
+			writeAnswer(c)
 		})
 		core, lines := observer.New(zap.InfoLevel)
 		r.Logger = zap.New(core)
@@ -414,56 +414,56 @@
 			done <- w.Body.String()
 		}()
 		var at string
-		Eventually(hangs).WithTimeout(limit).Should(Receive(&at))
+		Eventually(hung).WithTimeout(timeout).Should(Receive(&at))
 		for i := range targets {
 			if targets[i].Address == at {
-				startAgain(i)
+				restartTarget(i)
 			}
 		}
-		Eventually(done).WithTimeout(limit).Should(Receive(Equal("answer")))
+		Eventually(done).WithTimeout(timeout).Should(Receive(Equal("answer")))
 		ended := lines.FilterMessage("request").All()[0].ContextMap()
 		Expect(ended).To(HaveKeyWithValue("cause", ContainSubstring("started again")))
 		Expect(suspects.Verdict(relay.Fingerprint(&request.HTTP))).To(Equal(retry.Clear))
 	})
 
-	It("ends what may not be repeated at once when its target has started again, and promises nothing", func() {
+	It("ends a non-repeatable request at once when its target has restarted, and reports that it may have run", func() {
 		request.Route.Kind = route.NonIdempotent
 		request.Deadline = time.Now().Add(time.Hour)
 		arrived := make(chan struct{})
-		with(1, func(int, *rawtarget.Request, net.Conn) { close(arrived) })
+		startTargets(1, func(int, *rawtarget.Request, net.Conn) { close(arrived) })
 		done := make(chan relay.Result, 1)
 		go func() {
 			_, result := serve()
 			done <- result
 		}()
-		Eventually(arrived).WithTimeout(limit).Should(BeClosed())
-		startAgain(0)
+		Eventually(arrived).WithTimeout(timeout).Should(BeClosed())
+		restartTarget(0)
 		var result relay.Result
-		Eventually(done).WithTimeout(limit).Should(Receive(&result))
+		Eventually(done).WithTimeout(timeout).Should(Receive(&result))
 		Expect(result.Refusal.Run).To(Equal(outcome.MayHaveRun))
 		Expect(result.Refusal.Message).To(ContainSubstring("started again"))
 		Expect(sent()).To(HaveLen(1))
 	})
 
-	It("gives the final answer at the deadline", func() {
+	It("answers at the deadline at the latest", func() {
 		request.Deadline = time.Now().Add(100 * time.Millisecond)
-		with(1, func(int, *rawtarget.Request, net.Conn) {})
+		startTargets(1, func(int, *rawtarget.Request, net.Conn) {})
 		_, result := serve()
 		Expect(result.Refusal.Code).To(Equal(outcome.DeadlineExceeded))
 		Expect(result.Refusal.Run).To(Equal(outcome.MayHaveRun))
 	})
 
-	It("ends the target's work when the caller leaves", func() {
-		with(1, func(int, *rawtarget.Request, net.Conn) {})
+	It("closes the connection to the target when the caller disconnects", func() {
+		startTargets(1, func(int, *rawtarget.Request, net.Conn) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan relay.Result, 1)
 		go func() { done <- r.Serve(ctx, request, httptest.NewRecorder()) }()
-		Eventually(sent).WithTimeout(limit).Should(HaveLen(1))
+		Eventually(sent).WithTimeout(timeout).Should(HaveLen(1))
 		cancel()
 		var result relay.Result
-		Eventually(done).WithTimeout(limit).Should(Receive(&result))
+		Eventually(done).WithTimeout(timeout).Should(Receive(&result))
 		Expect(result.Left).To(BeTrue())
-		Eventually(targets[0].Open).WithTimeout(limit).Should(BeZero())
+		Eventually(targets[0].Open).WithTimeout(timeout).Should(BeZero())
 	})
 
 	Context("with a stream", func() {
@@ -480,8 +480,8 @@
 			return text
 		}
 
-		It("passes it on to its end", func() {
-			with(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
+		It("forwards it to its end", func() {
+			startTargets(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, streamHead()+events(0, 4)+rawtarget.LastChunk)
 			})
 			w, result := serve()
@@ -489,10 +489,10 @@
 			Expect(w.Body.String()).To(Equal(all(0, 4)))
 		})
 
-		// An engine dies in the middle of an event. The guest must see each event
-		// once and whole: the cut one is dropped and comes from another engine.
-		It("goes on elsewhere after the last whole event", func() {
-			with(2, func(turn int, got *rawtarget.Request, c net.Conn) {
+		// An engine crashes in the middle of an event. The guest must get each event once and
+		// complete: the truncated one is dropped and fetched from another engine.
+		It("resumes at another target after the last complete event", func() {
+			startTargets(2, func(turn int, got *rawtarget.Request, c net.Conn) {
 				if turn == 0 {
 					rawtarget.Write(c, streamHead()+events(0, 2)+rawtarget.Chunk("id: 3\ndata: cu"))
 					rawtarget.Reset(c)
@@ -506,8 +506,8 @@
 			Expect(w.Body.String()).To(Equal(all(0, 5)))
 		})
 
-		It("goes on elsewhere when its target falls silent", func() {
-			with(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
+		It("resumes at another target when its target stops sending", func() {
+			startTargets(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
 				if turn == 0 {
 					rawtarget.Write(c, streamHead()+events(0, 1))
 					return
@@ -518,9 +518,9 @@
 			Expect(w.Body.String()).To(Equal(all(0, 3)))
 		})
 
-		It("cuts off what it can't end, so that it does not look whole", func() {
+		It("cuts off a stream that it can't complete, so that it does not appear complete", func() {
 			request.Route.Resumable = false
-			with(2, func(_ int, _ *rawtarget.Request, c net.Conn) {
+			startTargets(2, func(_ int, _ *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, streamHead()+events(0, 2))
 				rawtarget.Reset(c)
 			})
@@ -530,9 +530,9 @@
 			Expect(sent()).To(HaveLen(1))
 		})
 
-		It("takes a stream that ends within an event for broken", func() {
+		It("treats a stream that ends within an event as broken", func() {
 			request.Route.MaxAttempts = 1
-			with(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
+			startTargets(1, func(_ int, _ *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, streamHead()+events(0, 1)+rawtarget.Chunk("id: 2\nda")+rawtarget.LastChunk)
 			})
 			_, result := serve()
