--- a/daemon/quotas/meter.go
+++ b/daemon/quotas/meter.go
@@ -9,15 +9,15 @@
 	"tarragonhollow.example/tarragonhollow/core/quota"
 )
 
-// mostAccounts bounds the accounts that have a counter of their own.
-const mostAccounts = 100
+// maxAccountCounters is the maximum number of accounts with a refusal counter of their own.
+const maxAccountCounters = 100
 
-// meter counts what becomes of requests for tokens.
+// meter counts the results of requests for tokens.
 type meter struct {
 	set *metrics.Set
-	// alone counts the tokens taken without a leader, unsure the refusals for want of
-	// one, notGiven the calls to other leaders that failed.
-	alone, unsure, notGiven *metrics.Counter
+	// takenLocally counts the tokens taken without a leader, unsure the refusals because no
+	// leader could decide, transferFailures the failed calls for tokens of other leaders.
+	takenLocally, unsure, transferFailures *metrics.Counter
 
 	mu       sync.Mutex
 	accounts map[string]bool
@@ -26,22 +26,22 @@
 func newMeter(set *metrics.Set) *meter {
 	return &meter{
 		set: set, accounts: map[string]bool{},
-		alone:    set.GetOrCreateCounter("tarragonhollow_quota_alone_total"),
-		unsure:   set.GetOrCreateCounter("tarragonhollow_quota_unsure_total"),
-		notGiven: set.GetOrCreateCounter("tarragonhollow_quota_not_given_total"),
+		takenLocally:     set.GetOrCreateCounter("tarragonhollow_quota_alone_total"),
+		unsure:           set.GetOrCreateCounter("tarragonhollow_quota_unsure_total"),
+		transferFailures: set.GetOrCreateCounter("tarragonhollow_quota_not_given_total"),
 	}
 }
 
-// decided counts what this daemon decided as a leader.
-func (m *meter) decided(verdict quota.Verdict) {
+// countDecision counts a decision of this daemon as a leader.
+func (m *meter) countDecision(verdict quota.Verdict) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("tarragonhollow_quota_decided_total{taken=%q}", fmt.Sprint(verdict == quota.Taken))).Inc()
 }
 
-// refused counts a request over its account's quota. Accounts beyond mostAccounts are
-// counted together.
-func (m *meter) refused(account string) {
+// countRefusal counts a request over its account's quota. Accounts beyond maxAccountCounters
+// share one counter.
+func (m *meter) countRefusal(account string) {
 	m.mu.Lock()
-	if !m.accounts[account] && len(m.accounts) >= mostAccounts {
+	if !m.accounts[account] && len(m.accounts) >= maxAccountCounters {
 		account = "other"
 	}
 	m.accounts[account] = true
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -1,9 +1,9 @@
-// Package quotas has the requests of each client account counted over the whole fleet.
+// Package quotas enforces the quotas of client accounts over the whole fleet.
 //
-// The leader of the own availability zone is asked for a token before a request goes to
-// a target; core/quota says why all leaders and lone daemons together never pass the
-// bound. Files: quotas.go asks, tokens.go is the part of who is asked, votes.go tells
-// the leader that it is followed.
+// Before a request is sent to a target, the daemon takes a token from the leader of its
+// availability zone. core/quota explains why all leaders, and daemons that count on their
+// own, together never exceed the bound. Files: quotas.go requests tokens, tokens.go serves
+// such requests, votes.go transfers votes and sets this daemon's weight.
 package quotas
 
 import (
@@ -25,45 +25,47 @@
 )
 
 const (
-	// askTime bounds the asking for one token, in which the leader may ask others.
-	askTime = 50 * time.Millisecond
-	// leaderWait is how long a request waits for a leader to come forward; a daemon that
-	// has just started has startWait for it, since all may have started together.
-	leaderWait = 150 * time.Millisecond
-	startWait  = 1500 * time.Millisecond
-	// leaderLook is the pace at which it looks, unsureLook that at which it asks a leader
-	// again that does not know enough to refuse it.
-	leaderLook = 20 * time.Millisecond
-	unsureLook = 50 * time.Millisecond
-	// noLeaderRetryMs tells callers when to come back to a zone without a leader: one
-	// comes forward within some 0.5 s, and other daemons may reach one.
+	// takeTimeout bounds one call for a token, during which the leader may request tokens
+	// from other leaders.
+	takeTimeout = 50 * time.Millisecond
+	// maxLeaderWait is how long a request waits for a leader to be known. A daemon that has
+	// just started waits until maxStartupWait after its start, since the whole fleet may have
+	// started together.
+	maxLeaderWait  = 150 * time.Millisecond
+	maxStartupWait = 1500 * time.Millisecond
+	// leaderPollInterval is the interval at which the request looks for a leader;
+	// unsurePollInterval, at which it calls a leader again that could not decide.
+	leaderPollInterval = 20 * time.Millisecond
+	unsurePollInterval = 50 * time.Millisecond
+	// noLeaderRetryMs is the retry-after, in milliseconds, for requests in a zone without a
+	// leader: a new one is known within about 0.5 s, and other daemons may reach one.
 	noLeaderRetryMs = 300
 )
 
 var (
 	errorNamespace = errorx.NewNamespace("quotas")
-	// errNotLeading is the answer of a daemon that leads no zone.
+	// errNotLeading is the error type of calls to a daemon that leads no zone.
 	errNotLeading = errorNamespace.NewType("not_leading")
 )
 
-// Leaders tells who leads the zones.
+// Leaders provides the leaders of the availability zones.
 type Leaders interface {
-	// Leader returns the peer address of the own zone's leader, perhaps this daemon's.
+	// Leader returns the peer address of the local zone's leader, which may be this daemon.
 	Leader() (address string, found bool)
-	// OtherLeaders returns the leaders of the other zones, as far as they are known.
+	// OtherLeaders returns the peer addresses of the known leaders of the other zones.
 	OtherLeaders() []string
-	// NoteCall tells how a call to the own zone's leader ended; late: it ran out of time.
+	// NoteCall records the result of a call to a leader; late reports that it timed out.
 	NoteCall(leader string, err error, late bool)
 }
 
 // Options configure Quotas.
 type Options struct {
-	// Self is the own peer address.
+	// Self is this daemon's peer address.
 	Self    string
 	Leaders Leaders
-	// Fleet tells how many daemons there are, 0 while that is not known.
+	// FleetSize returns the number of daemons in the fleet, 0 while it is unknown.
 	Fleet func() int
-	// Accounts returns the accounts in force, nil for none.
+	// Accounts returns the client accounts in force, nil for none.
 	Accounts func() *accounts.Set
 	Peers    peer.Caller
 	Terms    quota.Terms
@@ -77,112 +79,113 @@
 	meter   *meter
 	started time.Time
 
-	mu    sync.Mutex
-	book  *quota.Book
-	vote  quota.Vote
-	votes quota.Votes
-	// ticked is when the weight was last set.
-	ticked time.Time
-	// led is when a leader was last known, or when this daemon started.
-	led      time.Time
-	stopping bool
+	mu      sync.Mutex
+	buckets *quota.Book
+	vote    quota.Vote
+	votes   quota.Votes
+	// weightSetAt is when the weight was last set.
+	weightSetAt time.Time
+	// leaderSeenAt is when a leader was last known, initially when this daemon started.
+	leaderSeenAt time.Time
+	stopping     bool
 }
 
-// New returns the quotas of a daemon that starts now.
+// New returns the Quotas of a daemon that starts now.
 func New(o Options) *Quotas {
 	now := time.Now()
-	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, book: quota.NewBook(now, o.Self, o.Terms),
-		votes: quota.Votes{}, ticked: now, led: now}
+	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, buckets: quota.NewBook(now, o.Self, o.Terms),
+		votes: quota.Votes{}, weightSetAt: now, leaderSeenAt: now}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_quota_weight", func() float64 {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		return q.book.Weight()
+		return q.buckets.Weight()
 	})
 	return q
 }
 
-// Leave is the token that a request has got; the zero Leave is none.
+// Token is a token that a request took; the zero Token is none.
 type Leave struct {
 	account string
-	by      string
+	from    string
 }
 
-// Take takes a token for a request of the account. A refusal is true: the request must
-// not run.
+// Take takes a token for a request of the account. If it returns a refusal, the request
+// must not run. An account without a bounded quota needs no token.
 func (q *Quotas) Take(ctx context.Context, name string) (Leave, *outcome.Refusal) {
 	account := q.Accounts().Named(name)
 	if account == nil || !account.Quota.Bounded() {
 		return Leave{}, nil
 	}
-	reply, by, answered := q.ask(ctx, account)
+	reply, from, answered := q.requestToken(ctx, account)
 	if !answered {
-		return q.takeAlone(account)
+		return q.takeLocally(account)
 	}
 	switch {
 	case reply.Taken:
-		return Leave{name, by}, nil
+		return Leave{name, from}, nil
 	case reply.Unsure:
 		return Leave{}, q.refuseUnsure(account)
 	}
-	q.meter.refused(name)
+	q.meter.countRefusal(name)
 	return Leave{}, outcome.Refuse(outcome.CallerLimit, "the account %s is over its quota of %g requests a second", name, account.Quota.Rate).
 		After(max(1, reply.RetryAfterMs))
 }
 
-// takeAlone takes a token from this daemon's own part, where no leader answers.
-func (q *Quotas) takeAlone(account *accounts.Account) (Leave, *outcome.Refusal) {
+// takeLocally takes a token from this daemon's own share, where no leader answers.
+func (q *Quotas) takeLocally(account *accounts.Account) (Leave, *outcome.Refusal) {
 	q.mu.Lock()
-	answer := q.book.Take(time.Now(), account)
+	answer := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
 	if answer.Verdict == quota.Taken {
-		q.meter.alone.Inc()
+		q.meter.takenLocally.Inc()
 		return Leave{account.Name, q.Self}, nil
 	}
 	return Leave{}, q.refuseUnsure(account)
 }
 
-// refuseUnsure refuses a request of an account that may be within its quota.
+// refuseUnsure returns the refusal for a request whose account may be within its quota.
 func (q *Quotas) refuseUnsure(account *accounts.Account) *outcome.Refusal {
 	q.meter.unsure.Inc()
 	return outcome.Refuse(outcome.NoOwner, "nobody is reached who counts the requests of the account %s", account.Name).After(noLeaderRetryMs)
 }
 
-// Back gives back the token of a request that no target ran.
-func (q *Quotas) Back(l Leave) {
-	switch l.by {
+// Refund returns the token of a request that no target ran.
+func (q *Quotas) Back(token Leave) {
+	switch token.from {
 	case "":
 	case q.Self:
-		q.takeBack(l.account)
+		q.refundLocally(token.account)
 	default:
-		q.Peers.Notify(l.by, backMethod, BackArgs{l.account})
+		q.Peers.Notify(token.from, backMethod, BackArgs{token.account})
 	}
 }
 
-// ask asks for a token until somebody knows, for a moment at most. by is who answered.
-func (q *Quotas) ask(ctx context.Context, account *accounts.Account) (reply TakeReply, by string, answered bool) {
-	until := time.Now().Add(leaderWait)
-	if started := q.started.Add(startWait); started.After(until) {
-		until = started
+// requestToken requests a token until a leader decides, or until maxLeaderWait or the
+// startup wait has passed. from is the leader that answered last.
+func (q *Quotas) requestToken(ctx context.Context, account *accounts.Account) (reply TakeReply, from string, answered bool) {
+	waitUntil := time.Now().Add(maxLeaderWait)
+	if started := q.started.Add(maxStartupWait); started.After(waitUntil) {
+		waitUntil = started
 	}
 	for {
-		reply, by, answered = q.askOnce(ctx, account)
+		reply, from, answered = q.requestTokenOnce(ctx, account)
 		if answered && !reply.Unsure {
-			return reply, by, true
+			return reply, from, true
 		}
-		pause := leaderLook
+		pause := leaderPollInterval
 		if answered {
-			pause = unsureLook
+			pause = unsurePollInterval
 		}
-		if time.Now().Add(pause).After(until) || !duty.Pause(ctx, pause) {
-			return reply, by, answered
+		if time.Now().Add(pause).After(waitUntil) || !duty.Pause(ctx, pause) {
+			return reply, from, answered
 		}
 	}
 }
 
-// askOnce asks the zone's leader, and else another zone's.
-func (q *Quotas) askOnce(ctx context.Context, account *accounts.Account) (reply TakeReply, by string, answered bool) {
+// requestTokenOnce calls the local zone's leader or, if none answers, another zone's.
+func (q *Quotas) requestTokenOnce(ctx context.Context, account *accounts.Account) (reply TakeReply, from string, answered bool) {
 	if leader, found := q.Leaders.Leader(); found {
-		if reply, answered = q.askLeader(ctx, leader, account); answered {
+		if reply, answered = q.requestFromLeader(ctx, leader, account); answered {
 			return reply, leader, true
 		}
 	}
@@ -191,20 +194,21 @@
 		return TakeReply{}, "", false
 	}
 	other := others[rand.IntN(len(others))]
-	reply, answered = q.call(ctx, other, account.Name)
+	reply, answered = q.callLeader(ctx, other, account.Name)
 	return reply, other, answered
 }
 
-// askLeader asks the zone's leader, this daemon perhaps.
-func (q *Quotas) askLeader(ctx context.Context, leader string, account *accounts.Account) (TakeReply, bool) {
+// requestFromLeader requests a token from the local zone's leader, which may be this daemon.
+func (q *Quotas) requestFromLeader(ctx context.Context, leader string, account *accounts.Account) (TakeReply, bool) {
 	if leader == q.Self {
 		return q.decide(ctx, account), true
 	}
-	return q.call(ctx, leader, account.Name)
+	return q.callLeader(ctx, leader, account.Name)
 }
 
-func (q *Quotas) call(ctx context.Context, leader, account string) (TakeReply, bool) {
-	callCtx, cancel := context.WithTimeout(ctx, askTime)
+// callLeader calls a leader for a token. It returns false if the call failed.
+func (q *Quotas) callLeader(ctx context.Context, leader, account string) (TakeReply, bool) {
+	callCtx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	var reply TakeReply
 	err := q.Peers.Call(callCtx, leader, takeMethod, TakeArgs{account}, &reply)
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -26,23 +26,24 @@
 	RunSpecs(t, "quotas")
 }
 
-// limit bounds what is expected to come.
-const limit = 10 * time.Second
+// timeout bounds the waits for expected events.
+const timeout = 10 * time.Second
 
-// wire calls daemons by their address; those that are cut reach nobody.
-type wire struct {
+// fakeNetwork delivers calls to daemons by their address, except to and from those that are
+// cut off.
+type fakeNetwork struct {
 	mu      sync.Mutex
 	daemons map[string]any
 	cut     map[string]bool
 }
 
-// from is the wire as one daemon uses it.
-type from struct {
-	*wire
+// endpoint is the network as one daemon uses it.
+type endpoint struct {
+	*fakeNetwork
 	self string
 }
 
-func (f from) Call(_ context.Context, address, method string, args, reply any) error {
+func (f endpoint) Call(_ context.Context, address, method string, args, reply any) error {
 	f.mu.Lock()
 	to := f.daemons[address]
 	if f.cut[address] || f.cut[f.self] {
@@ -58,7 +59,7 @@
 	return err
 }
 
-func (f from) Notify(address, method string, args any) {
+func (f endpoint) Notify(address, method string, args any) {
 	_, name, _ := strings.Cut(method, ".")
 	f.mu.Lock()
 	to := f.daemons[address]
@@ -73,14 +74,14 @@
 	m.Call([]reflect.Value{reflect.ValueOf(args), reflect.New(m.Type().In(1).Elem())})
 }
 
-func (f from) Register(_ string, receiver any) error {
+func (f endpoint) Register(_ string, receiver any) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.daemons[f.self] = receiver
 	return nil
 }
 
-func (w *wire) setCut(daemons ...string) {
+func (w *fakeNetwork) setCut(daemons ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cut = map[string]bool{}
@@ -89,28 +90,28 @@
 	}
 }
 
-// view is what a daemon knows of the leaders.
-type view struct {
+// fakeLeaders is one daemon's view of the leaders.
+type fakeLeaders struct {
 	mu     sync.Mutex
 	leader string
 	others []string
 }
 
-func (v *view) Leader() (string, bool) {
+func (v *fakeLeaders) Leader() (string, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.leader, v.leader != ""
 }
 
-func (v *view) OtherLeaders() []string {
+func (v *fakeLeaders) OtherLeaders() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return append([]string(nil), v.others...)
 }
 
-func (v *view) NoteCall(string, error, bool) {}
+func (v *fakeLeaders) NoteCall(string, error, bool) {}
 
-func (v *view) set(leader string, others ...string) {
+func (v *fakeLeaders) set(leader string, others ...string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.leader, v.others = leader, others
@@ -118,16 +119,16 @@
 
 var _ = Describe("Quotas of a fleet", func() {
 	var (
-		w     *wire
-		views []*view
+		w     *fakeNetwork
+		views []*fakeLeaders
 		fleet []*Quotas
 		sets  []*metrics.Set
 		set   atomic.Pointer[accounts.Set]
-		// count is how many daemons there are as far as known.
+		// count is the fleet size as the daemons know it.
 		count atomic.Int64
 	)
-	// limited has the hotel's quota changed to a rate, and a burst of 30.
-	limited := func(rate float64) {
+	// setRate sets the hotel's quota to a rate, with a burst of 30.
+	setRate := func(rate float64) {
 		list, _ := accounts.NewSet([]accounts.Entry{
 			{Account: accounts.Account{Name: "hotel", Quota: accounts.Quota{Rate: rate, Burst: 30}}},
 			{Account: accounts.Account{Name: "free"}},
@@ -136,22 +137,22 @@
 	}
 	// Daemons 0 to 2 are in one zone, 3 to 5 in another; 0 and 3 lead.
 	BeforeEach(func() {
-		w = &wire{daemons: map[string]any{}}
+		w = &fakeNetwork{daemons: map[string]any{}}
 		views, fleet, sets = nil, nil, nil
-		limited(0.01)
+		setRate(0.01)
 		count.Store(6)
 		for i := range 6 {
 			self := fmt.Sprint("d", i)
 			sets = append(sets, metrics.NewSet())
-			v := &view{}
+			v := &fakeLeaders{}
 			v.set(fmt.Sprint("d", i/3*3), fmt.Sprint("d", 3-i/3*3))
 			q := New(Options{Self: self, Leaders: v, Fleet: func() int { return int(count.Load()) }, Accounts: set.Load,
-				Peers: from{w, self}, Terms: quota.Terms{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
-			Expect(q.Register(from{w, self})).To(Succeed())
+				Peers: endpoint{w, self}, Terms: quota.Terms{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
+			Expect(q.Register(endpoint{w, self})).To(Succeed())
 			views, fleet = append(views, v), append(fleet, q)
 		}
 	})
-	// tick has all daemons look who leads, and tell it, at a moment after their start.
+	// tick runs a tick of all daemons at a time after their start.
 	tick := func(after time.Duration) {
 		for _, q := range fleet {
 			q.tick(q.started.Add(after))
@@ -161,8 +162,8 @@
 		_, refusal := fleet[i].Take(context.Background(), account)
 		return refusal
 	}
-	// drain takes all tokens through the given daemons and counts them.
-	drain := func(daemons ...int) int {
+	// takeAll takes all tokens through the given daemons and returns their number.
+	takeAll := func(daemons ...int) int {
 		n := 0
 		for _, i := range daemons {
 			for take(i, "hotel") == nil {
@@ -173,90 +174,90 @@
 		return n
 	}
 	weight := func(i int) float64 { return sets[i].GetOrCreateGauge("tarragonhollow_quota_weight", nil).Get() }
-	// whole waits until each leader holds the votes of its zone, and with them its part
-	// of the spare.
-	whole := func() {
-		tick(startTick)
-		tick(2 * startTick)
+	// awaitVotes ticks until each leader holds the votes of its zone, and with them its share
+	// of the allowed overshoot.
+	awaitVotes := func() {
+		tick(startupTickInterval)
+		tick(2 * startupTickInterval)
 		for _, i := range []int{0, 3} {
 			Expect(weight(i)).To(Equal(0.5))
 		}
 	}
 
-	It("let requests through that need no token", func() {
+	It("admit requests that need no token", func() {
 		Expect(take(0, "")).To(BeNil())
 		Expect(take(0, "free")).To(BeNil())
 		Expect(take(0, "gone")).To(BeNil())
 	})
 
-	// A hotel floods the fleet through daemons of both zones right after all of them
-	// have started: half of the spare is there, no burst, and 429 says so.
-	It("are one bound for all daemons", func() {
-		whole()
-		Expect(drain(1, 2, 4, 5, 0, 3)).To(And(BeNumerically(">=", 6), BeNumerically("<=", 12)))
+	// A hotel floods the fleet through daemons of both zones right after all of them have
+	// started: half of the allowed overshoot is available and no burst, and the rest gets 429.
+	It("share one bound among all daemons", func() {
+		awaitVotes()
+		Expect(takeAll(1, 2, 4, 5, 0, 3)).To(And(BeNumerically(">=", 6), BeNumerically("<=", 12)))
 		refusal := take(1, "hotel")
 		Expect(refusal.Code).To(Equal(outcome.CallerLimit))
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 		Expect(refusal.RetryAfterMs).To(BeNumerically(">", 0))
 	})
 
-	It("count a request not that no target ran", func() {
-		whole()
-		drain(0, 3)
-		leave, refusal := Leave{}, (*outcome.Refusal)(nil)
-		fleet[1].Back(leave)
+	It("do not count a request that no target ran", func() {
+		awaitVotes()
+		takeAll(0, 3)
+		token, refusal := Leave{}, (*outcome.Refusal)(nil)
+		fleet[1].Back(token)
 		Expect(take(2, "hotel")).NotTo(BeNil())
-		limited(50)
+		setRate(50)
 		Eventually(func() *outcome.Refusal {
-			leave, refusal = fleet[1].Take(context.Background(), "hotel")
+			token, refusal = fleet[1].Take(context.Background(), "hotel")
 			return refusal
-		}).WithTimeout(limit).Should(BeNil())
-		limited(0.01)
-		drain(0, 3)
-		fleet[1].Back(leave)
-		Eventually(func() *outcome.Refusal { return take(2, "hotel") }).WithTimeout(limit).Should(BeNil())
+		}).WithTimeout(timeout).Should(BeNil())
+		setRate(0.01)
+		takeAll(0, 3)
+		fleet[1].Back(token)
+		Eventually(func() *outcome.Refusal { return take(2, "hotel") }).WithTimeout(timeout).Should(BeNil())
 	})
 
-	// All of the hotel's callers are in one zone. The tokens of the other zone serve them.
+	// All of the hotel's callers are in one zone. They also get the other zone's tokens.
 	It("move tokens to the zone that needs them", func() {
-		whole()
-		Expect(drain(1)).To(And(BeNumerically(">=", 6), BeNumerically("<=", 12)))
-		Expect(drain(4)).To(BeZero())
+		awaitVotes()
+		Expect(takeAll(1)).To(And(BeNumerically(">=", 6), BeNumerically("<=", 12)))
+		Expect(takeAll(4)).To(BeZero())
 	})
 
-	// A zone loses its leader for a moment. Its daemons ask another zone's leader, and no
-	// request of the hotel is refused for that.
-	It("are counted by another zone's leader where the own one is gone", func() {
-		whole()
+	// A zone loses its leader for a moment. Its daemons request tokens from another zone's
+	// leader, and no request of the hotel is refused because of that.
+	It("are counted by another zone's leader where the local one is lost", func() {
+		awaitVotes()
 		w.setCut("d0")
 		Expect(take(1, "hotel")).To(BeNil())
 	})
 
-	// A daemon is cut off from all others. What it may let through alone is its part of
-	// the spare; whoever comes beyond that is told to go elsewhere, and not that the
-	// account is over its quota, which the daemon can't know.
-	It("refuse truly where nobody is reached", func() {
-		whole()
+	// A daemon is partitioned from all others. Without them it may admit only its share of
+	// the allowed overshoot. Further callers are told to try another daemon, and not that the
+	// account is over its quota, which this daemon can't know.
+	It("do not report an account as over its quota where no leader is reached", func() {
+		awaitVotes()
 		w.setCut("d5")
 		views[5].set("")
 		refusal := (*outcome.Refusal)(nil)
-		Eventually(func() *outcome.Refusal { refusal = take(5, "hotel"); return refusal }).WithTimeout(limit).ShouldNot(BeNil())
+		Eventually(func() *outcome.Refusal { refusal = take(5, "hotel"); return refusal }).WithTimeout(timeout).ShouldNot(BeNil())
 		Expect(refusal.Code).To(Equal(outcome.NoOwner))
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 		Expect(refusal.RetryAfterMs).To(BeNumerically(">", 0))
 	})
 
-	// All daemons start at once. None knows a leader yet, nor the others. One that took
-	// itself for the leader, or for the whole fleet, would give out what is not its part,
-	// or bind its vote, which the leader that comes forward then lacks.
-	It("wait for a leader before a daemon counts by itself", func() {
+	// All daemons start at once. None knows a leader or the others yet. One that assumed that
+	// it is the leader, or the whole fleet, would give out more than its share, or bind its
+	// vote, which the elected leader would then lack.
+	It("wait for a leader before a daemon counts on its own", func() {
 		known := [6]string{}
 		for i, v := range views {
 			known[i], _ = v.Leader()
 			v.set("")
 		}
 		count.Store(0)
-		for after := startTick; after < aloneAfter; after += startTick {
+		for after := startupTickInterval; after < selfVoteAfter; after += startupTickInterval {
 			tick(after)
 			Expect(weight(0) + weight(1)).To(BeZero())
 		}
@@ -264,29 +265,29 @@
 		for i, v := range views {
 			v.set(known[i], "d0", "d3")
 		}
-		tick(aloneAfter)
-		tick(aloneAfter + startTick)
+		tick(selfVoteAfter)
+		tick(selfVoteAfter + startupTickInterval)
 		Expect(weight(0)).To(Equal(0.5))
 		Expect(weight(3)).To(Equal(0.5))
 	})
 
-	It("count a daemon by itself that has known no leader for long", func() {
+	It("let a daemon count on its own once it has known no leader for long", func() {
 		views[5].set("")
 		q := fleet[5]
-		q.tick(q.started.Add(aloneAfter))
+		q.tick(q.started.Add(selfVoteAfter))
 		Expect(weight(5)).To(BeZero())
-		q.tick(q.started.Add(aloneAfter + startTick))
+		q.tick(q.started.Add(selfVoteAfter + startupTickInterval))
 		Expect(weight(5)).To(Equal(1.0 / 6))
 	})
 
-	It("give votes back when a leader stops, so that the next one has them at once", func() {
-		whole()
+	It("return votes when a leader stops, so that the next one has them at once", func() {
+		awaitVotes()
 		fleet[0].StepDown()
 		for i := range 3 {
 			views[i].set("d1", "d3")
 		}
-		tick(4 * startTick)
-		tick(5 * startTick)
+		tick(4 * startupTickInterval)
+		tick(5 * startupTickInterval)
 		Expect(weight(1)).To(Equal(0.5))
 		Expect(weight(0)).To(BeZero())
 	})
--- a/daemon/quotas/tokens.go
+++ b/daemon/quotas/tokens.go
@@ -11,109 +11,110 @@
 )
 
 const (
-	service = "Quotas"
-	// takeMethod asks a leader for a token, backMethod gives one back, giveMethod asks
-	// another leader for some of its tokens.
-	takeMethod = service + ".Take"
-	backMethod = service + ".Back"
-	giveMethod = service + ".Give"
-	// voteMethod lends a leader the sender's vote, returnMethod tells that a leader has
-	// let go of the receiver's.
-	voteMethod   = service + ".Vote"
-	returnMethod = service + ".Return"
-	// giveTime bounds one call for tokens, and gatherTime all of them for one request.
-	giveTime   = 15 * time.Millisecond
-	gatherTime = 25 * time.Millisecond
+	serviceName = "Quotas"
+	// takeMethod requests a token from a leader, backMethod returns one, giveMethod requests
+	// a transfer of tokens from another leader.
+	takeMethod = serviceName + ".Take"
+	backMethod = serviceName + ".Back"
+	giveMethod = serviceName + ".Give"
+	// voteMethod transfers the sender's vote to a leader, returnMethod notifies the receiver
+	// that a leader has released its vote.
+	voteMethod   = serviceName + ".Vote"
+	returnMethod = serviceName + ".Return"
+	// transferTimeout bounds one call for a transfer of tokens, collectTimeout all such calls
+	// for one request.
+	transferTimeout = 15 * time.Millisecond
+	collectTimeout  = 25 * time.Millisecond
 )
 
-// TakeArgs asks for a token for one request of the account.
+// TakeArgs requests a token for one request of the account.
 type TakeArgs struct {
 	Account string
 }
 
-// TakeReply tells whether one was taken. Unsure tells that the account may be within its
-// quota, but whoever knows is not reached.
+// TakeReply reports whether a token was taken. Unsure reports that the account may be
+// within its quota, but that this could not be determined.
 type TakeReply struct {
 	Taken, Unsure bool
-	// RetryAfterMs is when a token is free for a request that got none.
+	// RetryAfterMs is the time until a token is expected for a request that got none.
 	RetryAfterMs int64
 }
 
-// BackArgs gives one token back.
+// BackArgs returns one token.
 type BackArgs struct {
 	Account string
 }
 
-// GiveArgs asks for tokens.
+// GiveArgs requests a transfer of at most Want tokens of the account.
 type GiveArgs struct {
 	Account string
 	Want    float64
 }
 
-// GiveReply is the tokens given.
+// GiveReply holds the number of tokens transferred.
 type GiveReply struct {
 	Given float64
 }
 
-// VoteArgs names the daemon that follows, by its peer address.
+// VoteArgs holds the peer address of the daemon that transfers its vote.
 type VoteArgs struct {
 	From string
 }
 
-// ReturnArgs names the leader that has let go of the vote.
+// ReturnArgs holds the peer address of the leader that released the vote.
 type ReturnArgs struct {
 	From string
 }
 
-// Ack is the empty answer.
+// Ack is an empty reply.
 type Ack struct{}
 
-// calls answers other daemons.
-type calls struct{ quotas *Quotas }
+// rpcService serves the calls of other daemons.
+type rpcService struct{ quotas *Quotas }
 
-// Register adds the service that peers call.
-func (q *Quotas) Register(r peer.Registrar) error { return r.Register(service, &calls{q}) }
+// Register registers the service that peers call.
+func (q *Quotas) Register(r peer.Registrar) error { return r.Register(serviceName, &rpcService{q}) }
 
-// Take is called by the daemons of the zone, and by others that reach no leader of their
-// own.
-func (s *calls) Take(args TakeArgs, reply *TakeReply) error {
+// Take takes a token for a daemon of the local zone, or of another zone that reaches no
+// leader of its own. It returns errNotLeading if this daemon leads no zone.
+func (s *rpcService) Take(args TakeArgs, reply *TakeReply) error {
 	q := s.quotas
-	if !q.leads() {
+	if !q.isLeader() {
 		return errNotLeading.New("%s leads no zone", q.Self)
 	}
 	account := q.Accounts().Named(args.Account)
 	if account == nil {
-		// The asker's configuration is newer.
+		// The account is unknown here: the calling daemon's configuration is newer.
 		reply.Taken = true
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTime)
+	ctx, cancel := context.WithTimeout(context.Background(), takeTimeout)
 	defer cancel()
 	*reply = q.decide(ctx, account)
 	return nil
 }
 
-// Back is called by who got a token that was not used.
-func (s *calls) Back(args BackArgs, _ *Ack) error {
-	s.quotas.takeBack(args.Account)
+// Back takes back a token that was not used.
+func (s *rpcService) Back(args BackArgs, _ *Ack) error {
+	s.quotas.refundLocally(args.Account)
 	return nil
 }
 
-// Give is called by other leaders that run short.
-func (s *calls) Give(args GiveArgs, reply *GiveReply) error {
+// Give transfers tokens to another leader that has too few.
+func (s *rpcService) Give(args GiveArgs, reply *GiveReply) error {
 	q := s.quotas
 	account := q.Accounts().Named(args.Account)
-	if account == nil || !q.leads() {
+	if account == nil || !q.isLeader() {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	reply.Given = q.book.Give(time.Now(), account, args.Want)
+	reply.Given = q.buckets.Give(time.Now(), account, args.Want)
 	return nil
 }
 
-// Vote is called by daemons that follow this one.
-func (s *calls) Vote(args VoteArgs, _ *Ack) error {
+// Vote records the vote of a daemon that follows this one.
+func (s *rpcService) Vote(args VoteArgs, _ *Ack) error {
 	q := s.quotas
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -122,14 +123,14 @@
 	}
 	now := time.Now()
 	q.votes[args.From] = now
-	if now.Sub(q.started) < startWait {
-		q.weigh(now) // requests wait for these votes
+	if now.Sub(q.started) < maxStartupWait {
+		q.updateWeight(now) // requests are waiting for these votes
 	}
 	return nil
 }
 
-// Return is called by a leader that stops.
-func (s *calls) Return(args ReturnArgs, _ *Ack) error {
+// Return takes back this daemon's vote from a leader that stops.
+func (s *rpcService) Return(args ReturnArgs, _ *Ack) error {
 	q := s.quotas
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -137,36 +138,36 @@
 	return nil
 }
 
-// leads tells whether this daemon leads its zone.
-func (q *Quotas) leads() bool {
+// isLeader reports whether this daemon leads its zone and is not stopping.
+func (q *Quotas) isLeader() bool {
 	leader, found := q.Leaders.Leader()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return found && leader == q.Self && !q.stopping
 }
 
-// decide decides on a request as its zone's leader, asking the other leaders for tokens
-// where there is none here.
+// decide decides on a request as a leader. If there are too few tokens here, it requests
+// some from the other leaders.
 func (q *Quotas) decide(ctx context.Context, account *accounts.Account) TakeReply {
 	q.mu.Lock()
-	answer := q.book.Take(time.Now(), account)
+	answer := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
 	if answer.Verdict == quota.Short {
-		got := q.gather(ctx, account.Name, answer.Want)
+		got := q.collectTokens(ctx, account.Name, answer.Want)
 		q.mu.Lock()
-		answer = q.book.Again(time.Now(), account, got)
+		answer = q.buckets.Again(time.Now(), account, got)
 		q.mu.Unlock()
 	}
-	q.meter.decided(answer.Verdict)
+	q.meter.countDecision(answer.Verdict)
 	taken := answer.Verdict == quota.Taken
 	return TakeReply{Taken: taken, RetryAfterMs: answer.RetryAfter.Milliseconds(), Unsure: !taken && q.unsure(time.Now())}
 }
 
-// unsure tells whether an account that finds no token here may be within its quota: this
-// daemon has just started, and its votes are still to come, or it leads a small part of
-// the fleet and knows no other leader, and is most likely cut off.
+// unsure reports whether an account that gets no token here may still be within its quota:
+// either this daemon has just started and votes are still arriving, or it holds the votes of
+// less than half of the fleet and knows no other leader, so it is probably partitioned.
 func (q *Quotas) unsure(now time.Time) bool {
-	if now.Sub(q.started) < startWait {
+	if now.Sub(q.started) < maxStartupWait {
 		return true
 	}
 	if len(q.Leaders.OtherLeaders()) > 0 {
@@ -177,9 +178,10 @@
 	return 2*len(q.votes) < q.Fleet()
 }
 
-// gather asks the other leaders for tokens, one after the other.
-func (q *Quotas) gather(ctx context.Context, account string, want float64) float64 {
-	ctx, cancel := context.WithTimeout(ctx, gatherTime)
+// collectTokens requests tokens from the other leaders, one after another in random order,
+// and returns how many it got.
+func (q *Quotas) collectTokens(ctx context.Context, account string, want float64) float64 {
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	others := q.Leaders.OtherLeaders()
 	rand.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
@@ -188,28 +190,31 @@
 		if got >= want || ctx.Err() != nil {
 			break
 		}
-		got += q.askForTokens(ctx, other, account, want-got)
+		got += q.requestTransfer(ctx, other, account, want-got)
 	}
 	return got
 }
 
-func (q *Quotas) askForTokens(ctx context.Context, other, account string, want float64) float64 {
-	ctx, cancel := context.WithTimeout(ctx, giveTime)
+// requestTransfer requests a transfer of at most want tokens from another leader, and
+// returns how many it got, 0 if the call failed.
+func (q *Quotas) requestTransfer(ctx context.Context, other, account string, want float64) float64 {
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	var reply GiveReply
 	if err := q.Peers.Call(ctx, other, giveMethod, GiveArgs{account, want}, &reply); err != nil {
-		q.meter.notGiven.Inc()
+		q.meter.transferFailures.Inc()
 		return 0
 	}
 	return reply.Given
 }
 
-func (q *Quotas) takeBack(name string) {
+// refundLocally returns a token to this daemon's buckets.
+func (q *Quotas) refundLocally(name string) {
 	account := q.Accounts().Named(name)
 	if account == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.book.Back(time.Now(), account)
+	q.buckets.Back(time.Now(), account)
 }
--- a/daemon/quotas/votes.go
+++ b/daemon/quotas/votes.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// tickEvery is the pace at which the weight is set and the leader looked up, startTick
-	// that of a daemon that has just started.
-	tickEvery = 100 * time.Millisecond
-	startTick = 20 * time.Millisecond
-	// aloneAfter is how long after a leader was last known a daemon counts itself as one:
-	// its vote is bound then, and the next leader would lack it.
-	aloneAfter = 700 * time.Millisecond
-	// suspendedAfter is by how much more the time of day may have moved on than the
-	// steady clock, which stands still while a host is suspended.
-	suspendedAfter = time.Second
+	// tickInterval is the interval at which the weight is set and the leader looked up,
+	// startupTickInterval that of a daemon that has just started.
+	tickInterval        = 100 * time.Millisecond
+	startupTickInterval = 20 * time.Millisecond
+	// selfVoteAfter is how long after a leader was last known a daemon votes for itself. It
+	// does not do so earlier, since its vote is bound then and the next leader would lack it.
+	selfVoteAfter = 700 * time.Millisecond
+	// suspendThreshold is the difference by which the wall clock must have advanced more than
+	// the monotonic clock for the host to count as suspended meanwhile: the monotonic clock
+	// stops while a host is suspended.
+	suspendThreshold = time.Second
 )
 
-// Run keeps the weight of this daemon, and the leader's knowledge that it is followed,
-// until ctx is done.
+// Run keeps this daemon's weight up to date, and its vote renewed with the leader, until ctx
+// is done.
 func (q *Quotas) Run(ctx context.Context) {
-	pace := startTick
+	pace := startupTickInterval
 	for duty.Pause(ctx, pace) {
 		if q.Accounts().Len() > 0 {
 			q.tick(time.Now())
 		}
-		if time.Since(q.started) > startWait {
-			pace = tickEvery
+		if time.Since(q.started) > maxStartupWait {
+			pace = tickInterval
 		}
 	}
 }
 
-// tick looks at who leads, lends the vote and sets the weight.
+// tick looks up the leader, transfers or renews the vote, and sets the weight.
 func (q *Quotas) tick(now time.Time) {
 	leader, found := q.Leaders.Leader()
 	q.mu.Lock()
-	tell := false
+	notify := false
 	switch {
 	case found:
-		q.led = now
-		tell = q.lend(now, leader)
-	case now.Sub(q.led) > aloneAfter:
-		q.lend(now, q.Self)
+		q.leaderSeenAt = now
+		notify = q.transferVote(now, leader)
+	case now.Sub(q.leaderSeenAt) > selfVoteAfter:
+		q.transferVote(now, q.Self)
 	}
-	if now.Round(0).Sub(q.ticked.Round(0))-now.Sub(q.ticked) > suspendedAfter {
-		q.book.Frozen()
+	if now.Round(0).Sub(q.weightSetAt.Round(0))-now.Sub(q.weightSetAt) > suspendThreshold {
+		q.buckets.Frozen()
 	}
-	q.weigh(now)
+	q.updateWeight(now)
 	q.mu.Unlock()
-	if tell {
+	if notify {
 		q.Peers.Notify(leader, voteMethod, VoteArgs{q.Self})
 	}
 }
 
-// weigh sets the weight by the votes. q.mu is held.
+// updateWeight sets the weight from the votes held. The caller holds q.mu.
 //
-// Failure guarded against: a daemon that has just started and knows of no other would
-// take itself for the whole fleet.
-func (q *Quotas) weigh(now time.Time) {
+// Failure guarded against: a daemon that has just started and knows no other would assume
+// that it is the whole fleet.
+func (q *Quotas) updateWeight(now time.Time) {
 	held, fleet := q.votes.Count(now), q.Fleet()
 	weight := 0.0
 	if fleet > 0 {
 		weight = float64(held) / float64(max(fleet, held))
 	}
-	q.book.SetWeight(now, weight)
-	q.ticked = now
+	q.buckets.SetWeight(now, weight)
+	q.weightSetAt = now
 }
 
-// lend lends the vote, and tells whether another daemon is to be told. q.mu is held.
-func (q *Quotas) lend(now time.Time, to string) (tell bool) {
+// transferVote transfers the vote if that is due, and reports whether another daemon must be
+// notified. The caller holds q.mu.
+func (q *Quotas) transferVote(now time.Time, to string) (notify bool) {
 	if q.stopping && to == q.Self || !q.vote.Due(now, to) || !q.vote.Lend(now, to) {
 		return false
 	}
@@ -83,14 +85,14 @@
 	return true
 }
 
-// StepDown ends this daemon's part as a leader, and returns the votes that it holds.
+// StepDown ends this daemon's leadership, and returns the votes that it holds.
 func (q *Quotas) StepDown() {
 	q.mu.Lock()
 	q.stopping = true
 	votes := q.votes
 	q.votes = quota.Votes{}
 	q.vote.Returned(q.Self)
-	q.book.SetWeight(time.Now(), 0)
+	q.buckets.SetWeight(time.Now(), 0)
 	q.mu.Unlock()
 	for daemon := range votes {
 		if daemon != q.Self {
