--- a/daemon/members/loops.go
+++ b/daemon/members/loops.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// leaveFanout is how many members a leaving daemon tells itself.
+	// leaveFanout is how many members a leaving daemon notifies directly.
 	leaveFanout = 8
-	// indirectTimeout, in probe intervals, leaves room for the middle one's own
-	// probe, which gets middleTimeout of them.
-	indirectTimeout = 1.5
-	middleTimeout   = 1.0
-	// contactTimeout, in probe intervals, is longer: the first call to an address
-	// connects, and a joining reply is large.
+	// indirectTimeout, in probe intervals, is the timeout of a request to probe through another
+	// member. It includes that member's own probe, which has relayedProbeTimeout.
+	indirectTimeout     = 1.5
+	relayedProbeTimeout = 1.0
+	// contactTimeout, in probe intervals, is longer because the first call to an address has
+	// to connect, and the reply to a joining daemon is large.
 	contactTimeout = 3
-	// hostListTimeout bounds one poll.
+	// hostListTimeout bounds one poll of the host list.
 	hostListTimeout = 2 * time.Second
-	// hostListJitter is the share of the interval by which polls are spread, so
-	// that the fleet doesn't ask in step.
+	// hostListJitter is the share of the interval over which polls are spread, so that the
+	// fleet doesn't poll in lockstep.
 	hostListJitter = 0.4
 )
 
-// probeLoop ticks the machine and sends what it orders. Probes run beside the
-// loop, each bounded by its timeout: one lost host must not delay the others.
+// probeLoop ticks the state machine and sends the probes that it returns. Probes run
+// concurrently, each bounded by its timeout: an unreachable host must not delay the others.
 func (m *Members) probeLoop(ctx context.Context) {
 	defer m.probes.Wait()
 	ticker := time.NewTicker(m.opt.ProbeEvery)
 	defer ticker.Stop()
 	for {
 		var probes []membership.Probe
-		m.with(func(machine *membership.Machine) { probes = machine.Tick(m.opt.Clock()) })
-		m.send(ctx, probes)
+		m.update(func(machine *membership.Machine) { probes = machine.Tick(m.opt.Clock()) })
+		m.startProbes(ctx, probes)
 		m.awaitTick(ctx, ticker.C)
 		if ctx.Err() != nil {
 			return
@@ -49,7 +49,7 @@
 	}
 }
 
-// awaitTick probes doubted members until the next tick.
+// awaitTick sends the probes that ProbeNow requested until the next tick.
 func (m *Members) awaitTick(ctx context.Context, tick <-chan time.Time) {
 	for {
 		select {
@@ -57,54 +57,56 @@
 			return
 		case <-tick:
 			return
-		case address := <-m.doubts:
+		case address := <-m.probeRequests:
 			var probes []membership.Probe
-			m.with(func(machine *membership.Machine) { probes = machine.Doubt(m.opt.Clock(), address) })
-			m.send(ctx, probes)
+			m.update(func(machine *membership.Machine) { probes = machine.Doubt(m.opt.Clock(), address) })
+			m.startProbes(ctx, probes)
 		}
 	}
 }
 
-// Doubt tells that a call to the peer address failed; the member there is probed
-// at once instead of at its turn. It never blocks: what is beyond the channel's
-// room is probed in turn.
+// ProbeNow has the member at the peer address probed at once, because a call to it failed,
+// instead of at its turn. It never blocks: if the channel is full, the member is probed at
+// its turn.
 func (m *Members) Doubt(address string) {
 	select {
-	case m.doubts <- address:
+	case m.probeRequests <- address:
 	default:
 	}
 }
 
-// send carries out probes; their number is bounded by the machine for each tick
-// and each lasts at most contactTimeout ticks.
-func (m *Members) send(ctx context.Context, probes []membership.Probe) {
+// startProbes starts the probes. The state machine bounds their number for each tick, and
+// each lasts at most contactTimeout ticks.
+func (m *Members) startProbes(ctx context.Context, probes []membership.Probe) {
 	for _, p := range probes {
 		m.probes.Go(func() { m.probe(ctx, p) })
 	}
 }
 
+// probe sends one probe and applies its result.
 func (m *Members) probe(ctx context.Context, p membership.Probe) {
 	var err error
 	switch p.Kind {
 	case membership.ProbeIndirect:
 		var reply membership.ViaReply
 		if err = m.call(ctx, indirectTimeout, p.Address, "ProbeVia", &p.Via, &reply); err == nil {
-			m.with(func(machine *membership.Machine) { machine.AnsweredVia(m.opt.Clock(), p, reply) })
+			m.update(func(machine *membership.Machine) { machine.AnsweredVia(m.opt.Clock(), p, reply) })
 		}
 	case membership.ProbeSync:
 		var reply membership.SyncReply
 		if err = m.call(ctx, contactTimeout, p.Address, "Sync", &p.Request, &reply); err == nil {
-			m.with(func(machine *membership.Machine) { machine.AnsweredSync(m.opt.Clock(), reply) })
+			m.update(func(machine *membership.Machine) { machine.AnsweredSync(m.opt.Clock(), reply) })
 		}
 	default:
 		err = m.probeDirect(ctx, p)
 	}
 	if err != nil && ctx.Err() == nil {
 		m.meter.missed.Inc()
-		m.missed(ctx, p, refused(err))
+		m.probeFailed(ctx, p, connectionRefused(err))
 	}
 }
 
+// probeDirect sends a probe that the member answers itself, and applies the answer.
 func (m *Members) probeDirect(ctx context.Context, p membership.Probe) error {
 	timeout := 1.0
 	if p.Kind == membership.ProbeContact {
@@ -114,35 +116,37 @@
 	began := m.opt.Clock()
 	err := m.call(ctx, timeout, p.Address, "Probe", &p.Request, &reply)
 	if peer.IsNoReply(err) && m.opt.Clock().Sub(began) < m.opt.ProbeEvery {
-		// The connection broke under the call, as it does when the process ends. A
-		// new one tells whether anybody still listens there.
+		// The connection broke during the call, as happens when the process ends. A new
+		// connection shows whether a process still listens at the address.
 		err = m.call(ctx, timeout, p.Address, "Probe", &p.Request, &reply)
 	}
 	if err != nil {
 		return err
 	}
 	var next []membership.Probe
-	m.with(func(machine *membership.Machine) { next = machine.Answered(m.opt.Clock(), p, reply) })
-	m.send(ctx, next)
+	m.update(func(machine *membership.Machine) { next = machine.Answered(m.opt.Clock(), p, reply) })
+	m.startProbes(ctx, next)
 	return nil
 }
 
-func (m *Members) missed(ctx context.Context, p membership.Probe, refused bool) {
+// probeFailed applies the failure of a probe; refused reports that the host refused the
+// connection.
+func (m *Members) probeFailed(ctx context.Context, p membership.Probe, refused bool) {
 	var next []membership.Probe
-	m.with(func(machine *membership.Machine) {
+	m.update(func(machine *membership.Machine) {
 		if refused {
 			next = machine.Refused(m.opt.Clock(), p)
 			return
 		}
 		next = machine.Missed(m.opt.Clock(), p)
 	})
-	m.send(ctx, next)
+	m.startProbes(ctx, next)
 }
 
-// refused tells whether the probed host answered that nobody listens at the
-// address, as opposed to silence. The peer layer's errors hide their cause from
-// errors.Is, so the causes are walked.
-func refused(err error) bool {
+// connectionRefused reports whether the probed host refused the connection because no
+// process listens at the address, as opposed to not answering. errors.Is does not see the
+// causes of the peer layer's errors, so this function walks them.
+func connectionRefused(err error) bool {
 	for err != nil {
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true
@@ -156,7 +160,7 @@
 	return false
 }
 
-// call sends one message, bounded by a number of probe intervals.
+// call calls a method of the peer's service with a timeout in probe intervals.
 func (m *Members) call(ctx context.Context, intervals float64, address, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(intervals*float64(m.opt.ProbeEvery)))
 	defer cancel()
@@ -164,8 +168,8 @@
 	return m.opt.Peer.Call(ctx, address, ServiceName+"."+method, args, reply)
 }
 
-// changeLoop calls the hooks outside of the lock, so that they may read the view
-// and change facts.
+// changeLoop calls the hooks after the view changed. It does not hold the lock meanwhile, so
+// that they may read the view and change facts.
 func (m *Members) changeLoop(ctx context.Context) {
 	for {
 		select {
@@ -182,8 +186,8 @@
 	}
 }
 
-// hostListLoop polls the host list. While the list can't be read, the last one
-// stays in force and notices from other daemons still come in.
+// hostListLoop polls the host list. While the list can't be read, the last one stays in
+// force, and notices from other daemons are still applied.
 func (m *Members) hostListLoop(ctx context.Context) {
 	failing := false
 	for {
@@ -203,6 +207,7 @@
 	}
 }
 
+// jittered returns d with jitter.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + hostListJitter*(rand.Float64()-0.5)))
 }
@@ -215,11 +220,12 @@
 		m.meter.listFailures.Inc()
 		return err
 	}
-	m.with(func(machine *membership.Machine) { machine.SetHostList(m.opt.Clock(), fromPlatform(view)) })
+	m.update(func(machine *membership.Machine) { machine.SetHostList(m.opt.Clock(), convertHostList(view)) })
 	return nil
 }
 
-func fromPlatform(view extern.HostView) membership.HostList {
+// convertHostList converts the platform's host list.
+func convertHostList(view extern.HostView) membership.HostList {
 	list := membership.HostList{Version: view.Version}
 	for _, h := range view.Hosts {
 		leaving := h.State == extern.HostLeaving
--- a/daemon/members/members.go
+++ b/daemon/members/members.go
@@ -1,6 +1,5 @@
-// Package members runs the membership state machine: it probes the other
-// daemons, polls the host list, and keeps a picture of the fleet that hot paths
-// read without a lock.
+// Package members runs the membership state machine: it probes the other daemons, polls the
+// host list, and keeps a snapshot of the fleet that hot paths read without a lock.
 package members
 
 import (
@@ -14,12 +13,11 @@
 	"tarragonhollow.example/tarragonhollow/daemon/duty"
 )
 
-// ServiceName is the net/rpc name of the probe service.
-// ServiceName is the net/rpc name of this package's service.
+// ServiceName is the net/rpc name of this package's service, which answers probes.
 const ServiceName = "Members"
 
-// doubtsKept bounds the doubts that wait for a probe.
-const doubtsKept = 16
+// maxPendingProbes bounds the members that wait for a probe requested by ProbeNow.
+const maxPendingProbes = 16
 
 // Members implements membership.View.
 type Members struct {
@@ -28,14 +26,14 @@
 
 	mu      sync.Mutex
 	machine *membership.Machine
-	// declaredDead is the count last logged.
+	// declaredDead is the count that was last logged.
 	declaredDead uint64
 	superseded   bool
 
-	view    atomic.Pointer[membership.Snapshot]
-	changed chan struct{} // capacity 1: a change not yet told
-	doubts  chan string   // peer addresses to be probed out of turn
-	probes  sync.WaitGroup
+	view          atomic.Pointer[membership.Snapshot]
+	changed       chan struct{} // capacity 1: the hooks have yet to be called
+	probeRequests chan string   // peer addresses to probe out of turn
+	probes        sync.WaitGroup
 
 	hooksMu sync.Mutex
 	hooks   []func()
@@ -43,14 +41,14 @@
 
 var _ membership.View = (*Members)(nil)
 
-// New returns Members that know only this daemon, and registers the service
-// "Members". Run starts them.
+// New returns Members that contain only this daemon, and registers the service "Members".
+// Run starts the probes.
 func New(o Options) (*Members, error) {
 	o, err := o.validated()
 	if err != nil {
 		return nil, err
 	}
-	m := &Members{opt: o, changed: make(chan struct{}, 1), doubts: make(chan string, doubtsKept)}
+	m := &Members{opt: o, changed: make(chan struct{}, 1), probeRequests: make(chan string, maxPendingProbes)}
 	m.machine = membership.New(membership.Options{
 		Self: membership.Member{
 			Host: o.Host, Zone: o.Zone, PeerAddress: o.PeerAddress, HTTPAddress: o.HTTPAddress, Incarnation: o.Incarnation,
@@ -69,7 +67,7 @@
 	return m, nil
 }
 
-// Run starts the duties.
+// Run starts the loops in the group.
 func (m *Members) Run(g *duty.Group) {
 	g.Go(m.probeLoop)
 	g.Go(m.changeLoop)
@@ -99,50 +97,50 @@
 // TargetLeaving implements membership.View.
 func (m *Members) TargetLeaving(address string) bool { return m.view.Load().TargetLeaving(address) }
 
-// Snapshot returns the picture of now, for several reads that must agree.
+// Snapshot returns the current view, for several reads that must be consistent.
 func (m *Members) Snapshot() *membership.Snapshot { return m.view.Load() }
 
-// SetFacts changes the facts that this daemon tells about itself; an unchanged
-// entry costs nothing. The function must not call Members.
+// SetFacts changes the facts that this daemon announces about itself; an unchanged entry
+// costs nothing. The function must not call Members.
 func (m *Members) SetFacts(change func(*membership.Member)) {
-	m.with(func(machine *membership.Machine) { machine.SetFacts(change) })
+	m.update(func(machine *membership.Machine) { machine.SetFacts(change) })
 }
 
-// HostListVersion returns the version of the last host list read, 0 if none.
+// HostListVersion returns the version of the last host list read, 0 if none was read.
 func (m *Members) HostListVersion() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.HostListVersion()
 }
 
-// DeclaredDead counts how often this daemon learnt that others held it dead.
-// When it rises, what this daemon owned may have been taken over meanwhile.
+// DeclaredDead returns how often this daemon learned that others had declared it dead. After
+// an increase, other daemons may have taken over what this daemon owned.
 func (m *Members) DeclaredDead() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.DeclaredDead()
 }
 
-// Superseded tells whether a later incarnation of this host runs.
+// Superseded reports whether a later incarnation of this host runs.
 func (m *Members) Superseded() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.machine.Superseded()
 }
 
-// OnChange adds a function that the change duty calls after the view changed.
-// Changes that come fast are told once. The function must not block.
+// OnChange adds a function that is called after the view changed. Changes in quick
+// succession are coalesced into one call. The function must not block.
 func (m *Members) OnChange(hook func()) {
 	m.hooksMu.Lock()
 	defer m.hooksMu.Unlock()
 	m.hooks = append(m.hooks, hook)
 }
 
-// Leave makes this daemon known as leaving and returns when some members have
-// heard it, or at the end of ctx; they spread it on.
+// Leave marks this daemon as leaving and notifies up to leaveFanout members, which spread
+// it further. It returns when these calls have ended, or at the end of ctx.
 func (m *Members) Leave(ctx context.Context) {
 	var requests []membership.Probe
-	m.with(func(machine *membership.Machine) {
+	m.update(func(machine *membership.Machine) {
 		machine.Leave()
 		for _, member := range machine.Snapshot().Successors(m.opt.Host) {
 			if member.Host == m.opt.Host || len(requests) == leaveFanout {
@@ -151,24 +149,25 @@
 			requests = append(requests, membership.Probe{Address: member.PeerAddress, Request: machine.RequestTo(member.Host)})
 		}
 	})
-	var told sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, p := range requests {
-		told.Go(func() {
+		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, m.opt.ProbeEvery)
 			defer cancel()
 			var reply membership.ProbeReply
 			_ = m.opt.Peer.Call(ctx, p.Address, ServiceName+".Probe", &p.Request, &reply)
 		})
 	}
-	told.Wait()
+	calls.Wait()
 }
 
-// with runs f on the machine under the lock and publishes what changed.
-func (m *Members) with(f func(*membership.Machine)) {
+// update runs f on the state machine under the lock and publishes a new snapshot if the view
+// changed.
+func (m *Members) update(f func(*membership.Machine)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f(m.machine)
-	m.reportAbsence()
+	m.logStatusChanges()
 	if m.machine.Version() == m.view.Load().Version() {
 		return
 	}
@@ -176,9 +175,9 @@
 	duty.Wake(m.changed)
 }
 
-// reportAbsence logs when this daemon learns that it was held dead or has been
-// replaced; the lock is held.
-func (m *Members) reportAbsence() {
+// logStatusChanges logs when this daemon learns that it was declared dead or has been
+// superseded. The caller holds the lock.
+func (m *Members) logStatusChanges() {
 	if n := m.machine.DeclaredDead(); n != m.declaredDead {
 		m.declaredDead = n
 		m.opt.Logger.Warn("member_was_declared_dead", zap.String("host", m.opt.Host), zap.Uint64("times", n))
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -25,20 +25,20 @@
 	RunSpecs(t, "members")
 }
 
-// list is a host list that tests change.
-type list struct {
+// fakeHostList is a host list that tests can change.
+type fakeHostList struct {
 	mu   sync.Mutex
 	view extern.HostView
 	err  error
 }
 
-func (l *list) Hosts(context.Context) (extern.HostView, error) {
+func (l *fakeHostList) Hosts(context.Context) (extern.HostView, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.view, l.err
 }
 
-func (l *list) set(change func(*list)) {
+func (l *fakeHostList) set(change func(*fakeHostList)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(l)
@@ -52,7 +52,7 @@
 	stop    func()
 }
 
-// suspectAfter is how long the nodes' suspects may refute; 0 is the default.
+// suspectAfter is how long a suspect may refute in the nodes' views; 0 is the default.
 var suspectAfter time.Duration
 
 func startNode(i int, hosts extern.HostList, every time.Duration, seeds ...string) (*node, error) {
@@ -101,25 +101,25 @@
 }
 
 var _ = Describe("Members", func() {
-	It("spreads facts and a leaving daemon's word, and tells of changes", func() {
+	It("spreads facts and a leaving daemon's notice, and calls the hooks on changes", func() {
 		fleet := startFleet(4, nil)
-		told := make(chan struct{}, 100)
+		notified := make(chan struct{}, 100)
 		fleet[3].OnChange(func() {
 			select {
-			case told <- struct{}{}:
+			case notified <- struct{}{}:
 			default:
 			}
 		})
 		fleet[0].SetFacts(func(m *membership.Member) { m.Shards = []membership.ShardHold{{Shard: 1, Term: 2}} })
 		Eventually(func() bool { _, ok := fleet[3].Holder(1); return ok }, "10s").Should(BeTrue())
-		Eventually(told, "10s").Should(Receive())
+		Eventually(notified, "10s").Should(Receive())
 		fleet[0].Leave(context.Background())
 		Eventually(func() membership.State { holder, _ := fleet[3].Holder(1); return holder.State }, "10s").
 			Should(Equal(membership.Leaving))
 	})
 
-	// A daemon's process dies. Its peers' probes fail, direct and through others,
-	// and every view drops it; a successor for its shards is then looked for.
+	// A daemon's process ends. Direct and indirect probes of it fail, and every view must drop
+	// it, so that successors are found for its shards.
 	It("drops a daemon that died", func() {
 		fleet := startFleet(4, nil)
 		id := fleet[2].Self().ID()
@@ -131,8 +131,8 @@
 		}
 	})
 
-	// A process is killed. Its host refuses connections, so nobody needs to wait
-	// until the time to refute is over: here that would take an hour.
+	// A process is killed. Its host refuses connections, so other daemons need not wait for
+	// the time to refute, which is an hour here.
 	It("drops a daemon whose host refuses connections without waiting", func() {
 		suspectAfter = time.Hour
 		DeferCleanup(func() { suspectAfter = 0 })
@@ -145,12 +145,12 @@
 		}
 	})
 
-	// The host list can't be read by a daemon while a target begins to leave. It
-	// must hear of it from the others, and keep the last list it read.
+	// A daemon can't read the host list while a target begins to leave. It must learn of that
+	// from the other daemons, and keep the last list it read.
 	It("learns of a leaving target through a daemon that can read the list", func() {
 		view := extern.HostView{Version: 1, Hosts: []extern.Host{
 			{Name: "t", Role: extern.RoleTarget, Address: "10.0.0.1:80", State: extern.HostLive}}}
-		good, bad := &list{view: view}, &list{view: view}
+		good, bad := &fakeHostList{view: view}, &fakeHostList{view: view}
 		a, err := startNode(0, good, 50*time.Millisecond)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(a.stop)
@@ -158,8 +158,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(b.stop)
 		Eventually(b.HostListVersion, "10s").Should(Equal(int64(1)))
-		bad.set(func(l *list) { l.err = context.DeadlineExceeded })
-		good.set(func(l *list) {
+		bad.set(func(l *fakeHostList) { l.err = context.DeadlineExceeded })
+		good.set(func(l *fakeHostList) {
 			l.view = extern.HostView{Version: 2, Hosts: []extern.Host{
 				{Name: "t", Role: extern.RoleTarget, Address: "10.0.0.1:80", State: extern.HostLeaving}}}
 		})
@@ -168,7 +168,7 @@
 	})
 })
 
-// benchFleet runs daemons at the default probe interval until settled.
+// benchFleet starts daemons with the default probe interval and waits for the time settle.
 func benchFleet(b *testing.B, size int, settle time.Duration) (fleet []*node) {
 	seed := ""
 	for i := range size {
@@ -184,8 +184,8 @@
 	return fleet
 }
 
-// BenchmarkTraffic reports what membership costs one daemon in fleets of two
-// sizes: go test -bench Traffic -benchtime 1x.
+// BenchmarkTraffic reports the membership traffic of one daemon in fleets of two sizes:
+// go test -bench Traffic -benchtime 1x.
 func BenchmarkTraffic(b *testing.B) {
 	for _, size := range []int{12, 48} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -205,8 +205,8 @@
 	}
 }
 
-// BenchmarkDeath reports how long after a daemon's process ended the first and
-// the last of eleven others dropped it: go test -bench Death -benchtime 5x.
+// BenchmarkDeath reports how long after the end of a daemon's process the first and the last
+// of the eleven others dropped it: go test -bench Death -benchtime 5x.
 func BenchmarkDeath(b *testing.B) {
 	var first, last time.Duration
 	for range b.N {
@@ -232,6 +232,7 @@
 	b.ReportMetric(last.Seconds(), "max-s-last")
 }
 
+// traffic returns the bytes sent, and the messages sent and received, by the fleet.
 func traffic(fleet []*node) (bytes, messages float64) {
 	for _, n := range fleet {
 		bytes += float64(n.set.GetOrCreateCounter("tarragonhollow_peer_client_sent_bytes_total").Get())
--- a/daemon/members/meter.go
+++ b/daemon/members/meter.go
@@ -8,7 +8,7 @@
 	"tarragonhollow.example/tarragonhollow/core/membership"
 )
 
-// meter holds the counters.
+// meter holds the package's counters.
 type meter struct {
 	sent, received, missed *metrics.Counter
 	listFailures           *metrics.Counter
@@ -29,7 +29,7 @@
 	}
 }
 
-// count returns how many members are in the state.
+// count returns the number of members in the state.
 func (m *Members) count(state membership.State) int {
 	n := 0
 	for _, member := range m.view.Load().Members() {
--- a/daemon/members/options.go
+++ b/daemon/members/options.go
@@ -12,16 +12,16 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// Namespace holds the errors of this layer.
+// Namespace is the errorx namespace of this package.
 var Namespace = errorx.NewNamespace("members")
 
-// badOptions says that Options can't be used.
+// badOptions is the error type for invalid Options.
 var badOptions = Namespace.NewType("bad_options")
 
 // DefaultHostListEvery is the interval between polls of the host list.
 const DefaultHostListEvery = time.Second
 
-// Options configure Members. Zero durations take the defaults.
+// Options configure Members. Zero durations select the defaults.
 type Options struct {
 	// Host is this daemon's unique name; Zone its availability zone.
 	Host, Zone string
@@ -30,17 +30,17 @@
 	// Incarnation must be higher at each start of the host, e.g. the start's Unix
 	// nanoseconds.
 	Incarnation uint64
-	// HostList is the platform's list; nil runs on Seeds alone.
+	// HostList is the platform's host list; if nil, only Seeds are used.
 	HostList extern.HostList
 	// HostListEvery is the interval between polls; default 1 s.
 	HostListEvery time.Duration
-	// Seeds are peer addresses to join through besides the host list.
+	// Seeds are peer addresses to join through in addition to the host list.
 	Seeds []string
-	// Peer carries the probes; Registrar takes the service "Members".
+	// Peer sends the probes; Registrar registers the service "Members".
 	Peer      peer.Caller
 	Registrar peer.Registrar
-	// ProbeEvery, SuspectAfter and ForgetAfter are those of membership.Options. A
-	// direct probe times out after ProbeEvery.
+	// ProbeEvery, SuspectAfter and ForgetAfter are as in membership.Options. A direct probe
+	// times out after ProbeEvery.
 	ProbeEvery, SuspectAfter, ForgetAfter time.Duration
 	// Clock gives the time; default time.Now.
 	Clock func() time.Time
--- a/daemon/members/service.go
+++ b/daemon/members/service.go
@@ -13,27 +13,27 @@
 // Probe answers a direct probe.
 func (s *Service) Probe(req *membership.ProbeRequest, reply *membership.ProbeReply) error {
 	s.m.meter.received.Inc()
-	s.m.with(func(machine *membership.Machine) { *reply = machine.AnswerProbe(s.m.opt.Clock(), *req) })
+	s.m.update(func(machine *membership.Machine) { *reply = machine.AnswerProbe(s.m.opt.Clock(), *req) })
 	return nil
 }
 
-// Sync answers a joining daemon with all that is known.
+// Sync answers a joining daemon with the full membership state.
 func (s *Service) Sync(req *membership.ProbeRequest, reply *membership.SyncReply) error {
 	s.m.meter.received.Inc()
-	s.m.with(func(machine *membership.Machine) { *reply = machine.AnswerSync(s.m.opt.Clock(), *req) })
+	s.m.update(func(machine *membership.Machine) { *reply = machine.AnswerSync(s.m.opt.Clock(), *req) })
 	return nil
 }
 
-// ProbeVia probes another daemon for the sender.
+// ProbeVia probes another daemon on behalf of the sender.
 func (s *Service) ProbeVia(req *membership.ViaRequest, reply *membership.ViaReply) error {
 	m := s.m
 	m.meter.received.Inc()
 	var probe membership.ProbeRequest
-	m.with(func(machine *membership.Machine) { probe = machine.StartVia(m.opt.Clock(), *req) })
+	m.update(func(machine *membership.Machine) { probe = machine.StartVia(m.opt.Clock(), *req) })
 	answer := new(membership.ProbeReply)
-	if err := m.call(context.Background(), middleTimeout, req.Address, "Probe", &probe, answer); err != nil {
+	if err := m.call(context.Background(), relayedProbeTimeout, req.Address, "Probe", &probe, answer); err != nil {
 		answer = nil
 	}
-	m.with(func(machine *membership.Machine) { *reply = machine.FinishVia(m.opt.Clock(), answer) })
+	m.update(func(machine *membership.Machine) { *reply = machine.FinishVia(m.opt.Clock(), answer) })
 	return nil
 }
