--- a/daemon/configsync/configsync_test.go
+++ b/daemon/configsync/configsync_test.go
@@ -29,18 +29,19 @@
 	RunSpecs(t, "configsync")
 }
 
-// board is the membership that all daemons of a test share.
-type board struct {
+// fakeMembership is the membership that all daemons of a test share.
+type fakeMembership struct {
 	mu      sync.Mutex
 	members []membership.Member
 }
 
+// view is the membership as one daemon sees it.
 type view struct {
-	*board
+	*fakeMembership
 	host string
 }
 
-func (b *board) update(host string, change func(*membership.Member)) {
+func (b *fakeMembership) update(host string, change func(*membership.Member)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for i := range b.members {
@@ -65,8 +66,8 @@
 	return append([]membership.Member{}, v.members...)
 }
 
-// parse refuses texts that begin with "bad"; a text that begins with "new" is
-// one that only a later release understands.
+// parse returns a parser that rejects texts that begin with "bad". If old, it also rejects
+// texts that begin with "new", as an older release does that can't parse them.
 func parse(old bool) func(string) (*config.Config, error) {
 	return func(text string) (*config.Config, error) {
 		if strings.HasPrefix(text, "bad") || (old && strings.HasPrefix(text, "new")) {
@@ -76,7 +77,7 @@
 	}
 }
 
-func (b *board) start(host string, log extern.Log, change func(*configsync.Options)) *configsync.Sync {
+func (b *fakeMembership) start(host string, log extern.Log, change func(*configsync.Options)) *configsync.Sync {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server, client := peer.NewServer(peer.ServerOptions{}), peer.NewClient(peer.ClientOptions{})
@@ -84,7 +85,7 @@
 	b.members = append(b.members, membership.Member{Host: host, PeerAddress: ln.Addr().String()})
 	b.mu.Unlock()
 	o := configsync.Options{
-		Log: log, View: view{board: b, host: host}, Peer: client, Registrar: server, Parse: parse(false),
+		Log: log, View: view{fakeMembership: b, host: host}, Peer: client, Registrar: server, Parse: parse(false),
 		PollWait: 50 * time.Millisecond, PeerEvery: 10 * time.Millisecond, Retention: time.Hour,
 		OnApplied: func(version uint64) {
 			b.update(host, func(m *membership.Member) { m.ConfigVersion = version })
@@ -124,7 +125,7 @@
 	return func() uint64 { return s.Current().Version }
 }
 
-// lateLog answers the first append as unknown and makes it only at release.
+// lateLog reports the outcome of the first append as unknown and makes it only at release.
 type lateLog struct {
 	*fakelog.Client
 	mu   sync.Mutex
@@ -146,7 +147,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// cutLog answers no append while it is cut. The first of them arrives at release.
+// cutLog answers no append while it is cut off. The first of them is made at release.
 type cutLog struct {
 	*fakelog.Client
 	mu   sync.Mutex
@@ -179,14 +180,14 @@
 
 var _ = Describe("Sync", func() {
 	var log *fakelog.Log
-	var fleet *board
+	var fleet *fakeMembership
 	BeforeEach(func() {
-		log, fleet = fakelog.New(fakelog.Options{}), &board{}
+		log, fleet = fakelog.New(fakelog.Options{}), &fakeMembership{}
 	})
 
-	// Two operators publish from the same version at the same time. One must win
-	// and the other be told who did, and all daemons must end with the winner's.
-	It("lets one of two racing operators win and tells both the truth", func() {
+	// Two operators publish from the same version at the same time. One must win, the other
+	// must be told who did, and all daemons must end up with the winner's text.
+	It("lets one of two racing operators win and reports the winner to the other", func() {
 		a, b := fleet.start("a", log.NewClient(), nil), fleet.start("b", log.NewClient(), nil)
 		type result struct {
 			version uint64
@@ -213,8 +214,8 @@
 		Expect(b.Applied()).To(Equal(map[string]uint64{"a": 1, "b": 1}))
 	})
 
-	// The log takes a change but its answer is lost, or the change itself is. The
-	// operator must be told the version it became, and it must be made once.
+	// The log appends a change but its answer is lost, or the change itself is lost. The
+	// operator must get the version that the change became, and it must be made once.
 	DescribeTable("resolves a lost answer", func(lose func(*fakelog.Log)) {
 		s := fleet.start("a", log, nil)
 		publish(s, "one", 0)
@@ -226,9 +227,9 @@
 		Entry("after the append", func(l *fakelog.Log) { l.LoseAnswers(1) }),
 		Entry("before the append", func(l *fakelog.Log) { l.LoseAppends(1) }))
 
-	// The log's answer is lost and the change is not on the stream, so it is
-	// proposed anew; then the first one arrives after all. It must have no effect,
-	// though its base is again the current version.
+	// The log's answer is lost and the change is not on the stream, so it is proposed again;
+	// then the first proposal arrives after all. It must have no effect, although its base is
+	// again the current version.
 	It("makes a change that arrives late void", func() {
 		late := &lateLog{Client: log.NewClient()}
 		s := fleet.start("a", late, nil)
@@ -238,10 +239,10 @@
 		Expect(s.History()).To(HaveLen(2))
 	})
 
-	// The log cuts every append off. The operator must hear that the change may
-	// have been made while the log is still so, not wait for it; and the change,
-	// which arrives long afterwards, must have no effect.
-	It("answers while the log cuts appends, and withdraws the change afterwards", func() {
+	// The log answers no append. The operator must be told that the change may have been made
+	// while that lasts, not after it; and the change, which arrives long afterwards, must have
+	// no effect.
+	It("answers while the log answers no append, and withdraws the change afterwards", func() {
 		cut := &cutLog{Client: log.NewClient()}
 		s := fleet.start("a", cut, nil)
 		publish(s, "one", 0)
@@ -264,7 +265,7 @@
 		Expect(s.Current().Text).To(Equal("three"))
 	})
 
-	It("refuses truthfully while the log is out, and a text that is not valid", func() {
+	It("refuses a text that is not valid, and a change as not run while the log is unavailable", func() {
 		s := fleet.start("a", log, nil)
 		publish(s, "one", 0)
 		var refusal *outcome.Refusal
@@ -279,9 +280,10 @@
 		Expect(s.Current().Text).To(Equal("one"))
 	})
 
-	// One daemon can't reach the log. It must follow by way of the others, a fresh
-	// one must not serve before it has, and neither may fall back later.
-	It("follows by peers while cut off from the log", func() {
+	// A daemon can't reach the log. It must get new versions from the other daemons. If it was
+	// just started, it must not serve before it has the newest one, and it must not go back to
+	// an older one later.
+	It("fetches versions from peers while cut off from the log", func() {
 		a := fleet.start("a", log.NewClient(), nil)
 		publish(a, "one", 0)
 		client := log.NewClient()
@@ -289,7 +291,7 @@
 		fleet.update("a", func(m *membership.Member) { m.ConfigVersion = 9 })
 		b := fleet.start("b", client, nil)
 		Eventually(versionOf(b), "5s").Should(Equal(uint64(1)))
-		Expect(b.Ready()).To(BeFalse(), "a member tells a newer version")
+		Expect(b.Ready()).To(BeFalse(), "a member announces a newer version")
 		fleet.update("a", func(m *membership.Member) { m.ConfigVersion = 1 })
 		Expect(b.Ready()).To(BeTrue())
 		publish(a, "two", 1)
@@ -300,8 +302,8 @@
 		Eventually(versionOf(a), "5s").Should(Equal(uint64(3)))
 	})
 
-	// The early records expire and every daemon is replaced. The state must have
-	// been restated before, or the fleet would begin again at version 0.
+	// The early records expire and every daemon is replaced. The state must have been
+	// rewritten forward before, or the fleet would start over at version 0.
 	It("keeps the version across expiry and restarts", func() {
 		now := time.Now()
 		var mu sync.Mutex
@@ -318,27 +320,27 @@
 		mu.Unlock()
 		Eventually(func() int { return len(log.Records(configsync.Stream)) }, "5s").Should(BeNumerically(">", 2))
 		log.Trim(configsync.Stream, 2)
-		fresh := (&board{}).start("c", log.NewClient(), nil)
+		fresh := (&fakeMembership{}).start("c", log.NewClient(), nil)
 		Eventually(versionOf(fresh), "5s").Should(Equal(uint64(2)))
 		Expect(fresh.Current().Text).To(Equal("two"))
 		Expect(fresh.Ready()).To(BeTrue())
 	})
 
-	// The whole fleet was gone for longer than the retention. Nothing tells the
-	// state any more; operators must be able to begin anew, with a higher version.
-	It("begins anew above all versions once everything has expired", func() {
+	// The whole fleet was down for longer than the retention, and no record of the state is
+	// left. Operators must be able to start over, with a higher version.
+	It("starts over above all versions once everything has expired", func() {
 		a := fleet.start("a", log.NewClient(), nil)
 		publish(a, "one", 0)
 		publish(a, "two", 1)
 		log.Trim(configsync.Stream, 2)
-		fresh := (&board{}).start("c", log.NewClient(), nil)
+		fresh := (&fakeMembership{}).start("c", log.NewClient(), nil)
 		Eventually(func() error { _, err := fresh.Publish(background(), "three", 0, "minh"); return err }, "5s").Should(Succeed())
 		Expect(fresh.Current().Version).To(Equal(uint64(3)))
 		Eventually(versionOf(a), "5s").Should(Equal(uint64(3)))
 	})
 
-	// During an upgrade an operator publishes what only the new release can parse.
-	// The old one must keep what it has, and say so, and take the next version.
+	// During an upgrade an operator publishes a text that only the new release can parse. A
+	// daemon of the old release must keep its version, report that, and apply the next one.
 	It("keeps the old text when it can't parse the new one", func() {
 		a := fleet.start("a", log.NewClient(), nil)
 		old := fleet.start("b", log.NewClient(), func(o *configsync.Options) { o.Parse = parse(true) })
--- a/daemon/configsync/inforce_test.go
+++ b/daemon/configsync/inforce_test.go
@@ -16,8 +16,8 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// BenchmarkInForce reports how long after its publication a version is in force
-// on all of twelve daemons, and on one of them that is cut off from the log:
+// BenchmarkInForce reports how long after its publication a version is in force on all
+// connected daemons of twelve, and on the one that is cut off from the log:
 // go test -bench InForce -benchtime 20x.
 func BenchmarkInForce(b *testing.B) {
 	const size, settle = 12, 3 * time.Second
@@ -31,7 +31,7 @@
 		if i == size-1 {
 			client = cut
 		}
-		s, address := startWhole(b, i, client, seed)
+		s, address := startDaemon(b, i, client, seed)
 		fleet = append(fleet, s)
 		seed = address
 	}
@@ -44,14 +44,16 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		connected = max(connected, untilInForce(b, fleet[:size-1], version, began))
-		cutOff = max(cutOff, untilInForce(b, fleet[size-1:], version, began))
+		connected = max(connected, timeToInForce(b, fleet[:size-1], version, began))
+		cutOff = max(cutOff, timeToInForce(b, fleet[size-1:], version, began))
 	}
 	b.ReportMetric(float64(connected.Milliseconds()), "max-ms-connected")
 	b.ReportMetric(float64(cutOff.Milliseconds()), "max-ms-cut-off")
 }
 
-func untilInForce(b *testing.B, fleet []*configsync.Sync, version uint64, began time.Time) time.Duration {
+// timeToInForce waits until the version is in force on the fleet, and returns the time since
+// began.
+func timeToInForce(b *testing.B, fleet []*configsync.Sync, version uint64, began time.Time) time.Duration {
 	for _, s := range fleet {
 		for s.Current().Version < version {
 			if time.Since(began) > time.Minute {
@@ -63,8 +65,8 @@
 	return time.Since(began)
 }
 
-// startWhole starts a daemon's membership and configuration on a real socket.
-func startWhole(b *testing.B, i int, log extern.Log, seed string) (*configsync.Sync, string) {
+// startDaemon starts a daemon's membership and configuration on a real socket.
+func startDaemon(b *testing.B, i int, log extern.Log, seed string) (*configsync.Sync, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/daemon/configsync/loops.go
+++ b/daemon/configsync/loops.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// pageBytes bounds one read of the stream.
+	// pageBytes is the maximum size of one read of the stream.
 	pageBytes = 1 << 20
-	// readSlack is what a read may take beyond its long poll.
+	// readSlack is how much longer than its long poll a read may take.
 	readSlack = 2 * time.Second
-	// firstReadBackoff and maxReadBackoff bound the pause after a failed read; the
-	// longest stays well below the five seconds in which a version is due.
+	// firstReadBackoff and maxReadBackoff bound the backoff after a failed read. The maximum
+	// is well below the five seconds within which a version must be in force.
 	firstReadBackoff = 100 * time.Millisecond
 	maxReadBackoff   = time.Second
 	// fetchTimeout bounds one fetch from a peer.
 	fetchTimeout = time.Second
-	// appendTimeout bounds one restatement.
+	// appendTimeout bounds one append of a rewritten state or of a withdrawal that is made
+	// after the operator was answered.
 	appendTimeout = 5 * time.Second
-	// restateShare is the part of the retention after which the state is restated:
-	// two more tries of the same length fit in before readers could lose it.
-	restateShare = 3
-	// restateLag is the part of the retention by which each next member waits for
-	// those before it in the order.
-	restateLag = 24
-	// restateChecks is how often in one restating interval its age is looked at.
-	restateChecks = 20
+	// rewriteDivisor divides the retention to give the age at which the state is rewritten
+	// forward on the log: two more attempts at the same interval fit in before the state
+	// expires.
+	rewriteDivisor = 3
+	// rewriteLagDivisor divides the retention to give the time by which each member waits
+	// longer than the one before it in the order.
+	rewriteLagDivisor = 24
+	// rewriteChecks is how often the state's age is checked in one rewrite interval.
+	rewriteChecks = 20
 )
 
-// followLoop tails the stream.
+// followLoop tails the stream, with a backoff after failed reads.
 func (s *Sync) followLoop(ctx context.Context) {
 	backoff := time.Duration(0)
 	for ctx.Err() == nil {
@@ -54,13 +56,13 @@
 	}
 }
 
-// follow reads one page and folds it.
+// follow reads one page of the stream and applies its records to the state.
 func (s *Sync) follow(ctx context.Context) error {
 	s.mu.Lock()
 	next, wait := s.folder.Next(), s.opt.PollWait
 	if !s.atEnd {
-		// Until the end was seen once, nothing new is waited for: on an empty stream
-		// the long poll would hold up the first publication.
+		// No long poll until the stream was read to its end once: on an empty stream it would
+		// delay the first publication.
 		wait = 0
 	}
 	s.mu.Unlock()
@@ -72,18 +74,19 @@
 		return err
 	}
 	stuck := false
-	s.move(func(f *configlog.Folder) {
+	s.update(func(f *configlog.Folder) {
 		f.Step(page.First, inputs(page))
 		s.atEnd = f.Next() >= page.Next
 		s.caughtUp = s.caughtUp || (f.Anchored() && s.atEnd)
 		stuck = !s.atEnd && len(page.Records) == 0
 	})
 	if stuck {
-		return noProgress.New("the log names records up to %d but returned none from %d", page.Next, next)
+		return noProgress.New("the log reports %d as the next offset but returned no records from offset %d", page.Next, next)
 	}
 	return nil
 }
 
+// inputs converts the records of a page.
 func inputs(page extern.Page) []configlog.Input {
 	in := make([]configlog.Input, len(page.Records))
 	for i, r := range page.Records {
@@ -92,8 +95,8 @@
 	return in
 }
 
-// peerLoop fetches from a member that has a newer version in force than is known
-// here: that is how a daemon cut off from the log follows.
+// peerLoop fetches the state from a member that has a newer version in force than is known
+// here. This is how a daemon that can't reach the log stays up to date.
 func (s *Sync) peerLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.opt.PeerEvery)
 	defer ticker.Stop()
@@ -109,11 +112,11 @@
 	}
 }
 
-// newerPeer returns the address of the member with the highest version if that
-// is above what is known here.
+// newerPeer returns the peer address of the member with the highest version, if that version
+// is higher than the one known here.
 func (s *Sync) newerPeer() (string, bool) {
 	s.mu.Lock()
-	highest := s.seen
+	highest := s.seenVersion
 	s.mu.Unlock()
 	address, self := "", s.opt.View.Self().Host
 	for _, m := range s.opt.View.Members() {
@@ -124,6 +127,7 @@
 	return address, address != ""
 }
 
+// fetch fetches the state from a peer and adopts it if it is newer.
 func (s *Sync) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -134,13 +138,13 @@
 		s.opt.Logger.Warn("config_fetch_failed", zap.String("peer", address), zap.Error(err))
 		return
 	}
-	s.move(func(f *configlog.Folder) { s.fetched = f.Adopt(state) || s.fetched })
+	s.update(func(f *configlog.Folder) { s.fetched = f.Adopt(state) || s.fetched })
 }
 
-// restateLoop repeats the state on the stream before the records that tell it
-// expire, so that a fresh daemon finds it there.
-func (s *Sync) restateLoop(ctx context.Context) {
-	ticker := time.NewTicker(s.opt.Retention / restateShare / restateChecks)
+// rewriteLoop rewrites the state forward on the stream before the records that hold it
+// expire, so that a newly started daemon can read it there.
+func (s *Sync) rewriteLoop(ctx context.Context) {
+	ticker := time.NewTicker(s.opt.Retention / rewriteDivisor / rewriteChecks)
 	defer ticker.Stop()
 	for {
 		select {
@@ -148,19 +152,18 @@
 			return
 		case <-ticker.C:
 		}
-		if s.restateDue() {
-			s.restate(ctx)
+		if s.rewriteDue() {
+			s.rewriteState(ctx)
 		}
 	}
 }
 
-// restateDue tells whether the stream's newest full state is so old that it is
-// this daemon's turn to restate it. The first member in rendezvous order is due
-// first; each later one waits a little longer, in case those before it can't
-// reach the log.
-func (s *Sync) restateDue() bool {
-	turn := time.Duration(s.place()) * s.opt.Retention / restateLag
-	latest := 2 * s.opt.Retention / restateShare
+// rewriteDue reports whether the newest full state on the stream is old enough for this
+// daemon to rewrite it. The first member in rendezvous order is due first; each later one
+// waits a little longer, and rewrites the state only if those before it can't reach the log.
+func (s *Sync) rewriteDue() bool {
+	delay := time.Duration(s.rendezvousRank()) * s.opt.Retention / rewriteLagDivisor
+	limit := 2 * s.opt.Retention / rewriteDivisor
 	now := s.opt.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,20 +171,20 @@
 		return false
 	}
 	if ms := s.folder.RestatedMs(); ms > 0 {
-		s.unknownSince = time.Time{}
-		return now.Sub(time.UnixMilli(ms)) >= min(s.opt.Retention/restateShare+turn, latest)
+		s.noStateSince = time.Time{}
+		return now.Sub(time.UnixMilli(ms)) >= min(s.opt.Retention/rewriteDivisor+delay, limit)
 	}
-	// The state came from a peer, after this daemon was cut off for longer than
-	// the retention, and the stream may hold nothing that tells it.
-	if s.unknownSince.IsZero() {
-		s.unknownSince = now
+	// The state came from a peer, after this daemon was cut off from the log for longer than
+	// the retention, and the stream may hold no record of it.
+	if s.noStateSince.IsZero() {
+		s.noStateSince = now
 	}
-	return now.Sub(s.unknownSince) >= min(turn, latest)
+	return now.Sub(s.noStateSince) >= min(delay, limit)
 }
 
-// place returns this daemon's place in the rendezvous order, the last if it isn't
-// in it.
-func (s *Sync) place() int {
+// rendezvousRank returns this daemon's position in the rendezvous order, or the position
+// after the last if it isn't in the order.
+func (s *Sync) rendezvousRank() int {
 	self := s.opt.View.Self().Host
 	order := s.opt.View.Successors(Stream)
 	for i, m := range order {
@@ -192,9 +195,9 @@
 	return len(order)
 }
 
-// restate appends the state. A lost answer does no harm: restating twice has no
-// effect, and what matters is read back from the stream.
-func (s *Sync) restate(ctx context.Context) {
+// rewriteState appends the state to the stream. A lost answer does no harm: a second rewrite
+// has no effect, and the age of the state is taken from the stream.
+func (s *Sync) rewriteState(ctx context.Context) {
 	state := s.state()
 	data, err := configlog.Record{Restate: &state}.Encode()
 	if err != nil {
@@ -207,6 +210,6 @@
 		s.opt.Logger.Warn("config_restate_failed", zap.Error(err))
 		return
 	}
-	s.meter.restates.Inc()
+	s.meter.rewrites.Inc()
 	s.opt.Logger.Info("config_restated", zap.Uint64("version", state.Version), zap.Int64("through", state.Through))
 }
--- a/daemon/configsync/meter.go
+++ b/daemon/configsync/meter.go
@@ -2,10 +2,10 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// meter holds the counters.
+// meter holds the package's counters.
 type meter struct {
 	readFailures, fetches, fetchFailures *metrics.Counter
-	restates, unparsable                 *metrics.Counter
+	rewrites, unparsable                 *metrics.Counter
 	published, conflicts, withdrawals    *metrics.Counter
 }
 
@@ -16,7 +16,7 @@
 		readFailures:  set.GetOrCreateCounter("tarragonhollow_config_read_failures_total"),
 		fetches:       set.GetOrCreateCounter("tarragonhollow_config_peer_fetches_total"),
 		fetchFailures: set.GetOrCreateCounter("tarragonhollow_config_peer_fetch_failures_total"),
-		restates:      set.GetOrCreateCounter("tarragonhollow_config_restates_total"),
+		rewrites:      set.GetOrCreateCounter("tarragonhollow_config_restates_total"),
 		unparsable:    set.GetOrCreateCounter("tarragonhollow_config_unparsable_total"),
 		published:     set.GetOrCreateCounter("tarragonhollow_config_published_total"),
 		conflicts:     set.GetOrCreateCounter("tarragonhollow_config_conflicts_total"),
--- a/daemon/configsync/options.go
+++ b/daemon/configsync/options.go
@@ -13,16 +13,17 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// Namespace holds the errors of this layer.
+// Namespace is the errorx namespace of this package.
 var Namespace = errorx.NewNamespace("configsync")
 
-// badOptions says that Options can't be used.
+// badOptions is the error type for invalid Options.
 var badOptions = Namespace.NewType("bad_options")
 
-// noProgress says that the log answers a read without the records it names.
+// noProgress is the error type for a read that returns no records although the log reports
+// that there are some.
 var noProgress = Namespace.NewType("no_progress")
 
-// notApplied says that some host has not applied a version in time.
+// notApplied is the error type for a version that some host has not applied in time.
 var notApplied = Namespace.NewType("not_applied", errorx.Timeout())
 
 // Defaults of Options.
@@ -30,7 +31,8 @@
 	DefaultRetention = 24 * time.Hour
 	DefaultPollWait  = 5 * time.Second
 	DefaultPeerEvery = 250 * time.Millisecond
-	// DefaultPublishWait holds a first read, a lost answer and a few proposals.
+	// DefaultPublishWait is enough for a first read, the resolution of a lost answer and a few
+	// proposals.
 	DefaultPublishWait = 5 * time.Second
 )
 
@@ -38,24 +40,24 @@
 type Options struct {
 	// Log is the platform's log.
 	Log extern.Log
-	// View is the membership; the ConfigVersion of its members is what OnApplied
-	// told there.
+	// View is the membership. The ConfigVersion of its members is what their OnApplied
+	// announced.
 	View membership.View
-	// Peer fetches from other daemons; Registrar takes the service "Config".
+	// Peer fetches from other daemons; Registrar registers the service "Config".
 	Peer      peer.Caller
 	Registrar peer.Registrar
-	// Parse validates a text; it is config.Parse but in tests.
+	// Parse parses and validates a text; config.Parse except in tests.
 	Parse func(text string) (*config.Config, error)
-	// OnApplied is told each version that comes into force here, in order. It must
+	// OnApplied is called with each version that comes into force here, in order. It must
 	// neither block nor call the Sync. May be nil.
 	OnApplied func(version uint64)
 	// Retention is how long the log keeps records; default 24 h.
 	Retention time.Duration
-	// PollWait bounds one long poll of the stream; default 5 s.
+	// PollWait is the maximum wait of one long poll of the stream; default 5 s.
 	PollWait time.Duration
-	// PeerEvery is how often the members' versions are compared; default 250 ms.
+	// PeerEvery is the interval at which the members' versions are compared; default 250 ms.
 	PeerEvery time.Duration
-	// PublishWait bounds how long an operator waits for the fate of a change;
+	// PublishWait is the maximum time that an operator waits for the outcome of a change;
 	// default 5 s.
 	PublishWait time.Duration
 	// Clock gives the time; default time.Now.
--- a/daemon/configsync/publish.go
+++ b/daemon/configsync/publish.go
@@ -16,30 +16,31 @@
 )
 
 const (
-	// maxProposals bounds how often one change is proposed anew after being voided.
+	// maxProposals bounds how often one change is proposed, each time after the last proposal
+	// became void.
 	maxProposals = 5
-	// firstReadWait is how long a publication waits for the first read.
+	// firstReadWait is how long a publication waits for the first read of the stream.
 	firstReadWait = 2 * time.Second
-	// lookBack is how long a change with a lost answer is looked for before its
-	// epoch is ended.
-	lookBack = 500 * time.Millisecond
-	// withdrawPause is the pause between tries to append a withdrawal, and
-	// laterPause between those that go on after the operator had his answer.
-	withdrawPause = 200 * time.Millisecond
-	laterPause    = time.Second
-	// maxUnresolved bounds the changes whose fate is followed after the answer.
+	// resolveTimeout is how long a change whose append got no answer is looked for on the
+	// stream before its epoch is ended.
+	resolveTimeout = 500 * time.Millisecond
+	// withdrawPause is the pause between attempts to append a withdrawal, and
+	// backgroundWithdrawPause that between attempts after the operator was answered.
+	withdrawPause           = 200 * time.Millisecond
+	backgroundWithdrawPause = time.Second
+	// maxUnresolved bounds the changes that wait to be withdrawn after the operator was
+	// answered.
 	maxUnresolved = 16
-	// retryAfterMs is when a refused operator should come back, unless the log
-	// said otherwise.
+	// retryAfterMs is the retry-after of refusals, in milliseconds, unless the log gave one.
 	retryAfterMs = 2000
 )
 
-// Publish proposes text as the version after base and returns the new version
-// once it is accepted. Its errors: *api.ConfigConflict if another change took the
-// place; *outcome.Refusal otherwise. A refusal says not_run only where the change
-// certainly has no effect and never will; may_have_run where ctx or PublishWait
-// ended before that could be known. Unless the change is on the log by then, it is
-// withdrawn as soon as the log takes that.
+// Publish proposes text as the version after base and returns the new version once it is
+// accepted. It returns an *api.ConfigConflict if another change became that version, and an
+// *outcome.Refusal otherwise. A refusal is not_run only if the change has no effect and
+// never will have one, and may_have_run if ctx or PublishWait ended before that was known.
+// In the latter case the change, unless it is on the log by then, is withdrawn as soon as
+// the log accepts the withdrawal.
 func (s *Sync) Publish(ctx context.Context, text string, base uint64, author string) (uint64, error) {
 	if _, err := s.opt.Parse(text); err != nil {
 		return 0, outcome.Refuse(outcome.BadRequest, "the configuration is not valid: %v", err)
@@ -48,7 +49,7 @@
 	defer cancel()
 	s.awaitFirstRead(ctx)
 	for range maxProposals {
-		change, err := s.draft(text, base, author)
+		change, err := s.newChange(text, base, author)
 		if err != nil {
 			return 0, err
 		}
@@ -64,26 +65,26 @@
 		case configlog.Lost:
 			return 0, s.conflict(entry)
 		case configlog.Unknown:
-			return 0, unknown("so many changes followed that its own can't be told any more")
+			return 0, outcomeUnknown("so many changes followed that its own can't be told any more")
 		}
 	}
-	return 0, refused("other changes kept being withdrawn meanwhile")
+	return 0, changeRefused("other changes kept being withdrawn meanwhile")
 }
 
-// awaitFirstRead gives a daemon that has just started a moment to learn the
+// awaitFirstRead waits up to firstReadWait until a daemon that has just started has read the
 // state, without which nothing can be proposed.
 func (s *Sync) awaitFirstRead(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, firstReadWait)
 	defer cancel()
-	s.await(ctx, func(state configlog.State) bool { return s.atEnd || state.Through >= 0 })
+	s.awaitState(ctx, func(state configlog.State) bool { return s.atEnd || state.Through >= 0 })
 }
 
-// draft builds the change for the state known here, or refuses at once what
-// can't be accepted.
-func (s *Sync) draft(text string, base uint64, author string) (configlog.Change, error) {
+// newChange returns the change to propose on the state known here, or an error if it can't be
+// accepted.
+func (s *Sync) newChange(text string, base uint64, author string) (configlog.Change, error) {
 	s.mu.Lock()
 	state, anchored := s.folder.State(), s.folder.Anchored()
-	lost := !anchored && s.atEnd && state.Version == 0
+	expired := !anchored && s.atEnd && state.Version == 0
 	unread := !s.atEnd && state.Through < 0
 	s.mu.Unlock()
 	change := configlog.Change{
@@ -91,50 +92,49 @@
 	}
 	switch {
 	case state.Version > base:
-		// Versions only rise, so the base is out of date however old this state is.
+		// Versions only increase, so the base is out of date even if this state is old.
 		_, entry := configlog.Judge(configlog.State{Version: state.Version, History: state.History}, change)
 		if entry.Version == 0 {
 			entry.Version = state.Version
 		}
 		return change, s.conflict(entry)
-	case lost && base == 0 && highestVersion(s.opt.View.Members()) == 0:
-		// Every record that tells the state expired, though a running fleet restates
-		// it three times in the retention, and no member knows it: the whole fleet
-		// was gone for long. The operators begin anew, above every version there ever
-		// was.
+	case expired && base == 0 && highestVersion(s.opt.View.Members()) == 0:
+		// Every record of the state has expired, although a running fleet rewrites it three
+		// times in the retention, and no member knows it: the whole fleet was down for longer
+		// than the retention. The operators start over, with a version above all earlier ones.
 		change.Forced = true
 	case !anchored || unread:
-		return change, refused("this daemon has not read the configuration stream yet")
+		return change, changeRefused("this daemon has not read the configuration stream yet")
 	}
 	return change, nil
 }
 
-// propose appends the change and returns a state that decides it.
+// propose appends the change and returns a state that includes its outcome.
 func (s *Sync) propose(ctx context.Context, change configlog.Change) (configlog.State, error) {
 	data, err := configlog.Record{Change: &change}.Encode()
 	if err != nil {
-		return configlog.State{}, refused("the text can't be encoded")
+		return configlog.State{}, changeRefused("the text can't be encoded")
 	}
 	offset, err := s.opt.Log.Append(ctx, Stream, data)
 	if err == nil {
 		return s.readBack(ctx, offset)
 	}
-	if refusal := notAppended(err); refusal != nil {
+	if refusal := appendRefusal(err); refusal != nil {
 		return configlog.State{}, refusal
 	}
 	s.opt.Logger.Warn("config_append_answer_lost", zap.String("change", change.ID), zap.Error(err))
 	return s.resolve(ctx, change)
 }
 
-// notAppended returns the refusal for an append that was certainly not made, nil
-// if it may have been.
-func notAppended(err error) *outcome.Refusal {
+// appendRefusal returns the refusal for an append that was certainly not made, or nil if it
+// may have been made.
+func appendRefusal(err error) *outcome.Refusal {
 	if after, ok := extern.IsLimited(err); ok {
-		return refused("the platform's log limits appends").After(max(after.Milliseconds(), 1))
+		return changeRefused("the platform's log limits appends").After(max(after.Milliseconds(), 1))
 	}
 	switch {
 	case extern.IsUnavailable(err):
-		return refused("the platform's log is out")
+		return changeRefused("the platform's log is out")
 	case extern.IsTooLarge(err):
 		return outcome.Refuse(outcome.TooLarge, "the text exceeds the log's record limit")
 	case errorx.IsOfType(err, extern.Invalid):
@@ -143,24 +143,24 @@
 	return nil
 }
 
-// resolve learns what became of a change whose append had no answer. It looks
-// for the change on the stream; if it isn't there it may still arrive, so its
-// epoch is ended: a change that arrives after that is void for every reader. A
-// withdrawal without answer can simply be repeated.
+// resolve determines the outcome of a change whose append got no answer. It looks for the
+// change on the stream. If it isn't there, it may still arrive, so resolve ends its epoch by
+// a withdrawal: a change that arrives after that is void for every reader. A withdrawal
+// whose append got no answer can be repeated.
 func (s *Sync) resolve(ctx context.Context, change configlog.Change) (configlog.State, error) {
-	looked, cancel := context.WithTimeout(ctx, lookBack)
-	state, found := s.await(looked, func(state configlog.State) bool { return s.decided(state, change) })
+	lookupCtx, cancel := context.WithTimeout(ctx, resolveTimeout)
+	state, found := s.awaitState(lookupCtx, func(state configlog.State) bool { return s.isDecided(state, change) })
 	cancel()
 	if found {
 		return state, nil
 	}
 	if change.Forced {
-		return state, unknown("the log's answer was lost")
+		return state, outcomeUnknown("the log's answer was lost")
 	}
 	s.meter.withdrawals.Inc()
 	data, err := configlog.Record{Withdraw: &configlog.Withdraw{Epoch: change.Epoch}}.Encode()
 	if err != nil {
-		return state, unknown("the log's answer was lost")
+		return state, outcomeUnknown("the log's answer was lost")
 	}
 	for ctx.Err() == nil {
 		offset, err := s.opt.Log.Append(ctx, Stream, data)
@@ -170,15 +170,15 @@
 		duty.Pause(ctx, withdrawPause)
 	}
 	s.withdrawLater(change)
-	return state, unknown("the log's answer was lost and could not be looked for")
+	return state, outcomeUnknown("the log's answer was lost and could not be looked for")
 }
 
-// withdrawLater has the change's epoch ended once the log answers again.
+// withdrawLater queues the change, to have its epoch ended once the log answers again.
 //
-// Failure guarded against: the operator is told that the change may have been
-// made, and reads a history without it; then it arrives after all and undoes what
-// was published meanwhile. A lost withdrawal can do no more than that, so one
-// too many is only logged.
+// Failure guarded against: the operator is told that the change may have been made, and
+// reads a history without it; then it arrives after all and reverts what was published in
+// the meantime. A lost withdrawal can cause no more than that, so if the queue is full, the
+// change is only logged.
 func (s *Sync) withdrawLater(change configlog.Change) {
 	select {
 	case s.unresolved <- change:
@@ -187,7 +187,7 @@
 	}
 }
 
-// withdrawLoop makes the withdrawals that publications left behind.
+// withdrawLoop makes the withdrawals that publications queued.
 func (s *Sync) withdrawLoop(ctx context.Context) {
 	for {
 		select {
@@ -199,15 +199,15 @@
 	}
 }
 
-// withdraw tries until the withdrawal is on the log, the change is settled, or
-// its epoch has ended otherwise.
+// withdraw retries until the withdrawal is on the log, the change is resolved, or its epoch
+// has ended for another reason.
 func (s *Sync) withdraw(ctx context.Context, change configlog.Change) {
 	data, err := configlog.Record{Withdraw: &configlog.Withdraw{Epoch: change.Epoch}}.Encode()
 	if err != nil {
 		return
 	}
 	for ctx.Err() == nil {
-		if state := s.state(); s.decided(state, change) || state.Epoch > change.Epoch {
+		if state := s.state(); s.isDecided(state, change) || state.Epoch > change.Epoch {
 			return
 		}
 		call, cancel := context.WithTimeout(ctx, appendTimeout)
@@ -217,32 +217,32 @@
 			s.opt.Logger.Info("config_change_withdrawn", zap.String("change", change.ID))
 			return
 		}
-		duty.Pause(ctx, laterPause)
+		duty.Pause(ctx, backgroundWithdrawPause)
 	}
 }
 
-// decided tells whether the state settles the change, accepted or beaten. Void
-// is no decision: the change may yet arrive.
-func (s *Sync) decided(state configlog.State, change configlog.Change) bool {
+// isDecided reports whether the state decides the change, as accepted or as lost to another
+// one. Void is not a decision, since the change may still arrive.
+func (s *Sync) isDecided(state configlog.State, change configlog.Change) bool {
 	verdict, _ := configlog.Judge(state, change)
 	return verdict == configlog.Accepted || verdict == configlog.Lost
 }
 
-// readBack waits until the fold includes the offset.
+// readBack waits until the state includes the record at the offset.
 func (s *Sync) readBack(ctx context.Context, offset int64) (configlog.State, error) {
-	state, ok := s.await(ctx, func(state configlog.State) bool { return state.Through >= offset })
+	state, ok := s.awaitState(ctx, func(state configlog.State) bool { return state.Through >= offset })
 	if !ok {
-		return state, unknown("it is on the log, but the log could not be read back")
+		return state, outcomeUnknown("it is on the log, but the log could not be read back")
 	}
 	return state, nil
 }
 
-// await returns the first state that satisfies done, which is called under the
-// lock, or false at the end of ctx.
-func (s *Sync) await(ctx context.Context, done func(configlog.State) bool) (configlog.State, bool) {
+// awaitState returns the first state that satisfies done, or the last one and false at the
+// end of ctx. done is called under the lock.
+func (s *Sync) awaitState(ctx context.Context, done func(configlog.State) bool) (configlog.State, bool) {
 	for {
 		s.mu.Lock()
-		state, stepped := s.folder.State(), s.stepped
+		state, stepped := s.folder.State(), s.changed
 		ok := done(state)
 		s.mu.Unlock()
 		if ok {
@@ -256,16 +256,19 @@
 	}
 }
 
+// conflict counts a conflict and returns the error that names the winner.
 func (s *Sync) conflict(winner configlog.Entry) error {
 	s.meter.conflicts.Inc()
 	return &api.ConfigConflict{Winner: winner.Author, Version: winner.Version}
 }
 
-func refused(why string) *outcome.Refusal {
+// changeRefused returns the refusal of a change that was not made.
+func changeRefused(why string) *outcome.Refusal {
 	return outcome.Refuse(outcome.LogUnavailable, "the change was not made: %s", why).After(retryAfterMs)
 }
 
-func unknown(why string) *outcome.Refusal {
+// outcomeUnknown returns the refusal of a change that may have been made.
+func outcomeUnknown(why string) *outcome.Refusal {
 	return outcome.Refuse(outcome.OutcomeUnknown, "the change may have been made: %s; read the history before trying again", why).
 		WithRun(outcome.MayHaveRun).After(retryAfterMs)
 }
--- a/daemon/configsync/sync.go
+++ b/daemon/configsync/sync.go
@@ -1,6 +1,6 @@
-// Package configsync keeps the operators' configuration in force here: it
-// follows the configuration stream, fetches newer versions from other daemons
-// while the log can't be reached, and publishes changes.
+// Package configsync keeps the operators' configuration in force on this daemon: it tails the
+// configuration stream, fetches newer versions from other daemons while the log can't be
+// reached, and publishes changes.
 package configsync
 
 import (
@@ -28,40 +28,40 @@
 	meter   *meter
 	current atomic.Pointer[config.Config]
 	ready   atomic.Bool
-	// unresolved holds changes whose operators were told that they may have been
-	// made.
+	// unresolved queues the changes to be withdrawn whose operators were told that they may
+	// have been made.
 	unresolved chan configlog.Change
 
 	mu     sync.Mutex
 	folder *configlog.Folder
-	// seen is the highest version known, in force or not.
-	seen uint64
-	// caughtUp says that the stream was once read to its end without a gap.
+	// seenVersion is the highest known version, whether in force or not.
+	seenVersion uint64
+	// caughtUp reports that the stream was once read to its end without a gap.
 	caughtUp bool
-	// atEnd says that the last read reached the stream's end, gap or not.
+	// atEnd reports that the last read reached the end of the stream, with or without a gap.
 	atEnd bool
-	// unknownSince is when it was first noticed that no record on the stream is
-	// known to tell the state; zero while one is.
-	unknownSince time.Time
-	// fetched says that a peer's state was taken.
+	// noStateSince is when it was first noticed that no record on the stream is known to hold
+	// the state; zero while one is.
+	noStateSince time.Time
+	// fetched reports that a state of a peer was adopted.
 	fetched bool
-	// regressed is the count last logged.
-	regressed uint64
-	// stepped is closed and replaced whenever the folder moved.
-	stepped chan struct{}
+	// loggedRegressions is the count that was last logged.
+	loggedRegressions uint64
+	// changed is closed and replaced after each update of the folder.
+	changed chan struct{}
 }
 
-// New returns a Sync without a configuration and registers the service "Config".
+// New returns a Sync with an empty configuration and registers the service "Config".
 func New(o Options) (*Sync, error) {
 	o, err := o.validated()
 	if err != nil {
 		return nil, err
 	}
 	s := &Sync{
-		opt: o, folder: configlog.NewFolder(), stepped: make(chan struct{}),
+		opt: o, folder: configlog.NewFolder(), changed: make(chan struct{}),
 		unresolved: make(chan configlog.Change, maxUnresolved),
 	}
-	s.current.Store(none())
+	s.current.Store(emptyConfig())
 	s.meter = newMeter(o.Metrics, s)
 	if err := o.Registrar.Register(serviceName, &Service{s: s}); err != nil {
 		return nil, badOptions.Wrap(err, "the service can't be registered")
@@ -69,8 +69,8 @@
 	return s, nil
 }
 
-// none is the configuration before the first version.
-func none() *config.Config {
+// emptyConfig returns the configuration before the first version.
+func emptyConfig() *config.Config {
 	return &config.Config{
 		Profiles: map[string]*config.Profile{},
 		Groups:   map[string]*config.TargetGroup{},
@@ -79,22 +79,22 @@
 	}
 }
 
-// Run starts the duties.
+// Run starts the loops in the group.
 func (s *Sync) Run(g *duty.Group) {
 	g.Go(s.followLoop)
 	g.Go(s.peerLoop)
-	g.Go(s.restateLoop)
+	g.Go(s.rewriteLoop)
 	g.Go(s.withdrawLoop)
 }
 
-// Current returns the configuration in force, never nil; its Version is 0 while
-// there is none. It must not be changed.
+// Current returns the configuration in force. It is never nil; its Version is 0 before the
+// first version. It must not be modified.
 func (s *Sync) Current() *config.Config { return s.current.Load() }
 
-// Ready tells whether this daemon may serve: a configuration is in force, it was
-// read from the stream's end or a peer, and no live member knew a newer one when
-// that was first so. Once ready, a Sync stays ready: what it has is never older
-// than what it had.
+// Ready reports whether this daemon may serve. It becomes true when a configuration is in
+// force, the state was read from the stream up to its end or fetched from a peer, and no
+// member has a newer version in force. Once ready, a Sync stays ready, since its
+// configuration never gets older.
 func (s *Sync) Ready() bool {
 	if s.ready.Load() {
 		return true
@@ -110,6 +110,7 @@
 	return true
 }
 
+// highestVersion returns the highest version in force on a member, 0 if there is none.
 func highestVersion(members []membership.Member) uint64 {
 	highest := uint64(0)
 	for _, m := range members {
@@ -138,14 +139,15 @@
 }
 
 const (
-	// applyWait bounds WaitApplied: the promise is five seconds.
+	// applyWait is the maximum wait of WaitApplied: versions must be in force on all members
+	// within five seconds.
 	applyWait = 5 * time.Second
-	// applyPoll is how often WaitApplied looks at the view.
+	// applyPoll is the interval at which WaitApplied checks the members' versions.
 	applyPoll = 25 * time.Millisecond
 )
 
-// WaitApplied returns nil when the version is in force on all members, or an
-// error when ctx ends or five seconds have passed.
+// WaitApplied waits until the version is in force on all members. It returns an error if ctx
+// ends or five seconds pass before that.
 func (s *Sync) WaitApplied(ctx context.Context, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, applyWait)
 	defer cancel()
@@ -164,7 +166,8 @@
 	}
 }
 
-// missing names a member where the version is not in force, "" if there is none.
+// missing returns the host of a member where the version is not in force, "" if there is
+// none.
 func (s *Sync) missing(version uint64) string {
 	for _, m := range s.opt.View.Members() {
 		if m.ConfigVersion < version {
@@ -174,36 +177,38 @@
 	return ""
 }
 
+// state returns the newest known state.
 func (s *Sync) state() configlog.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.folder.State()
 }
 
-// move runs f on the folder and brings a newer version into force.
-func (s *Sync) move(f func(*configlog.Folder)) {
+// update runs f on the folder, brings a newer version into force, and wakes those who wait
+// for a state.
+func (s *Sync) update(f func(*configlog.Folder)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.folder)
 	s.apply(s.folder.State())
-	if n := s.folder.Regressed(); n != s.regressed {
-		s.regressed = n
-		s.opt.Logger.Error("config_state_of_lower_version_refused", zap.Uint64("times", n), zap.Uint64("version", s.seen))
+	if n := s.folder.Regressed(); n != s.loggedRegressions {
+		s.loggedRegressions = n
+		s.opt.Logger.Error("config_state_of_lower_version_refused", zap.Uint64("times", n), zap.Uint64("version", s.seenVersion))
 	}
-	close(s.stepped)
-	s.stepped = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// apply brings the state's version into force if it is newer; the lock is held,
-// so versions come into force in order. A text that this program can't parse was
-// validated by another release of it: it stays out of force here, which shows as
-// this log line, the metric and the version this daemon tells; the version still
-// counts as seen, so that it isn't fetched again and again.
+// apply brings the state's version into force if it is newer. The caller holds the lock, so
+// versions come into force in order. A text that can't be parsed here was validated by a
+// daemon of another release. It does not come into force here, which shows in the log, the
+// metric and the version that this daemon announces. The version still counts as seen, so
+// that it isn't fetched repeatedly.
 func (s *Sync) apply(state configlog.State) {
-	if state.Version <= s.seen {
+	if state.Version <= s.seenVersion {
 		return
 	}
-	s.seen = state.Version
+	s.seenVersion = state.Version
 	parsed, err := s.opt.Parse(state.Text)
 	if err != nil {
 		s.meter.unparsable.Inc()
