--- a/daemon/configsync/sync.go
+++ b/daemon/configsync/sync.go
@@ -93,7 +93,7 @@
 
 // Ready reports whether this daemon may serve. It becomes true when a configuration is in
 // force, the state was read from the stream up to its end or fetched from a peer, and no
-// member has a newer version in force. Once ready, a Sync stays ready, since its
+// live member has a newer version in force. Once ready, a Sync stays ready, since its
 // configuration never gets older.
 func (s *Sync) Ready() bool {
 	if s.ready.Load() {
--- a/daemon/members/loops.go
+++ b/daemon/members/loops.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// jittered returns d with jitter.
+// jittered returns a random duration around d, spread by hostListJitter.
 func jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + hostListJitter*(rand.Float64()-0.5)))
 }
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -52,8 +52,7 @@
 
 // attemptResult is the result of one attempt at a target.
 type attemptResult struct {
-	// done reports that an answer was delivered to the caller; aborted, that the caller's
-	// answer could not be completed.
+	// done reports that the caller has its answer or, if aborted, that its answer was cut off.
 	done, aborted bool
 	// reached is false only if the target certainly did not run the request.
 	reached bool
--- a/daemon/relay/crashes.go
+++ b/daemon/relay/crashes.go
@@ -72,7 +72,8 @@
 }
 
 // Watch calls run, which sends a request to the target and reports whether the target broke
-// the connection. If the target has crashed, Watch reports it to Suspects before it returns.
+// the connection. If the target has crashed, Watch reports that to Suspects, and returns
+// after the other daemons have been informed.
 func (c *Crashes) Watch(ctx context.Context, t roster.Target, fingerprint string, run func() (broken bool)) {
 	c.begin(string(t.Start), fingerprint)
 	defer c.end(string(t.Start), fingerprint)
