--- a/daemon/online/cancel.go
+++ b/daemon/online/cancel.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// cancelRing bounds the cancels that wait; one that finds no room is left
-	// to the engine's own notice of the closed connection.
-	cancelRing = 1024
-	// cancelTimeout bounds one cancel, cancelParallel those in flight.
+	// cancelQueueSize bounds the queued cancels. When the queue is full, the engine has
+	// to notice the closed connection itself.
+	cancelQueueSize = 1024
+	// cancelTimeout bounds one cancel call, cancelParallel the number in flight.
 	cancelTimeout  = time.Second
 	cancelParallel = 8
 )
 
-// orphan is a stream that nobody waits for any more.
-type orphan struct {
+// abandonedStream is a stream whose answer is no longer wanted.
+type abandonedStream struct {
 	address, stream string
 }
 
-// canceller stops streams that were given up. Not every engine notices a closed
-// connection; one that does not would generate to the end for nobody. Nobody
-// waits for a cancel, and an unknown stream is no error.
+// canceller cancels abandoned streams at their engines. Not every engine notices a
+// closed connection; one that does not would generate the rest of an unwanted answer.
+// Cancels are asynchronous, and cancelling an unknown stream is not an error.
 type canceller struct {
-	opt  Options
-	ring *duty.Ring[orphan]
+	opt   Options
+	queue *duty.Ring[abandonedStream]
 }
 
 func newCanceller(o Options) *canceller {
-	return &canceller{opt: o, ring: duty.NewRing[orphan](cancelRing)}
+	return &canceller{opt: o, queue: duty.NewRing[abandonedStream](cancelQueueSize)}
 }
 
 func (c *canceller) cancelLoop(ctx context.Context) {
@@ -43,7 +43,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-c.ring.C():
+		case o := <-c.queue.C():
 			calls.Go(func() error {
 				call, cancel := context.WithTimeout(ctx, cancelTimeout)
 				defer cancel()
--- a/daemon/online/chat.go
+++ b/daemon/online/chat.go
@@ -22,12 +22,12 @@
 	roleUser    = "user"
 )
 
-// Chat runs a chat completion. sink, if not nil, gets every token before Chat
-// returns; of a kept answer it gets the whole text as one token.
+// Chat runs a chat completion. sink, if not nil, receives every token before Chat
+// returns; a replayed answer is passed to it as a single token.
 func (o *Online) Chat(ctx context.Context, call api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
 	began := o.opt.Clock()
 	result, refusal := o.chat(ctx, call, sink)
-	o.meters.ended(call.Call, o.opt.Clock().Sub(began), refusal)
+	o.meters.observeEnd(call.Call, o.opt.Clock().Sub(began), refusal)
 	if refusal != nil {
 		return api.ChatResult{}, refusal
 	}
@@ -39,15 +39,15 @@
 	if c == nil || c.Version == 0 {
 		return api.ChatResult{}, outcome.Refuse(outcome.NotReady, "no configuration yet")
 	}
-	described := c.GroupForModel(call.Request.Model)
-	if described == nil {
+	groupConfig := c.GroupForModel(call.Request.Model)
+	if groupConfig == nil {
 		return api.ChatResult{}, outcome.Refuse(outcome.UnknownTarget, "no target group serves model %q", call.Request.Model)
 	}
-	g := o.groupOf(c, described)
+	g := o.groupOf(c, groupConfig)
 	if g == nil {
 		return api.ChatResult{}, outcome.Refuse(outcome.UnknownTarget, "model %q is not served any more", call.Request.Model)
 	}
-	ctx, release, refusal := o.enter(ctx, call.Call, c)
+	ctx, release, refusal := o.admit(ctx, call.Call, c)
 	if refusal != nil {
 		return api.ChatResult{}, refusal
 	}
@@ -84,8 +84,8 @@
 	return result, nil
 }
 
-// encodeChat gives the kept answer the form in which its caller reads it, so
-// that GET /v1/requests/{key} shows the same body as the first answer.
+// encodeChat encodes the answer for the ledger as its caller receives it, so that
+// GET /v1/requests/{key} returns the same body as the first answer.
 func (o *Online) encodeChat(call api.ChatCall, r api.ChatResult) *ledger.Answer {
 	body := chat.EncodeAnswer(api.CompletionID(call.Call), call.Request.Model, o.opt.Clock(), r.Answer())
 	return &ledger.Answer{Status: http.StatusOK, ContentType: contentJSON, Body: body}
@@ -107,8 +107,8 @@
 	request target.GenerateRequest
 	id      string
 	sink    func(target.Token) error
-	// texts are the tokens delivered so far, in order without gap: what the
-	// next attempt resumes after.
+	// texts holds the tokens delivered so far, in order and without gaps; the next
+	// attempt resumes after them.
 	texts  []string
 	finish target.Finish
 	lastAt time.Time
@@ -117,7 +117,7 @@
 func (o *Online) newStream(call api.ChatCall, g *group, sink func(target.Token) error) *stream {
 	r := o.newRun(call.Call, g)
 	r.pick.Prefixes = target.PrefixHashes(call.Request.Messages)
-	r.pick.Affinity = opening(call.Request.Messages)
+	r.pick.Affinity = conversationKey(call.Request.Messages)
 	r.tokens = promptTokens(call.Request.Messages)
 	return &stream{
 		online: o, run: r, request: call.Request, id: uuid.NewString(), sink: sink,
@@ -125,10 +125,10 @@
 	}
 }
 
-// opening names a conversation: all messages up to the caller's first one. It
-// stays the same in each later turn, and differs between conversations under
-// one system prompt.
-func opening(messages []target.Message) string {
+// conversationKey identifies a conversation by a hash of all messages up to and
+// including the caller's first one. It is the same in every later turn and differs
+// between conversations that share a system prompt.
+func conversationKey(messages []target.Message) string {
 	d := xxhash.New()
 	for _, m := range messages {
 		_, _ = d.WriteString(m.Role + "\x00" + m.Content + "\x01")
@@ -153,7 +153,7 @@
 	return api.ChatResult{Text: strings.Join(s.texts, ""), Finish: finish}
 }
 
-// try generates at one target, going on after the tokens already delivered.
+// try generates at one target, resuming after the tokens already delivered.
 func (s *stream) try(ctx context.Context, address string, last bool) error {
 	attempt, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -166,12 +166,12 @@
 		s.online.meters.resumes.Inc()
 	}
 	finish, err := s.online.opt.Engine.Generate(targetContext(attempt, s.run.call), address, request, func(t target.Token) error {
-		watch.alive()
-		s.run.answer(address)
-		return s.take(t)
+		watch.progressed()
+		s.run.markAnswered(address)
+		return s.accept(t)
 	})
 	if err != nil && attempt.Err() != nil {
-		s.online.cancels.ring.Offer(orphan{address, request.StreamID})
+		s.online.cancels.queue.Offer(abandonedStream{address, request.StreamID})
 	}
 	if err != nil {
 		return stallError(attempt, ctx, err)
@@ -180,23 +180,23 @@
 	return nil
 }
 
-// take delivers a token exactly once. A target that repeats tokens it was told
-// to resume after, or that leaves a gap, must not reach the caller's text: the
-// first are dropped, a gap ends the attempt.
-func (s *stream) take(t target.Token) error {
+// accept delivers each token exactly once. A target may repeat tokens that it was told
+// to resume after, or leave a gap; neither may corrupt the caller's text. Repeated
+// tokens are dropped, and a gap ends the attempt.
+func (s *stream) accept(t target.Token) error {
 	if t.Index < len(s.texts) {
 		return nil
 	}
 	if t.Index > len(s.texts) {
 		return &target.Failure{Reached: true, Detail: "target left a gap in the stream"}
 	}
-	s.observe()
+	s.observeToken()
 	s.texts = append(s.texts, t.Text)
 	if s.sink == nil {
 		return nil
 	}
 	if err := s.sink(t); err != nil {
-		if s.keepGoing() {
+		if s.continuesDetached() {
 			s.sink = nil
 			return nil
 		}
@@ -205,11 +205,12 @@
 	return nil
 }
 
-// keepGoing tells that the work goes on although its caller left: a
-// non-repeatable request that stops half way would have an unknown outcome.
-func (s *stream) keepGoing() bool { return !s.run.call.Profile.Repeatable }
+// continuesDetached reports whether the request continues after its caller has
+// disconnected: a non-repeatable request that was stopped midway would have an unknown
+// outcome.
+func (s *stream) continuesDetached() bool { return !s.run.call.Profile.Repeatable }
 
-func (s *stream) observe() {
+func (s *stream) observeToken() {
 	now := s.online.opt.Clock()
 	m := s.online.meters.profile(s.run.call.Profile.Name)
 	if s.lastAt.IsZero() {
--- a/daemon/online/events.go
+++ b/daemon/online/events.go
@@ -11,20 +11,19 @@
 )
 
 const (
-	// eventsPerDaemon scales the polling period with the number of daemons, so
-	// that an engine is asked about ten times a second by the whole fleet,
-	// however large that is.
+	// eventsPerDaemon scales the polling period with the number of daemons, so that
+	// the whole fleet, whatever its size, polls an engine about ten times a second.
 	eventsPerDaemon = 100 * time.Millisecond
 	// eventsMin is the shortest polling period.
 	eventsMin = time.Second
 	// eventsTimeout bounds one poll.
 	eventsTimeout = time.Second
-	// eventsParallel bounds the polls in flight.
+	// eventsParallel bounds the number of polls in flight.
 	eventsParallel = 4
 )
 
-// eventsLoop reads the engines' cache events. They come late and with gaps, so
-// they only order candidates (see routing.Table.Hint); nothing waits for them.
+// eventsLoop polls the engines' cache events. They arrive late and with gaps, so they
+// are used only to order candidates (see routing.Table.Hint); nothing waits for them.
 func (o *Online) eventsLoop(ctx context.Context) {
 	after := map[string]int64{}
 	for {
@@ -36,7 +35,7 @@
 	}
 }
 
-// engineTarget is one engine and the group it belongs to.
+// engineTarget is one engine, its group, and the sequence number of the last event read.
 type engineTarget struct {
 	group   *group
 	address string
@@ -75,8 +74,9 @@
 	return targets
 }
 
-// readTarget takes one engine's new events. An engine that restarts counts from
-// the start again; while it is down a poll fails, and that resets the place.
+// readTarget reads one engine's new events and applies them. An engine that restarts
+// numbers its events from the start again; polls fail while it is down, and a failed
+// poll resets the position.
 func (o *Online) readTarget(ctx context.Context, t *engineTarget) {
 	call, cancel := context.WithTimeout(ctx, eventsTimeout)
 	defer cancel()
--- a/daemon/online/finish.go
+++ b/daemon/online/finish.go
@@ -14,56 +14,57 @@
 )
 
 const (
-	// finishRing bounds the ends that wait for the log. In a long outage the
-	// ring fills; what is refused by it was told to its caller, and its key
-	// stays running until the owner learns that this entry host is gone.
-	finishRing = 4096
-	// finishWorkers report at once, so that one dead owner does not hold up the
-	// ends for the others.
+	// finishQueueSize bounds the results that wait for the log. The queue fills in a
+	// long outage. The caller of a result that is dropped then has its answer, but the
+	// key stays running until the owner learns that this entry host is down.
+	finishQueueSize = 4096
+	// finishWorkers is the number of concurrent workers, so that one dead owner does not
+	// delay reports to the others.
 	finishWorkers = 16
 	// finishTimeout bounds one report.
 	finishTimeout = 5 * time.Second
-	// finishBackoff is the wait between two tries of one end.
+	// finishBackoff is the wait before a failed report is queued again.
 	finishBackoff = 100 * time.Millisecond
-	// finishLife bounds how long an end is tried: later than that the owner has
-	// long ruled on the key.
-	finishLife = 10 * time.Minute
+	// finishTTL bounds how long a report is retried; by then the owner has long since
+	// resolved the key.
+	finishTTL = 10 * time.Minute
 )
 
-// finisher reports the ends of keyed runs until they are durable.
+// finisher reports the results of keyed runs to the ledger until they are durable.
 type finisher struct {
 	opt     Options
-	ring    *duty.Ring[*ending]
+	queue   *duty.Ring[*pendingFinish]
 	waiting atomic.Int64
 	lost    *metrics.Counter
 }
 
-// ending is one end on its way to the ledger.
-type ending struct {
-	// begin is set for a run that was asked for but given up before its grant
-	// was known: it is asked for again, by the same nonce, and freed.
+// pendingFinish is one result that is not yet durable in the ledger.
+type pendingFinish struct {
+	// begin is set for a request that was abandoned before the reply to its Begin
+	// arrived: Begin is repeated with the same nonce, and the key is then freed.
 	begin  *ledger.BeginRequest
 	report ledger.FinishRequest
 	until  time.Time
-	// done gets the reply once; it has room, so nobody needs to listen.
+	// done receives the reply once. It is buffered, so no receiver is required.
 	done chan ledger.FinishReply
 }
 
 func newFinisher(o Options) *finisher {
 	f := &finisher{
-		opt: o, ring: duty.NewRing[*ending](finishRing),
+		opt: o, queue: duty.NewRing[*pendingFinish](finishQueueSize),
 		lost: o.Metrics.GetOrCreateCounter("tarragonhollow_online_finish_lost_total"),
 	}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_online_finish_waiting", func() float64 { return float64(f.pending()) })
 	return f
 }
 
-// pending returns how many ends are not durable yet.
+// pending returns the number of results that are not durable yet.
 func (f *finisher) pending() int { return int(f.waiting.Load()) }
 
-// report hands an end over and waits up to FinishWait for its durability.
+// report queues a result and waits up to FinishWait for it to become durable. The second
+// result is false if it is not durable yet.
 func (f *finisher) report(r ledger.FinishRequest) (ledger.FinishReply, bool) {
-	e := f.newEnding(r)
+	e := f.newPending(r)
 	if !f.offer(e) {
 		return ledger.FinishReply{}, false
 	}
@@ -77,43 +78,42 @@
 	}
 }
 
-// later hands an end over without waiting for it.
-func (f *finisher) later(r ledger.FinishRequest) { f.offer(f.newEnding(r)) }
+// enqueue queues a result without waiting for it to become durable.
+func (f *finisher) enqueue(r ledger.FinishRequest) { f.offer(f.newPending(r)) }
 
-// abandon frees a key whose Begin went unanswered: the grant may have been
-// given with the answer lost, and the key would look running for as long as
-// this daemon lives.
+// abandon frees a key whose Begin was not answered. The owner may have granted it with
+// the reply lost, and the key would then look running for as long as this daemon lives.
 func (f *finisher) abandon(begin ledger.BeginRequest) {
 	refusal := outcome.Refuse(outcome.Cancelled, "given up before it was granted")
-	e := f.newEnding(ledger.FinishRequest{Key: begin.Key, Nonce: begin.Nonce, Refusal: refusal})
+	e := f.newPending(ledger.FinishRequest{Key: begin.Key, Nonce: begin.Nonce, Refusal: refusal})
 	begin.WaitMs = 0
 	e.begin = &begin
 	f.offer(e)
 }
 
-func (f *finisher) newEnding(r ledger.FinishRequest) *ending {
-	return &ending{
-		report: r, until: f.opt.Clock().Add(finishLife), done: make(chan ledger.FinishReply, 1),
+func (f *finisher) newPending(r ledger.FinishRequest) *pendingFinish {
+	return &pendingFinish{
+		report: r, until: f.opt.Clock().Add(finishTTL), done: make(chan ledger.FinishReply, 1),
 	}
 }
 
-func (f *finisher) offer(e *ending) bool {
+func (f *finisher) offer(e *pendingFinish) bool {
 	f.waiting.Add(1)
-	if f.ring.Offer(e) {
+	if f.queue.Offer(e) {
 		return true
 	}
-	f.drop(e, "the ring is full")
+	f.drop(e, "the finish queue is full")
 	return false
 }
 
-func (f *finisher) drop(e *ending, cause string) {
+func (f *finisher) drop(e *pendingFinish, cause string) {
 	f.waiting.Add(-1)
 	f.lost.Inc()
 	f.opt.Logger.Error("keyed_end_not_kept",
 		zap.String("key", e.report.Key), zap.String("cause", cause))
 }
 
-// finishLoop runs the workers and returns when all have ended.
+// finishLoop runs the workers and returns when all have stopped.
 func (f *finisher) finishLoop(ctx context.Context) {
 	workers := duty.NewGroup(ctx)
 	for range finishWorkers {
@@ -127,36 +127,36 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-f.ring.C():
-			f.settle(ctx, e)
+		case e := <-f.queue.C():
+			f.process(ctx, e)
 		}
 	}
 }
 
-// settle makes one try. An end that is not durable goes back to the end of the
-// ring after a wait, behind those that have not been tried yet.
-func (f *finisher) settle(ctx context.Context, e *ending) {
+// process reports a result once. If it is not durable then, it is queued again after
+// finishBackoff, behind the results that have not been tried yet.
+func (f *finisher) process(ctx context.Context, e *pendingFinish) {
 	if f.opt.Clock().After(e.until) {
 		f.drop(e, "the owner could not be reached")
 		return
 	}
-	if f.try(ctx, e) {
+	if f.deliver(ctx, e) {
 		f.waiting.Add(-1)
 		return
 	}
 	if !duty.Pause(ctx, finishBackoff) {
 		return
 	}
-	if !f.ring.Offer(e) {
-		f.drop(e, "the ring is full")
+	if !f.queue.Offer(e) {
+		f.drop(e, "the finish queue is full")
 	}
 }
 
-func (f *finisher) try(ctx context.Context, e *ending) bool {
+func (f *finisher) deliver(ctx context.Context, e *pendingFinish) bool {
 	call, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	if e.begin != nil {
-		granted, known := f.resolve(call, e)
+		granted, known := f.resolveBegin(call, e)
 		if !known || !granted {
 			return known
 		}
@@ -172,8 +172,9 @@
 	return reply.Durable
 }
 
-// resolve learns what became of an abandoned Begin.
-func (f *finisher) resolve(ctx context.Context, e *ending) (granted, known bool) {
+// resolveBegin repeats an abandoned Begin to find out whether it was granted. known is
+// false if the ledger could not be reached.
+func (f *finisher) resolveBegin(ctx context.Context, e *pendingFinish) (granted, known bool) {
 	reply, err := f.opt.Ledger.Begin(ctx, *e.begin)
 	if err != nil {
 		return false, !unreachable(beginRefusal(err))
--- a/daemon/online/gate.go
+++ b/daemon/online/gate.go
@@ -10,8 +10,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// gate counts the requests in flight and holds the limits.
-type gate struct {
+// limiter counts the requests in flight and enforces the configured limits.
+type limiter struct {
 	opt     Options
 	shares  *shares
 	mu      sync.Mutex
@@ -19,26 +19,27 @@
 	callers map[string]int
 }
 
-func newGate(o Options) (*gate, error) {
+func newLimiter(o Options) (*limiter, error) {
 	s, err := newShares(o)
 	if err != nil {
 		return nil, err
 	}
-	return &gate{opt: o, shares: s, callers: map[string]int{}}, nil
+	return &limiter{opt: o, shares: s, callers: map[string]int{}}, nil
 }
 
-func (g *gate) inFlight() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.total
+func (l *limiter) inFlight() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.total
 }
 
-// shareLoop keeps this daemon's shares of the callers' limits current.
-func (g *gate) shareLoop(ctx context.Context) { g.shares.loop(ctx) }
+// shareLoop keeps this daemon's shares of the caller limits up to date.
+func (l *limiter) shareLoop(ctx context.Context) { l.shares.loop(ctx) }
 
-// enter counts a request in flight or refuses it, before anything else is done
-// for it. The returned context ends at the request's deadline.
-func (o *Online) enter(ctx context.Context, call api.Call, c *config.Config) (context.Context, func(), *outcome.Refusal) {
+// admit counts a request as in flight or refuses it, before any other work is done for
+// it. The returned context ends at the request's deadline; the returned function releases
+// the request's slot.
+func (o *Online) admit(ctx context.Context, call api.Call, c *config.Config) (context.Context, func(), *outcome.Refusal) {
 	if o.draining.Load() {
 		return ctx, nil, outcome.Refuse(outcome.Draining, "this daemon is stopping").After(drainRetryMs)
 	}
@@ -49,46 +50,46 @@
 	if !o.opt.Clock().Before(call.Deadline) {
 		return ctx, nil, outcome.Refuse(outcome.DeadlineExceeded, "the deadline passed before the start")
 	}
-	if refusal := o.gate.enter(call.Caller, c.Limits); refusal != nil {
+	if refusal := o.limiter.acquire(call.Caller, c.Limits); refusal != nil {
 		return ctx, nil, refusal
 	}
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
-	releaseShare, refusal := o.gate.shares.acquire(ctx, call)
+	releaseShare, refusal := o.limiter.shares.acquire(ctx, call)
 	if refusal != nil {
 		cancel()
-		o.gate.leave(call.Caller)
+		o.limiter.release(call.Caller)
 		return ctx, nil, refusal
 	}
 	return ctx, func() {
 		cancel()
 		releaseShare()
-		o.gate.leave(call.Caller)
+		o.limiter.release(call.Caller)
 	}, nil
 }
 
-// enter holds this daemon's own bounds.
-func (g *gate) enter(caller string, l config.Limits) *outcome.Refusal {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if l.InFlight > 0 && g.total >= l.InFlight {
-		return outcome.Refuse(outcome.Overloaded, "this daemon runs its limit of %d requests", l.InFlight).
+// acquire enforces this daemon's local limits, in total and per caller.
+func (l *limiter) acquire(caller string, bounds config.Limits) *outcome.Refusal {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if bounds.InFlight > 0 && l.total >= bounds.InFlight {
+		return outcome.Refuse(outcome.Overloaded, "this daemon runs its limit of %d requests", bounds.InFlight).
 			After(limits.RetryAfterMs)
 	}
-	if l.InFlightPerCaller > 0 && g.callers[caller] >= l.InFlightPerCaller {
-		return outcome.Refuse(outcome.CallerLimit, "%d requests of this caller run here, the limit", l.InFlightPerCaller).
+	if bounds.InFlightPerCaller > 0 && l.callers[caller] >= bounds.InFlightPerCaller {
+		return outcome.Refuse(outcome.CallerLimit, "%d requests of this caller run here, the limit", bounds.InFlightPerCaller).
 			After(limits.RetryAfterMs)
 	}
-	g.total++
-	g.callers[caller]++
+	l.total++
+	l.callers[caller]++
 	return nil
 }
 
-func (g *gate) leave(caller string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.total--
-	g.callers[caller]--
-	if g.callers[caller] <= 0 {
-		delete(g.callers, caller)
+func (l *limiter) release(caller string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.total--
+	l.callers[caller]--
+	if l.callers[caller] <= 0 {
+		delete(l.callers, caller)
 	}
 }
--- a/daemon/online/group.go
+++ b/daemon/online/group.go
@@ -14,8 +14,8 @@
 	"tarragonhollow.example/tarragonhollow/daemon/signal"
 )
 
-// group is one target group as the online path sees it. Its lock is held for
-// decisions only, never across a call.
+// group is the online path's state of one target group. Its lock is held only while a
+// decision is made, never across a call.
 type group struct {
 	name    string
 	kind    config.Kind
@@ -28,36 +28,36 @@
 	budget  *retry.Budget
 	running map[string]map[*run]bool
 	gauges  map[string]bool
-	// signs holds when each target last began or ended an answer.
-	signs map[string]time.Time
+	// lastProgress holds when each target last began or completed an answer.
+	lastProgress map[string]time.Time
 }
 
-func newGroup(o *Online, described *config.TargetGroup) *group {
+func newGroup(o *Online, groupConfig *config.TargetGroup) *group {
 	return &group{
-		name: described.Name, kind: described.Kind,
+		name: groupConfig.Name, kind: groupConfig.Kind,
 		metrics: o.opt.Metrics, logger: o.opt.Logger, clock: o.opt.Clock,
-		table:   routing.NewTable(described.Name, nil, described.Slots),
-		budget:  retry.NewBudget(0, o.opt.Clock()),
-		running: map[string]map[*run]bool{},
-		gauges:  map[string]bool{},
-		signs:   map[string]time.Time{},
+		table:        routing.NewTable(groupConfig.Name, nil, groupConfig.Slots),
+		budget:       retry.NewBudget(0, o.opt.Clock()),
+		running:      map[string]map[*run]bool{},
+		gauges:       map[string]bool{},
+		lastProgress: map[string]time.Time{},
 	}
 }
 
-func (g *group) update(described *config.TargetGroup, retryShare float64) {
-	targets := make([]routing.Target, 0, len(described.Targets))
-	for _, t := range described.Targets {
+func (g *group) update(groupConfig *config.TargetGroup, retryShare float64) {
+	targets := make([]routing.Target, 0, len(groupConfig.Targets))
+	for _, t := range groupConfig.Targets {
 		targets = append(targets, routing.Target{Address: t.Address, Zone: t.Zone})
 		g.gauge(t.Address)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.SetTargets(targets, described.Slots)
+	g.table.SetTargets(targets, groupConfig.Slots)
 	g.budget.SetShare(retryShare)
 }
 
-// gauge registers the target's in-flight figure once. It reads through the
-// group, so a target that left shows 0.
+// gauge registers the target's in-flight gauge once. It reads the group's table, so a
+// target that was removed shows 0.
 func (g *group) gauge(address string) {
 	if g.gauges[address] {
 		return
@@ -86,19 +86,19 @@
 	}
 }
 
-func (g *group) hear(now time.Time, w signal.Word) {
-	word := routing.Word{
-		OnlineTotal: w.OnlineTotal, BatchRunning: w.BatchRunning,
-		Reported:  w.Report.Running + w.Report.Waiting,
-		ReportAge: time.Duration(w.ReportAgeMs) * time.Millisecond,
-		Slots:     w.Report.Slots,
+func (g *group) applyReport(now time.Time, r signal.Word) {
+	report := routing.Word{
+		OnlineTotal: r.OnlineTotal, BatchRunning: r.BatchRunning,
+		Reported:  r.Report.Running + r.Report.Waiting,
+		ReportAge: time.Duration(r.ReportAgeMs) * time.Millisecond,
+		Slots:     r.Report.Slots,
 	}
-	if w.Report.AtMs == 0 {
-		word.ReportAge = -1
+	if r.Report.AtMs == 0 {
+		report.ReportAge = -1
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Hear(now, w.Address, word)
+	g.table.Hear(now, r.Address, report)
 }
 
 func (g *group) loads(now time.Time) []TargetLoad {
@@ -113,7 +113,7 @@
 	return out
 }
 
-// admit refuses a request that could not start in time.
+// admit refuses a request that could not start before its deadline.
 func (g *group) admit(now, deadline time.Time) *outcome.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,21 +124,21 @@
 	return refusal
 }
 
-// found is what came of looking for a target.
-type found int
+// pickResult is the result of looking for a target.
+type pickResult int
 
 const (
-	picked found = iota
-	// mustWait: none is usable now.
+	picked pickResult = iota
+	// mustWait: no target is usable now.
 	mustWait
-	// noTarget: the group has none that stays.
+	// noTarget: every target of the group is leaving, or it has none.
 	noTarget
 )
 
-// begin picks a target for the run's next attempt and counts it there at once,
-// so that two requests never choose by the same stale figure. force takes one
-// that is out rather than wait.
-func (g *group) begin(now time.Time, r *run, force bool) (routing.Choice, found) {
+// begin picks a target for the run's next attempt and counts the attempt there under the
+// same lock, so that two requests never choose by the same stale count. If force is set,
+// begin picks an ejected target rather than return mustWait.
+func (g *group) begin(now time.Time, r *run, force bool) (routing.Choice, pickResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !force && !g.table.Ready(now, r.pick) {
@@ -157,8 +157,9 @@
 	return choice, picked
 }
 
-// end takes the end of an attempt. For a crash it returns who ran there.
-func (g *group) end(now time.Time, address string, r *run, o routing.Outcome, crashed bool) *retry.Crash {
+// end records the end of an attempt. If the target crashed, it returns the requests that
+// were running there.
+func (g *group) end(now time.Time, address string, r *run, result routing.Outcome, crashed bool) *retry.Crash {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var crash *retry.Crash
@@ -166,14 +167,14 @@
 		crash = g.crash(now, address)
 	}
 	delete(g.running[address], r)
-	state, changed := g.table.End(now, address, r.isolated, o)
+	state, changed := g.table.End(now, address, r.isolated, result)
 	if changed {
 		g.logState(now, address, state, r)
 	}
 	return crash
 }
 
-// crash lists the own requests on the target and estimates all of them.
+// crash lists this daemon's requests on the target and estimates the fleet-wide number.
 func (g *group) crash(now time.Time, address string) *retry.Crash {
 	c := &retry.Crash{Target: address, AtMs: now.UnixMilli(), Total: g.table.Concurrent(now, address)}
 	for r := range g.running[address] {
@@ -197,39 +198,40 @@
 		zap.Int("own_in_flight", g.table.Own(address)))...)
 }
 
-// decide rules on a failed attempt.
+// decide decides whether a failed attempt is retried.
 func (g *group) decide(s retry.Situation) retry.Decision {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return retry.Decide(s, g.budget)
 }
 
-// progress notes that a target gives answers.
+// progress records that a target is producing output.
 func (g *group) progress(address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.signs[address] = g.clock()
+	g.lastProgress[address] = g.clock()
 }
 
 func (g *group) progressedSince(address string, since time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.signs[address].After(since)
+	return g.lastProgress[address].After(since)
 }
 
-// canRetry tells whether the budget would allow a retry now.
+// canRetry reports whether the budget would allow a retry now.
 func (g *group) canRetry() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.budget.Left(g.clock())
 }
 
-// finished notes a whole answer: its time, and the prefixes the target now holds.
+// finished records a complete answer: its duration, and the prefixes that the target now
+// has cached.
 func (g *group) finished(address string, total time.Duration, prefixes []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.table.Measured(total)
-	g.signs[address] = g.clock()
+	g.lastProgress[address] = g.clock()
 	for _, p := range prefixes {
 		g.table.Hint(address, p, true)
 	}
--- a/daemon/online/keyed.go
+++ b/daemon/online/keyed.go
@@ -16,20 +16,21 @@
 )
 
 const (
-	// beginHold is how long one Begin may be held while another entry host runs
-	// the same key.
+	// beginHold is the maximum time for which the owner may hold one Begin call while
+	// another entry host runs the same key.
 	beginHold = 2 * time.Second
-	// beginBackoff is the wait between tries to reach the shard's owner.
+	// beginBackoff is the wait between attempts to reach the shard's owner.
 	beginBackoff = 50 * time.Millisecond
-	// beginRetryMs is told to a caller whose order cannot be taken now.
+	// beginRetryMs is the retry-after time, in milliseconds, of a request that cannot be
+	// granted now.
 	beginRetryMs = 1000
 )
 
 // scopedKey is CALLER/KEY.
 func scopedKey(call api.Call) string { return call.Caller + "/" + call.Key }
 
-// targetKey is the key that targets see: the caller's own, and for a named
-// caller scoped, so that two callers' equal keys stay apart at the target too.
+// targetKey returns the idempotency key sent to targets. It is scoped by the caller's
+// name, if there is one, so that equal keys of two callers stay distinct at the target.
 func targetKey(call api.Call) string {
 	if call.Caller == "" {
 		return call.Key
@@ -37,23 +38,23 @@
 	return scopedKey(call)
 }
 
-// keyed runs work under the call's idempotency key. replayed tells that the
-// answer is another run's.
+// keyed runs work under the call's idempotency key. replayed reports whether the answer
+// is that of another run.
 //
-// A non-repeatable request runs only with the ledger's grant, and once granted
-// it no longer depends on the caller's connection: breaking it off would leave
-// an order with an unknown outcome. A repeatable one never needs the log: when
-// no owner can be reached it runs all the same, and its answer is kept once the
-// owner is back; until then its key does not guard against doubled work.
+// A non-repeatable request runs only if the ledger grants it. From then on it is
+// independent of the caller's connection: stopping it would leave its outcome unknown. A
+// repeatable request never depends on the log: if no owner can be reached, it runs
+// anyway, and its answer is stored once the owner is back. Until then its key does not
+// prevent duplicate runs.
 func (o *Online) keyed(ctx context.Context, r *run, work func(context.Context) (*ledger.Answer, *outcome.Refusal)) (answer *ledger.Answer, replayed bool, refusal *outcome.Refusal) {
 	if o.opt.Suspects.Verdict(r.call.Fingerprint) == retry.Condemned {
-		return nil, false, condemnedRefusal()
+		return nil, false, quarantinedRefusal()
 	}
 	begin := o.beginRequest(r.call)
 	reply, refusal := o.begin(ctx, begin)
 	switch {
 	case refusal != nil && (!r.call.Profile.Repeatable || !unreachable(refusal)):
-		return o.ungranted(ctx, begin, refusal)
+		return o.resolveUngranted(ctx, begin, refusal)
 	case refusal != nil:
 		answer, refusal = o.runUngranted(ctx, begin, work)
 		return answer, false, refusal
@@ -70,9 +71,9 @@
 	return o.finishRun(r, begin, reply.Attempt, answer, refusal)
 }
 
-// runUngranted runs a repeatable request whose owner did not answer. The owner
-// may have granted it all the same, with its word lost: the end settles the key
-// then, and otherwise brings its own beginning along.
+// runUngranted runs a repeatable request whose owner did not answer. The owner may have
+// granted it with the reply lost; in that case the reported result completes the key.
+// Otherwise the report carries the BeginRequest too.
 func (o *Online) runUngranted(ctx context.Context, begin ledger.BeginRequest, work func(context.Context) (*ledger.Answer, *outcome.Refusal)) (*ledger.Answer, *outcome.Refusal) {
 	o.meters.ungranted.Inc()
 	answer, refusal := work(ctx)
@@ -80,7 +81,7 @@
 		o.finish.abandon(begin)
 		return nil, refusal
 	}
-	o.finish.later(ledger.FinishRequest{
+	o.finish.enqueue(ledger.FinishRequest{
 		Key: begin.Key, Nonce: begin.Nonce, Attempt: ledger.AnyAttempt, Answer: answer, Begin: begin,
 	})
 	return answer, refusal
@@ -93,52 +94,52 @@
 	}
 }
 
-// ungranted tells of a request that was not granted. That this arrival didn't run
-// is certain; but to the caller all arrivals of the key are one request, and
-// daemons that can't be reached may have run an earlier one. When no owner
-// answers, the log itself is asked; as long as it can't be read, nobody knows.
-func (o *Online) ungranted(ctx context.Context, begin ledger.BeginRequest, refusal *outcome.Refusal) (*ledger.Answer, bool, *outcome.Refusal) {
+// resolveUngranted returns the result of a request that was not granted. This arrival
+// certainly did not run, but to the caller all arrivals of the key are one request, and
+// an unreachable daemon may have run an earlier one. If no owner answers, the key is
+// looked up in the log itself; while the log cannot be read, the outcome is unknown.
+func (o *Online) resolveUngranted(ctx context.Context, begin ledger.BeginRequest, refusal *outcome.Refusal) (*ledger.Answer, bool, *outcome.Refusal) {
 	if begin.Repeatable || refusal.Code != outcome.NoOwner || refusal.Run != outcome.NotRun {
-		return nil, false, o.ownRuns(begin.Key, refusal)
+		return nil, false, o.correctRunState(begin.Key, refusal)
 	}
-	said, err := o.opt.Ledger.OnLog(context.WithoutCancel(ctx), begin)
+	found, err := o.opt.Ledger.OnLog(context.WithoutCancel(ctx), begin)
 	switch {
-	case err != nil || said.Verdict == ledger.StillRunning:
+	case err != nil || found.Verdict == ledger.StillRunning:
 		return nil, false, refusal.WithRun(outcome.MayHaveRun)
-	case said.Verdict == ledger.Settled:
-		return said.Answer, true, said.Refusal
+	case found.Verdict == ledger.Settled:
+		return found.Answer, true, found.Refusal
 	}
-	return nil, false, o.ownRuns(begin.Key, refusal)
+	return nil, false, o.correctRunState(begin.Key, refusal)
 }
 
-// ownRuns corrects a refusal that says not_run of this arrival when an earlier
-// one of the same key was granted here: to the caller both are one request, and
-// it may have run. Arrivals at other daemons are known to the ledger only, so
-// the message speaks of this arrival.
-func (o *Online) ownRuns(key string, refusal *outcome.Refusal) *outcome.Refusal {
+// correctRunState changes a refusal's not_run to may_have_run if an earlier arrival of
+// the same key was granted at this daemon: to the caller both are one request. Arrivals
+// at other daemons are known only to the ledger, so the refusal's message refers to this
+// arrival.
+func (o *Online) correctRunState(key string, refusal *outcome.Refusal) *outcome.Refusal {
 	if refusal.Run == outcome.NotRun && o.granted.Contains(key) {
 		return refusal.WithRun(outcome.MayHaveRun)
 	}
 	return refusal
 }
 
-// unreachable tells whether the ledger could not be asked, as opposed to having
-// said no.
+// unreachable reports whether the ledger could not be reached, as opposed to having
+// refused.
 func unreachable(r *outcome.Refusal) bool {
 	return r.Code == outcome.NoOwner || r.Code == outcome.LogUnavailable
 }
 
-// begin asks until the key is granted or settled. Asking again with the same
-// nonce is safe: the owner repeats its word.
+// begin calls Begin until the key is granted or has a result. Repeating the call with the
+// same nonce is safe: the owner repeats its reply.
 func (o *Online) begin(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, *outcome.Refusal) {
-	patience := o.opt.BeginPatience
+	maxWait := o.opt.BeginPatience
 	if !req.Repeatable {
-		patience = o.opt.OrderPatience
+		maxWait = o.opt.OrderPatience
 	}
-	giveUp := o.opt.Clock().Add(patience)
+	giveUpAt := o.opt.Clock().Add(maxWait)
 	for {
-		req.WaitMs = holdFor(ctx, o.opt.Clock())
-		reply, err := o.askOwner(ctx, req, giveUp)
+		req.WaitMs = holdMs(ctx, o.opt.Clock())
+		reply, err := o.callOwner(ctx, req, giveUpAt)
 		if err == nil && reply.Verdict != ledger.StillRunning {
 			return reply, nil
 		}
@@ -148,17 +149,17 @@
 			o.finish.abandon(req)
 			return reply, beginTimedOut(req, err)
 		case err == nil:
-			giveUp = o.opt.Clock().Add(patience)
+			giveUpAt = o.opt.Clock().Add(maxWait)
 		case !unreachable(refusal):
 			return reply, refusal
 		case refusal.Code == outcome.LogUnavailable:
-			// The owner is there and knows that it can't begin anything: waiting is
-			// for an owner that is being replaced.
+			// The owner answered that it cannot begin any request now; the maximum wait
+			// is meant for an owner that is being replaced.
 			if !req.Repeatable {
 				o.finish.abandon(req)
 			}
 			return reply, refusal
-		case o.opt.Clock().Add(beginBackoff).After(giveUp):
+		case o.opt.Clock().Add(beginBackoff).After(giveUpAt):
 			if !req.Repeatable {
 				o.finish.abandon(req)
 			}
@@ -170,23 +171,23 @@
 	}
 }
 
-// askOwner makes one Begin call, bounded by the patience: a silent owner must
-// not hold a repeatable request for its whole deadline.
-func (o *Online) askOwner(ctx context.Context, req ledger.BeginRequest, giveUp time.Time) (ledger.BeginReply, error) {
-	until := giveUp.Add(time.Duration(req.WaitMs) * time.Millisecond)
+// callOwner makes one Begin call, bounded by giveUpAt: an unresponsive owner must not
+// delay a repeatable request until its deadline.
+func (o *Online) callOwner(ctx context.Context, req ledger.BeginRequest, giveUpAt time.Time) (ledger.BeginReply, error) {
+	until := giveUpAt.Add(time.Duration(req.WaitMs) * time.Millisecond)
 	call, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	reply, err := o.opt.Ledger.Begin(call, req)
 	if err != nil && call.Err() != nil && ctx.Err() == nil {
-		// The patience ended, not the request's time.
+		// giveUpAt has passed, not the request's deadline.
 		return reply, outcome.Refuse(outcome.NoOwner, "this arrival was not run: the key's owner did not answer").
 			After(beginRetryMs)
 	}
 	return reply, err
 }
 
-// holdFor is the time the owner may hold the call, in milliseconds.
-func holdFor(ctx context.Context, now time.Time) int64 {
+// holdMs returns how long the owner may hold the call, in milliseconds.
+func holdMs(ctx context.Context, now time.Time) int64 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return beginHold.Milliseconds()
@@ -194,9 +195,9 @@
 	return max(0, min(beginHold, deadline.Sub(now)).Milliseconds())
 }
 
-// beginRefusal turns a Begin error into a refusal. An error that is no refusal
-// (a broken call) leaves unknown whether the key was granted, but this daemon
-// has not run it: not_run is true.
+// beginRefusal converts an error of Begin to a refusal. After any other error than a
+// refusal (a failed call) it is unknown whether the key was granted, but this daemon has
+// not run the request, so not_run is correct.
 func beginRefusal(err error) *outcome.Refusal {
 	if err == nil {
 		return nil
@@ -211,10 +212,10 @@
 	return r
 }
 
-// beginTimedOut is told when the deadline passed before a grant. This arrival
-// did not run. Whether another one of the key did, nobody has said: a caller that
-// reads not_run as the word on its order would order anew, so an order is told
-// that it may have run. There is no time left to read the log.
+// beginTimedOut returns the refusal of a request whose deadline passed before a grant.
+// This arrival did not run, but another arrival of the key may have, and there is no time
+// left to read the log. A caller that is told not_run would send a non-repeatable request
+// again as a new one, so such a request gets may_have_run.
 func beginTimedOut(req ledger.BeginRequest, err error) *outcome.Refusal {
 	if err == nil {
 		return outcome.Refuse(outcome.DeadlineExceeded, "another arrival of this key still runs").
@@ -228,12 +229,12 @@
 	return refusal.WithRun(outcome.MayHaveRun)
 }
 
-// finishRun reports the end of a granted run and returns the answer that
-// stands. It waits for the log only so long; the answer is true either way.
+// finishRun reports the result of a granted run and returns the answer that is valid for
+// the key. It waits for the log for at most FinishWait; the answer is valid either way.
 func (o *Online) finishRun(r *run, begin ledger.BeginRequest, attempt int, answer *ledger.Answer, refusal *outcome.Refusal) (*ledger.Answer, bool, *outcome.Refusal) {
 	report := ledger.FinishRequest{
 		Key: begin.Key, Nonce: begin.Nonce, Attempt: attempt,
-		Answer: answer, Refusal: keptRefusal(r, refusal),
+		Answer: answer, Refusal: ledgerRefusal(r, refusal),
 	}
 	reply, durable := o.finish.report(report)
 	if !durable {
@@ -251,17 +252,17 @@
 	return a.Status == b.Status && string(a.Body) == string(b.Body)
 }
 
-// keptRefusal is what the ledger is told of a failed run. A repeatable request
-// that failed for a passing reason frees its key, so that the caller's next try
-// runs; the ledger frees a key on not_run. The caller is told the true run
-// state; only the key's bookkeeping treats "may be run again" like "not run".
-func keptRefusal(r *run, refusal *outcome.Refusal) *outcome.Refusal {
-	if refusal == nil || !r.call.Profile.Repeatable || final(refusal.Code) {
+// ledgerRefusal returns the refusal to report to the ledger for a failed run. The ledger
+// frees a key on not_run, so a repeatable request that failed for a transient reason is
+// reported as not_run, and the caller's next attempt runs. The caller itself gets the
+// actual run state.
+func ledgerRefusal(r *run, refusal *outcome.Refusal) *outcome.Refusal {
+	if refusal == nil || !r.call.Profile.Repeatable || isFinal(refusal.Code) {
 		return refusal
 	}
 	return refusal.WithRun(outcome.NotRun)
 }
 
-func final(code outcome.Code) bool {
+func isFinal(code outcome.Code) bool {
 	return code == outcome.Unprocessable || code == outcome.Condemned
 }
--- a/daemon/online/meters.go
+++ b/daemon/online/meters.go
@@ -21,7 +21,7 @@
 	profiles  sync.Map
 }
 
-// profileMeters are the latency figures of one profile.
+// profileMeters holds the metrics of one profile.
 type profileMeters struct {
 	firstToken    *metrics.Histogram
 	betweenTokens *metrics.Histogram
@@ -52,13 +52,13 @@
 	return p.(*profileMeters)
 }
 
-func (m *meters) attempt(reason routing.Reason) {
+func (m *meters) countAttempt(reason routing.Reason) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tarragonhollow_online_attempts_total{choice=%q}`, string(reason))).Inc()
 }
 
-// ended counts a request's end. Only answered requests enter the latency
-// figures: quick refusals would make an overloaded profile look fast.
-func (m *meters) ended(call api.Call, took time.Duration, refusal *outcome.Refusal) {
+// observeEnd records the end of a request. Only answered requests count in the latency
+// metrics: fast refusals would make an overloaded profile look fast.
+func (m *meters) observeEnd(call api.Call, took time.Duration, refusal *outcome.Refusal) {
 	if refusal == nil {
 		p := m.profile(call.Profile.Name)
 		p.total.Update(took.Seconds())
--- a/daemon/online/online.go
+++ b/daemon/online/online.go
@@ -14,27 +14,27 @@
 )
 
 const (
-	// refreshEvery is how often leaving marks are read from the membership: a
+	// refreshEvery is how often the membership is checked for leaving targets: a
 	// leaving target must get no new work after a few seconds.
 	refreshEvery = 100 * time.Millisecond
-	// grantedKeys bounds the memory of keys that ran here.
+	// grantedKeys bounds the number of remembered keys that ran here.
 	grantedKeys = 16384
-	// drainPoll is how often Drain looks whether anything still runs.
+	// drainPoll is how often Drain checks whether any request still runs.
 	drainPoll = 10 * time.Millisecond
-	// drainRetryMs is told to callers that come while the daemon drains: the
-	// balancer will have moved on by then.
+	// drainRetryMs is the retry-after time, in milliseconds, of requests that arrive
+	// while the daemon drains; by then the load balancer sends them elsewhere.
 	drainRetryMs = 100
 )
 
 // Online is the online path of one daemon.
 type Online struct {
 	opt      Options
-	gate     *gate
+	limiter  *limiter
 	finish   *finisher
 	cancels  *canceller
 	meters   *meters
 	draining atomic.Bool
-	// granted remembers the keys of non-repeatable requests that ran here.
+	// granted holds the keys of non-repeatable requests that ran here.
 	granted *lru.Cache[string, struct{}]
 
 	mu     sync.RWMutex
@@ -42,7 +42,8 @@
 	groups map[string]*group
 }
 
-// New returns an online path without groups; they follow from the configuration.
+// New returns an online path without groups; the groups are created from the
+// configuration.
 func New(o Options) (*Online, error) {
 	o, err := o.checked()
 	if err != nil {
@@ -56,30 +57,30 @@
 	}
 	on.finish = newFinisher(o)
 	on.cancels = newCanceller(o)
-	on.gate, err = newGate(o)
+	on.limiter, err = newLimiter(o)
 	if err != nil {
 		return nil, err
 	}
-	o.Signals.OnWords(on.hear)
+	o.Signals.OnWords(on.applyReports)
 	o.Metrics.GetOrCreateGauge("tarragonhollow_online_in_flight", func() float64 { return float64(on.InFlight()) })
 	return on, nil
 }
 
-// Run starts the duties.
+// Run starts the background loops.
 func (o *Online) Run(g *duty.Group) {
 	g.Go(o.refreshLoop)
 	g.Go(o.probeLoop)
 	g.Go(o.eventsLoop)
 	g.Go(o.finish.finishLoop)
 	g.Go(o.cancels.cancelLoop)
-	g.Go(o.gate.shareLoop)
+	g.Go(o.limiter.shareLoop)
 }
 
-// InFlight returns how many requests run.
-func (o *Online) InFlight() int { return o.gate.inFlight() }
+// InFlight returns the number of running requests.
+func (o *Online) InFlight() int { return o.limiter.inFlight() }
 
-// Drain refuses new requests, not run, and returns when none runs any more and
-// every kept answer is durable, or when ctx is done.
+// Drain refuses new requests with run state not_run. It returns when no request runs and
+// every keyed result is durable, or when ctx is done.
 func (o *Online) Drain(ctx context.Context) {
 	o.draining.Store(true)
 	for o.InFlight() > 0 || o.finish.pending() > 0 {
@@ -89,8 +90,7 @@
 	}
 }
 
-// refreshLoop keeps the groups in step with the configuration and the targets'
-// leaving marks.
+// refreshLoop updates the groups from the configuration and marks leaving targets.
 func (o *Online) refreshLoop(ctx context.Context) {
 	for {
 		o.refresh()
@@ -109,9 +109,9 @@
 	}
 }
 
-// apply makes the groups follow a configuration, never an older one: a request
-// may still hold the version before. Groups that stay keep what
-// they know; requests that run in a removed one end there.
+// apply updates the groups to a configuration unless a newer one is in force: a request
+// may still hold the previous version. Groups that remain keep their state; requests that
+// run in a removed group complete there.
 func (o *Online) apply(c *config.Config) {
 	if c == nil || o.current(c) {
 		return
@@ -123,12 +123,12 @@
 	}
 	o.config = c
 	kept := make(map[string]*group, len(c.Groups))
-	for name, described := range c.Groups {
+	for name, groupConfig := range c.Groups {
 		g := o.groups[name]
 		if g == nil {
-			g = newGroup(o, described)
+			g = newGroup(o, groupConfig)
 		}
-		g.update(described, c.Limits.RetryShare)
+		g.update(groupConfig, c.Limits.RetryShare)
 		g.markLeaving(o.opt.View.TargetLeaving)
 		kept[name] = g
 	}
@@ -136,7 +136,7 @@
 	o.opt.Signals.Watch(addressesOf(c))
 }
 
-// current tells whether the configuration, or a newer one, is in force.
+// current reports whether the configuration, or a newer one, is in force.
 func (o *Online) current(c *config.Config) bool {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -153,35 +153,35 @@
 	return addresses
 }
 
-// groupOf returns the described group, following a newer configuration at once;
-// nil if the one in force has dropped it.
-func (o *Online) groupOf(c *config.Config, described *config.TargetGroup) *group {
+// groupOf returns the group of a configuration, which it applies first if it is newer. It
+// returns nil if the configuration in force no longer has the group.
+func (o *Online) groupOf(c *config.Config, groupConfig *config.TargetGroup) *group {
 	o.apply(c)
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	return o.groups[described.Name]
+	return o.groups[groupConfig.Name]
 }
 
-// hear takes the stewards' words.
-func (o *Online) hear(words []signal.Word) {
+// applyReports applies the stewards' target reports to all groups.
+func (o *Online) applyReports(reports []signal.Word) {
 	now := o.opt.Clock()
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	for _, w := range words {
+	for _, r := range reports {
 		for _, g := range o.groups {
-			g.hear(now, w)
+			g.applyReport(now, r)
 		}
 	}
 }
 
-// Status is the operators' view of the online path.
+// Status is the state of the online path as shown to operators.
 type Status struct {
 	InFlight int                     `json:"in_flight"`
 	Unkept   int                     `json:"answers_not_durable_yet"`
 	Groups   map[string][]TargetLoad `json:"groups"`
 }
 
-// TargetLoad is one target's figures.
+// TargetLoad is the load and state of one target.
 type TargetLoad struct {
 	Address  string  `json:"address"`
 	Zone     string  `json:"zone"`
@@ -190,7 +190,7 @@
 	State    string  `json:"state"`
 }
 
-// Status returns the operators' view.
+// Status returns the current state for operators.
 func (o *Online) Status() Status {
 	s := Status{InFlight: o.InFlight(), Unkept: o.finish.pending(), Groups: map[string][]TargetLoad{}}
 	now := o.opt.Clock()
--- a/daemon/online/online_test.go
+++ b/daemon/online/online_test.go
@@ -19,11 +19,10 @@
 	"tarragonhollow.example/tarragonhollow/target/faketarget"
 )
 
-var _ = Describe("a stream whose target dies", func() {
-	// A guest reads the assistant's answer word by word. The target dies after
-	// three tokens; the next one gives up after two more. The guest must see one
-	// whole text: no word twice, none missing.
-	It("goes on elsewhere without a doubled or missing token", func() {
+var _ = Describe("a stream whose target fails", func() {
+	// The first target crashes after three tokens, the second fails after two more. The
+	// caller must get one complete text: no token twice, none missing.
+	It("resumes at another target without a duplicate or missing token", func() {
 		b := newBench("a:1", "b:1", "c:1")
 		whole := []string{"one ", "two ", "three ", "four ", "five ", "six "}
 		dieAt := []int{3, 5}
@@ -53,9 +52,9 @@
 		Expect(b.signals.open).To(BeZero())
 	})
 
-	// An engine without resume starts the answer anew. The guest must not read the
-	// beginning twice.
-	It("drops what an engine repeats", func() {
+	// An engine that cannot resume sends the answer from the start. The caller must not
+	// get the beginning twice.
+	It("drops tokens that an engine repeats", func() {
 		b := newBench("a:1", "b:1")
 		b.restarts = true
 		var attempt atomic.Int32
@@ -76,8 +75,8 @@
 		Expect(result.Text).To(Equal(text))
 	})
 
-	// The tablet is switched off in the middle of an answer. The target must not
-	// go on generating for nobody.
+	// The caller's connection closes in the middle of an answer. The request must end and
+	// not be retried at another target.
 	It("is cancelled at the target when the caller stops reading", func() {
 		b := newBench("a:1", "b:1")
 		b.start()
@@ -91,9 +90,9 @@
 })
 
 var _ = Describe("a request that may not be repeated", func() {
-	// A guest orders breakfast. The kitchen takes the ticket, its answer is
-	// lost. The order must not be sent again, here or on a resend, and the guest
-	// must not be told that it was not run.
+	// The service receives the request, and its answer is lost. The request must not be
+	// sent again, neither as a retry nor when the caller resends it, and the caller must
+	// not be told that it was not run.
 	It("is never sent twice when the answer is lost", func() {
 		b := newBench("a:1", "b:1")
 		b.service.OnCall = func(context.Context, string, target.ServiceRequest) (target.ServiceResponse, error) {
@@ -108,8 +107,8 @@
 		Expect(b.service.Calls()).To(HaveLen(1))
 	})
 
-	// One kitchen host refuses connections. The order certainly did not get
-	// there, so another host may take it.
+	// One target refuses connections. The request certainly did not reach it, so another
+	// target may run it.
 	It("goes to another target only while none was reached", func() {
 		b := newBench("a:1", "b:1")
 		b.service.OnCall = func(_ context.Context, address string, r target.ServiceRequest) (target.ServiceResponse, error) {
@@ -126,9 +125,9 @@
 		}
 	})
 
-	// The platform's log is out. An order can't be promised once only, so it is
-	// refused, truly not run; a question to the menu needs no log.
-	It("is refused, not run, while the log is out; a repeatable one runs", func() {
+	// The log is down. A non-repeatable request cannot be guaranteed to run at most once,
+	// so it is refused with not_run; a repeatable one does not need the log.
+	It("is refused with not_run while the log is down; a repeatable one runs", func() {
 		b := newBench("a:1", "b:1")
 		b.ledger.setDown(true)
 		b.start()
@@ -140,8 +139,8 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// The order ran and its answer was lost, then the log goes out and the tablet
-	// sends it again. To the guest both are one order: "not run" would be false.
+	// The request ran and its answer was lost; then the log goes down and the caller sends
+	// the request again. To the caller both are one request: not_run would be false.
 	It("is not called not run on a resend during an outage", func() {
 		b := newBench("a:1")
 		b.service.OnCall = func(context.Context, string, target.ServiceRequest) (target.ServiceResponse, error) {
@@ -164,9 +163,9 @@
 		Expect(b.service.Calls()).To(BeEmpty())
 	})
 
-	// The guest's tablet drops its connection while the kitchen works on the
-	// order. The order goes on and its outcome is kept for the resend.
-	It("runs to its end when the caller leaves", func() {
+	// The caller's connection drops while the service runs the request. The request
+	// continues, and its outcome is stored for the resend.
+	It("completes when the caller disconnects", func() {
 		b := newBench("a:1")
 		begun, goOn := make(chan struct{}), make(chan struct{})
 		b.service.OnCall = func(ctx context.Context, _ string, r target.ServiceRequest) (target.ServiceResponse, error) {
@@ -214,9 +213,9 @@
 		Expect(b.engine.Calls()).To(HaveLen(1))
 	})
 
-	// The log goes out while an order runs. The guest gets the answer at once;
-	// it becomes durable when the log is back, and Drain waits for that.
-	It("keeps its answer when the log comes back", func() {
+	// The log goes down while a request runs. The caller gets the answer at once; it
+	// becomes durable when the log is back, and Drain waits for that.
+	It("stores its answer when the log comes back", func() {
 		b := newBench("a:1")
 		gate := make(chan struct{})
 		b.engine.OnGenerate = func(string, target.GenerateRequest) faketarget.Generation {
@@ -236,13 +235,13 @@
 	})
 })
 
-var _ = Describe("an order whose owner says that the log is out", func() {
-	// A guest orders while the platform's log is down. The owner knows that it
-	// cannot begin anything; the guest must hear so at once and when to come
-	// back, not after the patience that is meant for an owner being replaced.
-	It("is refused by the owner's own word, not by its deadline", func() {
+var _ = Describe("an order whose owner reports that the log is down", func() {
+	// The owner answers that it cannot begin any request. The caller must get this refusal
+	// and its retry-after time at once, not after the maximum wait, which is meant for an
+	// owner that is being replaced.
+	It("is refused with the owner's refusal, not at its deadline", func() {
 		b := newBench("a:1")
-		b.orderPatience = time.Hour
+		b.nonRepeatableBeginWait = time.Hour
 		b.ledger.setDown(true)
 		b.start()
 		call := chatOf(order, "k1", "hello")
@@ -256,12 +255,12 @@
 	})
 })
 
-var _ = Describe("an order whose time runs out before any owner speaks", func() {
-	// The same order ran through another daemon before; here its owner cannot be
-	// reached until the deadline. A guest who is told "not run" orders anew.
+var _ = Describe("an order whose deadline passes before an owner answers", func() {
+	// The same order may have run through another daemon before; here its owner cannot be
+	// reached until the deadline. A caller that is told not_run sends it as a new order.
 	It("is not called not run", func() {
 		b := newBench("a:1")
-		b.orderPatience = time.Hour
+		b.nonRepeatableBeginWait = time.Hour
 		b.ledger.broken = true
 		b.start()
 		call := chatOf(order, "k1", "hello")
@@ -275,10 +274,10 @@
 })
 
 var _ = Describe("a repeatable keyed chat whose owner cannot be reached", func() {
-	// A planner's plugin asks by key while the key's owner is lost. It gets its
-	// answer at once, and when it asks again a minute later by the same key it
-	// must get that answer, not another run.
-	It("runs, and its answer is kept once the owner is back", func() {
+	// A keyed request arrives while the key's owner is unreachable. It is answered at once.
+	// When the caller repeats it with the same key after the owner is back, it must get
+	// that answer, not another run.
+	It("runs, and its answer is stored once the owner is back", func() {
 		b := newBench("a:1")
 		b.ledger.setDown(true)
 		b.start()
@@ -295,9 +294,9 @@
 })
 
 var _ = Describe("failing targets", func() {
-	// Nothing listens on any target. "not run" is true and must be said; after
-	// one target was reached it must not be said any more.
-	It("gives not_run only if no target was reached", func() {
+	// Nothing listens on any target, so not_run is true and must be returned. Once one
+	// target has been reached, it must not be returned any more.
+	It("returns not_run only if no target was reached", func() {
 		b := newBench("a:1", "b:1", "c:1", "d:1")
 		var n atomic.Int32
 		reachedAt := int32(0)
@@ -314,9 +313,9 @@
 		Expect(refusalOf(err).Run).To(Equal(outcome.MayHaveRun))
 	})
 
-	// One engine's host is lost without a word: its connections just hang. No
-	// guest may wait for it to the end, and it must be taken out.
-	It("goes on elsewhere when a target hangs", func() {
+	// One engine's host is lost, and its connections hang. No request may wait for it until
+	// its deadline, and the engine must be ejected.
+	It("moves requests to other targets when a target hangs, and ejects it", func() {
 		b := newBench("a:1", "b:1", "c:1")
 		hang := make(chan struct{})
 		b.engine.OnGenerate = func(address string, _ target.GenerateRequest) faketarget.Generation {
@@ -334,12 +333,12 @@
 				return
 			}
 		}
-		Fail("the hanging target was never taken out")
+		Fail("the hanging target was never ejected")
 	})
 
-	// One drawing crashes every engine that reads it, and its caller sends it
-	// again and again. Two engines are lost to it, not the fleet.
-	It("lets a crashing request take two targets and no more", func() {
+	// One request crashes every engine that runs it, and its caller repeats it. It may
+	// crash two engines, not the fleet.
+	It("lets a crashing request crash two targets and no more", func() {
 		b := newBench("a:1", "b:1", "c:1", "d:1", "e:1")
 		b.engine.OnGenerate = func(_ string, r target.GenerateRequest) faketarget.Generation {
 			if r.Messages[0].Content == "crasher" {
@@ -358,9 +357,9 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// Targets answer every request with an error while many callers ask: first a
-	// third of them, then all. Retries must stay within their share of the
-	// requests; three retries each, the naive rule, double or quadruple the load.
+	// A third of the targets, or all of them, answer every request with an error while many
+	// callers send requests. Retries must stay within their share of the requests; the
+	// naive rule of three retries per request doubles or quadruples the load.
 	DescribeTable("keeps a retry storm within the group's share",
 		func(failing, mostFailed int, patience time.Duration) {
 			const requests = 3000
@@ -382,7 +381,8 @@
 	)
 })
 
-// storm sends requests from 150 callers at once and counts what the targets got.
+// storm sends requests from 150 callers at once and counts the attempts that reached the
+// targets and the failed requests.
 func storm(failing, requests int, send func(b *bench, content string) error) (attempts, failed int) {
 	const callers = 150
 	b := newBench("a:1", "b:1", "c:1", "d:1", "e:1", "f:1")
@@ -408,7 +408,7 @@
 	return len(b.engine.Calls()), int(lost.Load())
 }
 
-// naiveChat takes a random target and tries three more times, whatever happens.
+// naiveChat tries a random target and, after each failure, another one, up to three times.
 func naiveChat(b *bench, content string) error {
 	var err error
 	random := rand.New(rand.NewPCG(1, xxhash.Sum64String(content)))
@@ -423,7 +423,7 @@
 }
 
 var _ = Describe("admission", func() {
-	It("holds a caller's limit and frees it again", func() {
+	It("enforces a caller's limit and frees the slots of ended requests", func() {
 		b := newBench("a:1")
 		gate := make(chan struct{})
 		b.engine.OnGenerate = func(string, target.GenerateRequest) faketarget.Generation {
--- a/daemon/online/onlog_test.go
+++ b/daemon/online/onlog_test.go
@@ -11,7 +11,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// ownerless is a ledger whose owners can't be reached; the log says what it says.
+// ownerless is a ledger whose owners cannot be reached; a lookup on the log returns reply
+// and err.
 type ownerless struct {
 	ledger.Client
 	reply ledger.BeginReply
@@ -27,9 +28,9 @@
 }
 
 var _ = Describe("an order whose owner cannot be reached", func() {
-	// The tablet sent it to the other half of the fleet before, which may have
-	// placed it. A false "not run" makes the guest order anew.
-	DescribeTable("is told what the log says", func(reply ledger.BeginReply, err error, run outcome.RunState) {
+	// The caller sent the order before to daemons that cannot be reached now, and they may
+	// have run it. After a false not_run the caller would send it again as a new order.
+	DescribeTable("gets the run state that the log shows", func(reply ledger.BeginReply, err error, run outcome.RunState) {
 		b := newBench("a:1")
 		b.client = &ownerless{reply: reply, err: err}
 		b.start()
@@ -42,9 +43,9 @@
 		}
 		Expect(refusalOf(got).Run).To(Equal(run))
 	},
-		Entry("nothing of it", ledger.BeginReply{Verdict: ledger.Free}, nil, outcome.NotRun),
-		Entry("it began", ledger.BeginReply{Verdict: ledger.StillRunning}, nil, outcome.MayHaveRun),
-		Entry("nothing, as it can't be read", ledger.BeginReply{}, errors.New("out"), outcome.MayHaveRun),
-		Entry("it was answered", ledger.BeginReply{Verdict: ledger.Settled, Answer: &ledger.Answer{Status: 200}}, nil, outcome.RunState("")),
+		Entry("the key is not on the log", ledger.BeginReply{Verdict: ledger.Free}, nil, outcome.NotRun),
+		Entry("the key was granted", ledger.BeginReply{Verdict: ledger.StillRunning}, nil, outcome.MayHaveRun),
+		Entry("the log cannot be read", ledger.BeginReply{}, errors.New("out"), outcome.MayHaveRun),
+		Entry("the key has an answer", ledger.BeginReply{Verdict: ledger.Settled, Answer: &ledger.Answer{Status: 200}}, nil, outcome.RunState("")),
 	)
 })
--- a/daemon/online/options.go
+++ b/daemon/online/options.go
@@ -1,10 +1,10 @@
-// Package online runs callers' online requests: it goes straight from the
-// entry host to a target, retries within the group's budget, resumes streams
-// whose target died, and keeps the answers of keyed requests by the ledger. It
-// shares no queue, lock or ring with batch.
+// Package online runs callers' online requests. It sends each request directly from the
+// entry host to a target, retries within the group's budget, resumes streams whose target
+// failed, and stores the answers of keyed requests in the ledger. It shares no queue or
+// lock with batch.
 //
-// There is no hedging (a second attempt beside a slow first one): it costs target
-// capacity at the worst moment.
+// There is no hedging (a second attempt alongside a slow first one): it costs target
+// capacity when capacity is scarcest.
 package online
 
 import (
@@ -24,17 +24,17 @@
 )
 
 const (
-	// defaultFinishWait is how long a caller waits for its answer to become
-	// durable; then the answer is given anyway and the ledger told later.
+	// defaultFinishWait is how long a caller waits for its answer to become durable.
+	// After that the answer is returned anyway and reported to the ledger later.
 	defaultFinishWait = 250 * time.Millisecond
-	// defaultBeginPatience is how long a repeatable keyed request looks for its
-	// shard's owner before it runs without.
-	defaultBeginPatience = 300 * time.Millisecond
-	// defaultOrderPatience is the same for a non-repeatable one, which is
-	// refused afterwards; it covers a usual change of owner.
-	defaultOrderPatience = 3 * time.Second
-	// defaultStallMin and defaultStallMax bound how long a repeatable attempt
-	// may stay silent before it is given up for another target; between them it
+	// defaultRepeatableBeginWait is how long a repeatable keyed request tries to reach
+	// its shard's owner before it runs without a grant.
+	defaultRepeatableBeginWait = 300 * time.Millisecond
+	// defaultNonRepeatableBeginWait is the same for a non-repeatable request, which is
+	// refused afterwards. It covers an ordinary change of owner.
+	defaultNonRepeatableBeginWait = 3 * time.Second
+	// defaultStallMin and defaultStallMax bound how long a repeatable attempt may go
+	// without progress before it moves to another target. Between these bounds the limit
 	// is a third of the time left.
 	defaultStallMin = time.Second
 	defaultStallMax = 10 * time.Second
@@ -45,30 +45,30 @@
 	badOptions = namespace.NewType("options")
 )
 
-// Signals is told of every online request that begins or ends at a target; see
+// Signals is notified of every online request that begins or ends at a target; see
 // signal.Sender.
 type Signals interface {
 	// Begin counts a request that is about to be sent to the target (IP:PORT).
 	Begin(address string, promptTokens int)
 	// End counts the end of a request that Begin counted.
 	End(address string, promptTokens int)
-	// Watch names the targets whose stewards' words are wanted.
+	// Watch sets the targets whose stewards' reports are wanted.
 	Watch(addresses []string)
-	// OnWords names the function that takes those words; it returns at once.
+	// OnTargetReports sets the function that receives those reports; it must not block.
 	OnWords(func([]signal.Word))
 }
 
-// Suspects knows which requests crash targets; see suspects.Tracker.
+// Suspects tracks which requests crash targets; see suspects.Tracker.
 type Suspects interface {
-	// Verdict returns what may be done with the request.
+	// Verdict returns whether and how the request may run.
 	Verdict(fingerprint string) retry.Verdict
-	// Crashed notes a crash seen here.
+	// Crashed records a crash that this daemon observed.
 	Crashed(c retry.Crash)
-	// Completed notes that the request ran to its end and is no suspect any more.
+	// Completed records that the request completed and is no longer a suspect.
 	Completed(fingerprint string)
 }
 
-// Options configure an Online.
+// Options configures an Online.
 type Options struct {
 	// View is the membership; required.
 	View membership.View
@@ -76,26 +76,26 @@
 	Config func() *config.Config
 	// Ledger decides on keyed requests; required.
 	Ledger ledger.Client
-	// Engine and Service speak to the targets; required.
+	// Engine and Service are the clients for the targets; required.
 	Engine  target.Engine
 	Service target.Service
-	// Peer and Registrar carry the shares of caller limits; required.
+	// Peer and Registrar carry the requests for shares of caller limits; required.
 	Peer      peer.Caller
 	Registrar peer.Registrar
-	// Signals tells the stewards; required.
+	// Signals notifies the stewards of online requests; required.
 	Signals Signals
 	// Suspects tracks crashing requests; required.
 	Suspects Suspects
-	// Host and Zone are this daemon's own.
+	// Host and Zone are those of this daemon.
 	Host, Zone string
-	// Logger gets the events; may be nil.
+	// Logger may be nil.
 	Logger *zap.Logger
-	// Metrics receives the figures; may be nil.
+	// Metrics receives the metrics; may be nil.
 	Metrics *metrics.Set
 	// Clock returns the time; default time.Now.
 	Clock func() time.Time
-	// FinishWait, BeginPatience, OrderPatience, StallMin and StallMax: zero
-	// values take the defaults above.
+	// FinishWait, RepeatableBeginWait, NonRepeatableBeginWait, StallMin and StallMax: zero
+	// selects the defaults above.
 	FinishWait, BeginPatience, OrderPatience time.Duration
 	StallMin, StallMax                       time.Duration
 }
@@ -117,8 +117,8 @@
 		o.Clock = time.Now
 	}
 	o.FinishWait = orDefault(o.FinishWait, defaultFinishWait)
-	o.BeginPatience = orDefault(o.BeginPatience, defaultBeginPatience)
-	o.OrderPatience = orDefault(o.OrderPatience, defaultOrderPatience)
+	o.BeginPatience = orDefault(o.BeginPatience, defaultRepeatableBeginWait)
+	o.OrderPatience = orDefault(o.OrderPatience, defaultNonRepeatableBeginWait)
 	o.StallMin = orDefault(o.StallMin, defaultStallMin)
 	o.StallMax = orDefault(o.StallMax, defaultStallMax)
 	return o, nil
--- a/daemon/online/probe.go
+++ b/daemon/online/probe.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// probeEvery is how often targets that are out are probed.
+	// probeEvery is how often ejected targets are probed.
 	probeEvery = 250 * time.Millisecond
 	// probeTimeout bounds one probe.
 	probeTimeout = 500 * time.Millisecond
 )
 
-// healthChecker is implemented by service clients that can probe. Where the
-// client can't, a first real request is the probe.
+// healthChecker is implemented by service clients that can probe a target. If the client
+// cannot, the first request after the ejection is the probe.
 type healthChecker interface {
 	Health(ctx context.Context, address string) error
 }
 
-// checker returns what can probe the group's targets, or nil.
+// checker returns the client that can probe the group's targets, or nil.
 func (o *Online) checker(g *group) healthChecker {
 	if g.kind == config.KindEngine {
 		return o.opt.Engine
@@ -31,8 +31,8 @@
 	return checker
 }
 
-// probeLoop probes the targets that are out, shortly before their hold ends, so
-// that callers' requests are not used up on dead ones.
+// probeLoop probes ejected targets shortly before their ejection ends, so that no caller's
+// request is spent on a dead target.
 func (o *Online) probeLoop(ctx context.Context) {
 	for duty.Pause(ctx, probeEvery) {
 		o.mu.RLock()
--- a/daemon/online/run.go
+++ b/daemon/online/run.go
@@ -16,78 +16,78 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// placePause is the wait between two looks for a target while none is usable.
-const placePause = 50 * time.Millisecond
+// pickPause is the wait between two attempts to pick a target while none is usable.
+const pickPause = 50 * time.Millisecond
 
-// settlePause is the wait between two looks at a request whose verdict is
-// pending.
-const settlePause = 10 * time.Millisecond
+// verdictPause is the polling interval while a request's verdict is pending.
+const verdictPause = 10 * time.Millisecond
 
-// noTargetRetryMs is told to callers when the group has no target to try.
+// noTargetRetryMs is the retry-after time, in milliseconds, when the group has no target
+// to try.
 const noTargetRetryMs = 1000
 
 var (
-	// errStalled ends an attempt that stayed silent for too long.
+	// errStalled ends an attempt that made no progress for too long.
 	errStalled = errors.New("target stayed silent for too long")
-	// errSlow ends one that stayed silent at a target that answers others: the
-	// target is alive, and only this request goes elsewhere.
+	// errSlow ends an attempt that made no progress at a target that answers other
+	// requests: the target is alive, and only this request moves to another one.
 	errSlow = errors.New("target is too slow with this request")
-	// errSink marks that the caller's side of a stream broke.
+	// errSink is returned when the caller's side of a stream failed.
 	errSink = errors.New("caller stopped reading")
 )
 
-// run is one request on its way through attempts.
+// run is the state of one request over all its attempts.
 type run struct {
 	call     api.Call
 	group    *group
 	pick     routing.Request
 	tokens   int
 	attempts int
-	// reached tells whether any attempt may have reached a target. It only ever
-	// turns true: every run state told to a caller rests on it.
+	// reached reports whether any attempt may have reached a target. It is never reset:
+	// every run state returned to a caller depends on it.
 	reached    bool
 	lastDetail string
-	// answered tells that the current attempt has given something back.
+	// answered reports whether the current attempt has returned any output.
 	answered bool
 	started  time.Time
-	// waitUntil is how long the request may wait for a target or for the retry
-	// budget; see waitFor.
+	// waitUntil is until when the request may wait for a target or for the retry budget;
+	// see targetWait.
 	waitUntil time.Time
-	// isolated tells that the current attempt was counted as one.
+	// isolated reports whether the current attempt was started as one to run alone.
 	isolated bool
 }
 
-// attempt sends the request to one target. last tells that no retry is left,
-// so that a slow target is better than none.
+// attempt sends the request to one target. If last is set, no retry is left, so the
+// attempt waits for a slow target instead of giving up on it.
 type attempt func(ctx context.Context, address string, last bool) error
 
 func (o *Online) newRun(call api.Call, g *group) *run {
 	now := o.opt.Clock()
 	return &run{
-		call: call, group: g, started: now, waitUntil: now.Add(waitFor(call.Deadline.Sub(now))),
+		call: call, group: g, started: now, waitUntil: now.Add(targetWait(call.Deadline.Sub(now))),
 		pick: routing.Request{Zone: o.opt.Zone, Exclude: map[string]bool{}, SeedValue: rand.Uint64()},
 	}
 }
 
-// longestWait bounds the wait for a target that may come back: a restart after a
-// crash fits in, but nobody is held back for half of a long deadline only to
-// hear that there is no target.
-const longestWait = 4 * time.Second
+// maxTargetWait bounds the wait for a target to become usable. It covers a restart after
+// a crash, but a request with a long deadline does not wait for half of it only to be
+// refused for lack of a target.
+const maxTargetWait = 4 * time.Second
 
-// waitFor is how long a request with that much time left may wait: half of it
-// at most, so that the other half is left to run in.
-func waitFor(left time.Duration) time.Duration { return min(left/2, longestWait) }
+// targetWait returns how long a request with the given time left may wait for a target:
+// at most half of it, so that the other half remains for the run.
+func targetWait(left time.Duration) time.Duration { return min(left/2, maxTargetWait) }
 
-// attemptAll makes attempts until one succeeds or the rules give up.
+// attemptAll makes attempts until one succeeds or no further attempt is allowed.
 func (o *Online) attemptAll(ctx context.Context, r *run, try attempt) *outcome.Refusal {
 	if refusal := r.group.admit(o.opt.Clock(), r.call.Deadline); refusal != nil {
 		return refusal
 	}
 	for {
-		if refusal := o.mayRun(ctx, r); refusal != nil {
+		if refusal := o.checkSuspect(ctx, r); refusal != nil {
 			return refusal
 		}
-		choice, refusal := o.place(ctx, r)
+		choice, refusal := o.pickTarget(ctx, r)
 		if refusal != nil {
 			return refusal
 		}
@@ -101,69 +101,71 @@
 	}
 }
 
-// place picks a target. While every target is out, or none is empty for a
-// request that must run alone, it waits a bounded time:
-// trying a dead target costs a retry and cannot succeed.
-func (o *Online) place(ctx context.Context, r *run) (routing.Choice, *outcome.Refusal) {
+// pickTarget picks a target. While every target is ejected, or none is empty for a
+// request that must run alone, it waits until r.waitUntil: trying a dead target costs a
+// retry and cannot succeed.
+func (o *Online) pickTarget(ctx context.Context, r *run) (routing.Choice, *outcome.Refusal) {
 	for {
 		now := o.opt.Clock()
-		patient := now.Before(r.waitUntil)
-		choice, found := r.group.begin(now, r, !patient && !r.pick.OnlyAlone)
+		mayWait := now.Before(r.waitUntil)
+		choice, result := r.group.begin(now, r, !mayWait && !r.pick.OnlyAlone)
 		switch {
-		case found == picked:
+		case result == picked:
 			return choice, nil
-		case found == noTarget:
+		case result == noTarget:
 			return choice, outcome.Refuse(outcome.NoTarget, "no target of %s is left", r.group.name).
 				WithRun(retry.RunState(r.reached)).After(noTargetRetryMs)
-		case !patient:
-			return choice, quarantineRefusal(r)
+		case !mayWait:
+			return choice, runAloneRefusal(r)
 		}
-		duty.Pause(ctx, placePause)
-		if refusal := o.mayRun(ctx, r); refusal != nil {
+		duty.Pause(ctx, pickPause)
+		if refusal := o.checkSuspect(ctx, r); refusal != nil {
 			return choice, refusal
 		}
 	}
 }
 
-// quarantineRefusal is told to a request that crashed targets, perhaps, and for
-// which no target is free to find out.
-func quarantineRefusal(r *run) *outcome.Refusal {
+// runAloneRefusal is returned for a request that may have crashed targets while no target
+// is free to run it alone.
+func runAloneRefusal(r *run) *outcome.Refusal {
 	return outcome.Refuse(outcome.TargetFailed, "this request ran on targets as they crashed, and no target of %s is free to run it alone", r.group.name).
 		WithRun(outcome.MayHaveRun).After(retry.RetryAfterMs)
 }
 
-// mayRun refuses condemned requests and notes whether a suspect must run alone.
-func (o *Online) mayRun(ctx context.Context, r *run) *outcome.Refusal {
+// checkSuspect refuses quarantined requests and records whether a suspect has to run
+// alone. It waits while the verdict is pending.
+func (o *Online) checkSuspect(ctx context.Context, r *run) *outcome.Refusal {
 	if ctx.Err() != nil {
-		return o.stopped(ctx, r)
+		return o.stopRefusal(ctx, r)
 	}
 	verdict := o.opt.Suspects.Verdict(r.call.Fingerprint)
 	for verdict == retry.Pending {
-		if !duty.Pause(ctx, settlePause) {
-			return o.stopped(ctx, r)
+		if !duty.Pause(ctx, verdictPause) {
+			return o.stopRefusal(ctx, r)
 		}
 		verdict = o.opt.Suspects.Verdict(r.call.Fingerprint)
 	}
 	if verdict == retry.Condemned {
-		return condemnedRefusal()
+		return quarantinedRefusal()
 	}
 	r.pick.Alone = verdict == retry.Isolated
 	r.pick.OnlyAlone = verdict == retry.Quarantined
 	return nil
 }
 
-// condemnedRefusal says may_have_run: targets did get this content, or it would
-// not be condemned.
-func condemnedRefusal() *outcome.Refusal {
+// quarantinedRefusal returns may_have_run: a request is quarantined only if targets
+// received its content.
+func quarantinedRefusal() *outcome.Refusal {
 	return outcome.Refuse(outcome.Condemned, "this request crashed the targets that ran it").
 		WithRun(outcome.MayHaveRun)
 }
 
-// attemptOnce makes one attempt with all the accounts kept.
+// attemptOnce makes one attempt and records it in signals, metrics, routing state and
+// crash tracking.
 func (o *Online) attemptOnce(ctx context.Context, r *run, choice routing.Choice, try attempt) error {
 	r.attempts++
 	r.answered = false
-	o.meters.attempt(choice.Reason)
+	o.meters.countAttempt(choice.Reason)
 	o.opt.Signals.Begin(choice.Address, r.tokens)
 	began := o.opt.Clock()
 	err := try(ctx, choice.Address, r.attempts > r.call.Profile.Retries)
@@ -175,8 +177,8 @@
 		r.lastDetail = err.Error()
 		r.reached = r.reached || failure == nil || failure.Reached
 	}
-	verdict := judge(ctx, err, failure)
-	if o.silent(ctx, r, now.Sub(began), err) {
+	verdict := classify(ctx, err, failure)
+	if o.timedOutSilent(ctx, r, now.Sub(began), err) {
 		verdict = routing.SoftFailed
 	}
 	crash := r.group.end(now, choice.Address, r, verdict, crashed)
@@ -191,17 +193,17 @@
 	return err
 }
 
-// silent tells that the deadline passed over a target that gave nothing back.
-// Without this a target that hangs would never be taken out by requests that
-// may not be repeated: they have no stall bound. Deadlines shorter than that
-// bound tell of the caller, not of the target.
-func (o *Online) silent(ctx context.Context, r *run, took time.Duration, err error) bool {
+// timedOutSilent reports whether the deadline passed without any output from the target.
+// Without this check, requests that may not be repeated would never eject a hanging
+// target, since they have no stall limit. A deadline shorter than StallMin says more about
+// the caller than about the target and does not count.
+func (o *Online) timedOutSilent(ctx context.Context, r *run, took time.Duration, err error) bool {
 	expired := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	return err != nil && expired && !r.answered && took >= o.opt.StallMin
 }
 
-// answer notes that the attempt's target has given something back.
-func (r *run) answer(address string) {
+// markAnswered records that the attempt's target has returned output.
+func (r *run) markAnswered(address string) {
 	if r.answered {
 		return
 	}
@@ -209,8 +211,8 @@
 	r.group.progress(address)
 }
 
-// judge says what an attempt's end tells about the target.
-func judge(ctx context.Context, err error, f *target.Failure) routing.Outcome {
+// classify returns what the end of an attempt means for the target's health.
+func classify(ctx context.Context, err error, f *target.Failure) routing.Outcome {
 	switch {
 	case err == nil:
 		return routing.Succeeded
@@ -229,10 +231,10 @@
 	}
 }
 
-// afterFailure returns the final refusal, or nil after the wait for a retry.
+// afterFailure returns the final refusal, or nil after the backoff before a retry.
 func (o *Online) afterFailure(ctx context.Context, r *run, address string, err error) *outcome.Refusal {
 	if ctx.Err() != nil || errors.Is(err, errSink) {
-		return o.stopped(ctx, r)
+		return o.stopRefusal(ctx, r)
 	}
 	r.pick.Exclude[address] = true
 	failure := target.FailureOf(err)
@@ -241,7 +243,7 @@
 	}
 	decision, alive := o.decide(ctx, r, failure)
 	if !alive {
-		return o.stopped(ctx, r)
+		return o.stopRefusal(ctx, r)
 	}
 	if decision.Refusal != nil {
 		return decision.Refusal
@@ -256,8 +258,8 @@
 	return nil
 }
 
-// decide rules on a failed attempt, waiting for the budget if that is the rule.
-// It returns false when the request's time ran out meanwhile.
+// decide decides whether a failed attempt is retried, and waits while the retry budget is
+// spent. It returns false if ctx ended meanwhile.
 func (o *Online) decide(ctx context.Context, r *run, f *target.Failure) (retry.Decision, bool) {
 	for {
 		decision := r.group.decide(retry.Situation{
@@ -277,8 +279,9 @@
 	}
 }
 
-// stopped is the final word when the caller's time or interest ran out.
-func (o *Online) stopped(ctx context.Context, r *run) *outcome.Refusal {
+// stopRefusal returns the refusal of a request whose deadline passed or whose caller
+// disconnected.
+func (o *Online) stopRefusal(ctx context.Context, r *run) *outcome.Refusal {
 	run := retry.RunState(r.reached)
 	unknown := r.reached && !r.call.Profile.Repeatable
 	switch {
--- a/daemon/online/service.go
+++ b/daemon/online/service.go
@@ -11,15 +11,15 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// headerContentType is the one header of a service's answer that is kept.
+// headerContentType is the only header of a service's answer that the ledger stores.
 const headerContentType = "Content-Type"
 
-// Service runs a call of a plain service.
+// Service runs a call to a plain service.
 func (o *Online) Service(ctx context.Context, call api.ServiceCall) (target.ServiceResponse, error) {
 	began := o.opt.Clock()
 	response, refusal := o.service(ctx, call)
 	took := o.opt.Clock().Sub(began)
-	o.meters.ended(call.Call, took, refusal)
+	o.meters.observeEnd(call.Call, took, refusal)
 	if refusal != nil {
 		return target.ServiceResponse{}, refusal
 	}
@@ -32,15 +32,15 @@
 	if c == nil || c.Version == 0 {
 		return target.ServiceResponse{}, outcome.Refuse(outcome.NotReady, "no configuration yet")
 	}
-	described := c.Groups[call.Service]
-	if described == nil || described.Kind != config.KindService {
+	groupConfig := c.Groups[call.Service]
+	if groupConfig == nil || groupConfig.Kind != config.KindService {
 		return target.ServiceResponse{}, outcome.Refuse(outcome.UnknownTarget, "no service %q", call.Service)
 	}
-	g := o.groupOf(c, described)
+	g := o.groupOf(c, groupConfig)
 	if g == nil {
 		return target.ServiceResponse{}, outcome.Refuse(outcome.UnknownTarget, "service %q is gone", call.Service)
 	}
-	ctx, release, refusal := o.enter(ctx, call.Call, c)
+	ctx, release, refusal := o.admit(ctx, call.Call, c)
 	if refusal != nil {
 		return target.ServiceResponse{}, refusal
 	}
@@ -66,10 +66,10 @@
 	defer watch.stop()
 	response, err := o.opt.Service.Call(targetContext(attempt, r.call), address, request)
 	if err == nil {
-		r.answer(address)
+		r.markAnswered(address)
 	}
 	if f := target.FailureOf(err); f != nil && f.Rejected && response.Status != 0 {
-		// The service ruled on the content: its answer is the caller's answer.
+		// The service rejected the content: its answer goes to the caller.
 		return response, nil
 	}
 	if err != nil {
@@ -83,7 +83,7 @@
 		if refusal := o.attemptAll(ctx, r, try); refusal != nil {
 			return nil, refusal
 		}
-		return keepResponse(*response), nil
+		return keptAnswer(*response), nil
 	})
 	if refusal != nil {
 		return target.ServiceResponse{}, refusal
@@ -98,6 +98,6 @@
 	return target.ServiceResponse{Status: answer.Status, Header: header, Body: answer.Body}, nil
 }
 
-func keepResponse(r target.ServiceResponse) *ledger.Answer {
+func keptAnswer(r target.ServiceResponse) *ledger.Answer {
 	return &ledger.Answer{Status: r.Status, ContentType: r.Header.Get(headerContentType), Body: r.Body}
 }
--- a/daemon/online/shares.go
+++ b/daemon/online/shares.go
@@ -12,39 +12,40 @@
 )
 
 const (
-	// LimitsService is the net/rpc name of the arbiters of caller limits.
+	// LimitsService is the net/rpc service name of the arbiters of caller limits.
 	LimitsService = "Limits"
 	askMethod     = LimitsService + ".Ask"
 
-	// askEvery is how often shares are renewed.
-	askEvery = 200 * time.Millisecond
-	// askTimeout bounds one ask, and so the wait of a request for its answer.
-	askTimeout = 100 * time.Millisecond
-	// expireArbiter is how often the arbiter forgets silent daemons.
-	expireArbiter = 5 * time.Second
+	// shareEvery is how often shares are renewed.
+	shareEvery = 200 * time.Millisecond
+	// shareTimeout bounds one call to an arbiter, and so how long a request waits for
+	// its share.
+	shareTimeout = 100 * time.Millisecond
+	// expireEvery is how often the arbiter removes daemons that stopped asking.
+	expireEvery = 5 * time.Second
 )
 
-// LimitAsk carries a daemon's grouped asks to one arbiter.
+// LimitAsk carries a daemon's batched asks to one arbiter.
 type LimitAsk struct {
-	// Daemon is the asking incarnation's id.
+	// Daemon is the id of the asking daemon's incarnation.
 	Daemon string
 	Asks   []limits.Ask
 }
 
-// LimitGrants answers a LimitAsk.
+// LimitGrants is the reply to a LimitAsk.
 type LimitGrants struct {
 	Grants []limits.Grant
 }
 
-// shares is this daemon's side of the fleet-wide caller limits, and the arbiter
-// of those that fall to it.
+// shares holds this daemon's shares of the fleet-wide caller limits, and the arbiter of
+// the limits that are assigned to this daemon.
 type shares struct {
 	opt     Options
 	wake    chan struct{}
 	mu      sync.Mutex
 	local   *limits.Local
 	arbiter *limits.Arbiter
-	// round is closed when the next round of asks is answered.
+	// round is closed when the next round of asks has been answered.
 	round chan struct{}
 }
 
@@ -56,12 +57,12 @@
 	return s, o.Registrar.Register(LimitsService, &limitsService{s})
 }
 
-// limitsService is the net/rpc face of the arbiter.
+// limitsService is the net/rpc handler of the arbiter.
 type limitsService struct {
 	shares *shares
 }
 
-// Ask answers with the asking daemon's shares.
+// Ask returns the asking daemon's shares.
 func (l *limitsService) Ask(a *LimitAsk, reply *LimitGrants) error {
 	reply.Grants = l.shares.grant(a)
 	return nil
@@ -78,18 +79,18 @@
 	return grants
 }
 
-// acquire admits a call under its profile's caller limits. Profiles without
-// such limits cost nothing here.
+// acquire admits a call under its profile's caller limits and returns the function that
+// releases it. Profiles without such limits skip the check.
 func (s *shares) acquire(ctx context.Context, call api.Call) (func(), *outcome.Refusal) {
 	limit := limits.Limit{InFlight: call.Profile.MaxInFlightPerCaller, Rate: call.Profile.RatePerCaller}
 	if limit.None() {
 		return func() {}, nil
 	}
 	key := limits.Key{Profile: call.Profile.Name, Caller: call.Caller}
-	verdict := s.try(key, limit, false)
+	verdict := s.tryAcquire(key, limit, false)
 	if verdict == limits.AskFirst {
 		s.awaitRound(ctx)
-		verdict = s.try(key, limit, true)
+		verdict = s.tryAcquire(key, limit, true)
 	}
 	if verdict != limits.Admitted {
 		return nil, outcome.Refuse(outcome.CallerLimit, "the caller is over its limit in profile %s", key.Profile).
@@ -102,21 +103,21 @@
 	}, nil
 }
 
-func (s *shares) try(key limits.Key, limit limits.Limit, last bool) limits.Verdict {
+func (s *shares) tryAcquire(key limits.Key, limit limits.Limit, last bool) limits.Verdict {
 	daemons := len(s.opt.View.Members())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.local.Acquire(s.opt.Clock(), key, limit, daemons, last)
 }
 
-// awaitRound waits for the next answered round of asks. All requests that need
-// one share it, so a burst costs one message and not one each.
+// awaitRound waits until the next round of asks is answered. All waiting requests share
+// the round, so a burst costs one message instead of one per request.
 func (s *shares) awaitRound(ctx context.Context) {
 	s.mu.Lock()
 	round := s.round
 	s.mu.Unlock()
 	duty.Wake(s.wake)
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(shareTimeout)
 	defer timer.Stop()
 	select {
 	case <-round:
@@ -126,9 +127,9 @@
 }
 
 func (s *shares) loop(ctx context.Context) {
-	tick := time.NewTicker(askEvery)
+	tick := time.NewTicker(shareEvery)
 	defer tick.Stop()
-	expire := time.NewTicker(expireArbiter)
+	expire := time.NewTicker(expireEvery)
 	defer expire.Stop()
 	for {
 		select {
@@ -139,15 +140,15 @@
 			s.arbiter.Expire(s.opt.Clock())
 			s.mu.Unlock()
 		case <-tick.C:
-			s.askAll(ctx)
+			s.requestShares(ctx)
 		case <-s.wake:
-			s.askAll(ctx)
+			s.requestShares(ctx)
 		}
 	}
 }
 
-// askAll sends one grouped ask to each arbiter and ends the round.
-func (s *shares) askAll(ctx context.Context) {
+// requestShares sends one batched LimitAsk to each arbiter and ends the round.
+func (s *shares) requestShares(ctx context.Context) {
 	sentAt := s.opt.Clock()
 	s.mu.Lock()
 	asks := s.local.Asks(sentAt)
@@ -155,16 +156,16 @@
 	s.round = make(chan struct{})
 	s.mu.Unlock()
 	var all sync.WaitGroup
-	for address, group := range s.byArbiter(asks) {
-		all.Go(func() { s.ask(ctx, sentAt, address, group) })
+	for address, group := range s.groupByArbiter(asks) {
+		all.Go(func() { s.requestFrom(ctx, sentAt, address, group) })
 	}
 	all.Wait()
 	close(round)
 }
 
-// byArbiter groups the asks by the peer address of their arbiter: the first
-// usable daemon in rendezvous order of the caller and profile.
-func (s *shares) byArbiter(asks []limits.Ask) map[string]*LimitAsk {
+// groupByArbiter groups the asks by the peer address of their arbiter: the first usable
+// daemon in rendezvous order of the caller and profile.
+func (s *shares) groupByArbiter(asks []limits.Ask) map[string]*LimitAsk {
 	self := s.opt.View.Self().ID()
 	groups := map[string]*LimitAsk{}
 	for _, ask := range asks {
@@ -181,12 +182,12 @@
 	return groups
 }
 
-func (s *shares) ask(ctx context.Context, sentAt time.Time, address string, a *LimitAsk) {
+func (s *shares) requestFrom(ctx context.Context, sentAt time.Time, address string, a *LimitAsk) {
 	var reply LimitGrants
 	if address == s.opt.View.Self().PeerAddress {
 		reply.Grants = s.grant(a)
 	} else {
-		call, cancel := context.WithTimeout(ctx, askTimeout)
+		call, cancel := context.WithTimeout(ctx, shareTimeout)
 		defer cancel()
 		if s.opt.Peer.Call(call, address, askMethod, a, &reply) != nil {
 			return
--- a/daemon/online/stall.go
+++ b/daemon/online/stall.go
@@ -9,31 +9,30 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// stallParts divides the time left: a silent attempt is looked at after one
-// part, given up after two at the latest, and leaves one for another target.
+// stallParts divides the time left: an attempt without progress is checked after one
+// part, cancelled after two at the latest, and leaves one part for another target.
 const stallParts = 3
 
-// stallWatch ends an attempt that stays silent. A target that hangs (a lost
-// host, a cut cable) shows as silence only, and silence is also what a long
-// queue looks like; so the watch fires early only if the target gives nothing
-// to others either, and never if there is no retry to be had: then waiting is
-// the best that can be done.
+// stallWatch ends an attempt that makes no progress. A hanging target (a lost host, a cut
+// cable) sends nothing, but neither does a target with a long queue. So the watch cancels
+// at the first expiry only if the target gives no output to other requests either, and
+// never while the retry budget is spent: then waiting is the best option.
 type stallWatch struct {
 	run     *run
 	address string
 	limit   time.Duration
 	cancel  context.CancelCauseFunc
 
-	mu     sync.Mutex
-	timer  *time.Timer
-	signAt time.Time
-	passed int
-	// ended guards against a timer that fired while stop held the lock.
+	mu         sync.Mutex
+	timer      *time.Timer
+	progressAt time.Time
+	expiries   int
+	// ended guards against a timer that fires while stop holds the lock.
 	ended bool
 }
 
-// watchStall starts a watch. The last attempt and those that may not be
-// repeated are not watched: they wait to the deadline.
+// watchStall starts a watch. The last attempt and requests that may not be repeated are
+// not watched: they wait until the deadline.
 func (o *Online) watchStall(r *run, address string, last bool, cancel context.CancelCauseFunc) *stallWatch {
 	w := &stallWatch{run: r, address: address, cancel: cancel}
 	if last || !r.call.Profile.Repeatable {
@@ -42,22 +41,22 @@
 	now := o.opt.Clock()
 	part := r.call.Deadline.Sub(now) / stallParts
 	w.limit = min(max(part, o.opt.StallMin), o.opt.StallMax)
-	w.signAt = now
+	w.progressAt = now
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(w.limit, w.fire)
 	return w
 }
 
-// alive notes a sign of life of this attempt.
-func (w *stallWatch) alive() {
+// progressed records progress of this attempt and restarts the timer.
+func (w *stallWatch) progressed() {
 	if w.limit == 0 {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.signAt = w.run.group.clock()
-	w.passed = 0
+	w.progressAt = w.run.group.clock()
+	w.expiries = 0
 	w.timer.Reset(w.limit)
 }
 
@@ -67,13 +66,13 @@
 	if w.ended {
 		return
 	}
-	lively := w.run.group.progressedSince(w.address, w.signAt)
-	w.passed++
-	if lively && w.passed == 1 || !w.run.group.canRetry() {
+	active := w.run.group.progressedSince(w.address, w.progressAt)
+	w.expiries++
+	if active && w.expiries == 1 || !w.run.group.canRetry() {
 		w.timer.Reset(w.limit)
 		return
 	}
-	if lively {
+	if active {
 		w.cancel(errSlow)
 		return
 	}
@@ -90,8 +89,8 @@
 	w.timer.Stop()
 }
 
-// stallError tells a stall from other ends of the attempt. The request may have
-// run: the target had it.
+// stallError returns a target failure if the attempt ended by a stall, and err otherwise.
+// After a stall the request may have run, since the target received it.
 func stallError(attempt, whole context.Context, err error) error {
 	cause := context.Cause(attempt)
 	if whole.Err() != nil || !errors.Is(cause, errStalled) && !errors.Is(cause, errSlow) {
--- a/daemon/online/suite_test.go
+++ b/daemon/online/suite_test.go
@@ -60,12 +60,13 @@
 func (s *signals) Watch([]string)              {}
 func (s *signals) OnWords(func([]signal.Word)) {}
 
-// fakeLedger grants each key once and keeps its end; down makes it unreachable.
+// fakeLedger grants each key once and stores its result; down makes every call fail with
+// log_unavailable.
 type fakeLedger struct {
 	ledger.Client
 	mu   sync.Mutex
 	down bool
-	// broken makes every Begin end without a word.
+	// broken makes every Begin fail without a refusal, as a broken connection does.
 	broken bool
 	kept   map[string]ledger.FinishRequest
 	begun  map[string]string
@@ -116,7 +117,7 @@
 	return end, ok
 }
 
-// engine is the fake with its fault.
+// engine is the fake engine, with a fault: if restarts is set, it ignores ResumeTokens.
 type engine struct {
 	*faketarget.Engine
 	restarts bool
@@ -129,22 +130,22 @@
 	return e.Engine.Generate(ctx, address, r, sink)
 }
 
-// bench is one daemon's online path over fakes.
+// bench is one daemon's online path with fake dependencies.
 type bench struct {
 	engine faketarget.Engine
-	// restarts makes the engine send every answer from its first token on,
-	// whatever it was told to resume after.
+	// restarts makes the engine send every answer from its first token, whatever the
+	// request resumes after.
 	restarts bool
-	// orderPatience is how long an order waits for its owner; 0 is 100 ms.
-	orderPatience time.Duration
-	service       faketarget.Service
-	ledger        *fakeLedger
-	client        ledger.Client // the ledger, if it isn't the fake
-	signals       *signals
-	config        *config.Config
-	online        *online.Online
-	stop          context.CancelFunc
-	duties        *duty.Group
+	// orderPatience is how long a non-repeatable request waits for its owner; 0 is 100 ms.
+	nonRepeatableBeginWait time.Duration
+	service                faketarget.Service
+	ledger                 *fakeLedger
+	client                 ledger.Client // the ledger, if it isn't the fake
+	signals                *signals
+	config                 *config.Config
+	online                 *online.Online
+	stop                   context.CancelFunc
+	duties                 *duty.Group
 }
 
 func newBench(targets ...string) *bench {
@@ -178,7 +179,7 @@
 		Signals: b.signals, Suspects: fakesuspects.New(2),
 		Host: "d1", Zone: "hai-chau",
 		StallMin: 50 * time.Millisecond, StallMax: 50 * time.Millisecond,
-		BeginPatience: 20 * time.Millisecond, OrderPatience: cmp.Or(b.orderPatience, 100*time.Millisecond),
+		BeginPatience: 20 * time.Millisecond, OrderPatience: cmp.Or(b.nonRepeatableBeginWait, 100*time.Millisecond),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	var ctx context.Context
