--- a/daemon/steward/assign.go
+++ b/daemon/steward/assign.go
@@ -14,7 +14,7 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// targetState is one target that this daemon is or was just steward of.
+// targetState is one target of which this daemon is the steward, or was until a moment ago.
 type targetState struct {
 	address string
 	group   string
@@ -23,24 +23,25 @@
 	mu   sync.Mutex
 	core *admission.Target
 	runs map[admission.StreamID]*run
-	// prefixes is what the runs left in the target's cache.
-	prefixes prefixMemory
-	why      admission.Reason
-	// heldBack counts streams cancelled since toldAt, when that was last logged.
-	heldBack int
-	toldAt   time.Time
-	// burstAt is when online requests last began while batch was running.
-	burstAt  time.Time
-	report   target.LoadReport
-	reportAt time.Time
-	loading  bool
-	// lostAt is when another daemon became steward, leavingAt when the target's
-	// leaving was first seen; zero while it is not so.
+	// prefixes holds the prompt prefixes that runs left in the target's cache.
+	prefixes prefixCache
+	reason   admission.Reason
+	// cancelledUnlogged counts streams cancelled for online work since loggedAt, when this
+	// was last logged.
+	cancelledUnlogged int
+	loggedAt          time.Time
+	// onlineStartAt is when online requests last began while batch was running.
+	onlineStartAt time.Time
+	report        target.LoadReport
+	reportAt      time.Time
+	loading       bool
+	// lostAt is when another daemon became steward, leavingAt when the target was first
+	// seen as leaving; zero if not.
 	lostAt    time.Time
 	leavingAt time.Time
 }
 
-// assignLoop keeps the set of own targets.
+// assignLoop updates the set of targets assigned to this daemon.
 func (s *Steward) assignLoop(ctx context.Context) {
 	every(ctx, assignEvery, func(context.Context) { s.assign() })
 }
@@ -51,7 +52,7 @@
 		return
 	}
 	now := s.opts.Now()
-	old := s.ownTargets()
+	old := s.assignedTargets()
 	next := make(map[string]*targetState, len(old))
 	live := liveEntries(s.opts.View)
 	for _, g := range cfg.Groups {
@@ -67,7 +68,7 @@
 		if next[address] != nil {
 			continue
 		}
-		if s.keepLost(now, t) {
+		if s.markLost(now, t) {
 			next[address] = t
 		} else {
 			s.meter.removeTarget(t)
@@ -77,17 +78,18 @@
 	s.stopOverdue(now, next)
 }
 
-// assignTarget returns the state of a target that is this daemon's, or nil.
-func (s *Steward) assignTarget(now time.Time, g *config.TargetGroup, address string, have *targetState) *targetState {
+// assignTarget returns the target's state, new or current, or nil if this daemon is not
+// its steward.
+func (s *Steward) assignTarget(now time.Time, g *config.TargetGroup, address string, current *targetState) *targetState {
 	if !s.isSteward(address) {
 		return nil
 	}
-	if have != nil && have.group == g.Name && have.kind == g.Kind {
-		return have
+	if current != nil && current.group == g.Name && current.kind == g.Kind {
+		return current
 	}
 	s.log.Info("steward_taken", zap.String("target", address), zap.String("group", g.Name))
 	t := &targetState{
-		prefixes: newPrefixMemory(),
+		prefixes: newPrefixCache(),
 		address:  address,
 		group:    g.Name,
 		kind:     g.Kind,
@@ -103,13 +105,13 @@
 	return ok && m.ID() == s.selfID()
 }
 
-// refresh carries the membership's word into the admission state.
+// refresh updates the admission state from the configuration and the membership.
 func (t *targetState) refresh(now time.Time, slots int, leaving bool, live []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lostAt = time.Time{}
 	if t.report.Slots > 0 {
-		slots = min(slots, t.report.Slots) // the engine's own word, if it is lower
+		slots = min(slots, t.report.Slots) // the engine may report fewer than configured
 	}
 	t.core.SetSlots(slots)
 	t.core.SetLeaving(leaving)
@@ -122,17 +124,17 @@
 	}
 }
 
-// setPolicy puts the configured policy in force; operators may change it while
-// batch runs.
+// setPolicy applies the configured policy; operators may change it while batch runs.
 func (t *targetState) setPolicy(p admission.Policy) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.core.SetPolicy(p)
 }
 
-// keepLost marks a target that is no longer this daemon's, so that nothing new
-// starts there, and keeps it while streams of ours still run.
-func (s *Steward) keepLost(now time.Time, t *targetState) bool {
+// markLost marks a target that is no longer assigned to this daemon, so that nothing new
+// starts there. It reports whether streams of this daemon still run there; the state is
+// kept until they end.
+func (s *Steward) markLost(now time.Time, t *targetState) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lostAt.IsZero() {
@@ -143,18 +145,18 @@
 	return len(t.runs) > 0
 }
 
-// stopOverdue cancels streams at targets that are lost or leaving for too long.
-// The entry hosts now signal to the new steward, so streams of ours would no
-// longer give way; the bound on that harm is lostGrace.
+// stopOverdue cancels streams at targets that have been lost for lostGrace or leaving for
+// leavingGrace. The entry hosts of a lost target signal to the new steward, so this daemon's
+// streams there would no longer be preempted; lostGrace bounds that time.
 func (s *Steward) stopOverdue(now time.Time, targets map[string]*targetState) {
 	for _, t := range targets {
 		t.mu.Lock()
 		lost := !t.lostAt.IsZero() && now.Sub(t.lostAt) >= lostGrace
-		left := !t.leavingAt.IsZero() && now.Sub(t.leavingAt) >= leaveBound
+		left := !t.leavingAt.IsZero() && now.Sub(t.leavingAt) >= leavingGrace
 		if lost || left {
 			for _, r := range t.runs {
 				if !r.item.pinned {
-					r.stop(errMoveOn)
+					r.stop(errTargetUnavailable)
 				}
 			}
 		}
@@ -162,8 +164,8 @@
 	}
 }
 
-// liveEntries lists the daemons that may send online requests. A leaving one
-// still finishes some, so its counts are kept.
+// liveEntries returns the ids of the daemons that may send online requests. A leaving
+// daemon still finishes some, so its counts are kept.
 func liveEntries(view membership.View) []string {
 	members := view.Members()
 	ids := make([]string, 0, len(members))
--- a/daemon/steward/decide.go
+++ b/daemon/steward/decide.go
@@ -10,8 +10,8 @@
 	"tarragonhollow.example/tarragonhollow/core/admission"
 )
 
-// decideLoop takes the admission decisions: at once for a poked target, and for
-// all of them every decideEvery, or every restEvery while there is no batch work.
+// decideLoop makes the admission decisions: at once for a target from decideQueue, and for
+// all of them every decideEvery, or every idleEvery while there is no batch work.
 func (s *Steward) decideLoop(ctx context.Context) {
 	timer := time.NewTimer(decideEvery)
 	defer timer.Stop()
@@ -19,22 +19,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case t := <-s.pokes.C():
+		case t := <-s.decideQueue.C():
 			if t != nil {
 				s.decide(t)
 			}
 		case <-timer.C:
 			s.handBackOverdue()
-			for _, t := range s.ownTargets() {
+			for _, t := range s.assignedTargets() {
 				s.decide(t)
 			}
-			timer.Reset(s.pace(decideEvery))
+			timer.Reset(s.interval(decideEvery))
 		}
 	}
 }
 
-// decide steps one target's admission state and carries the action out. The
-// cancels go first: they free the slots that online work waits for.
+// decide steps one target's admission state and carries out the resulting action. Cancels
+// come before starts: they free the slots that online work waits for.
 func (s *Steward) decide(t *targetState) {
 	now := s.opts.Now()
 	s.mu.Lock()
@@ -42,12 +42,12 @@
 	queue := s.queueForLocked(now, t)
 	t.mu.Lock()
 	action := t.core.Step(now, queue)
-	t.why = action.Why
+	t.reason = action.Why
 	cancelled := t.cancelLocked(action.Cancel)
 	t.mu.Unlock()
-	s.meter.gaveWay(t, cancelled)
+	s.meter.countPreempted(t, cancelled)
 	if cancelled > 0 {
-		s.tellHeldBack(now, t, cancelled)
+		s.logPreemption(now, t, cancelled)
 	}
 	for range action.Admit {
 		if !s.startNextLocked(now, t, queue.Suspect, action.Small) {
@@ -56,47 +56,47 @@
 	}
 }
 
-// tellEvery bounds how often one target's giving way is told: in a burst it
-// happens many times a second.
-const tellEvery = 5 * time.Second
+// logEvery is the minimum time between log entries about preemption at one target: in a
+// burst, preemptions happen many times a second.
+const logEvery = 5 * time.Second
 
-// tellHeldBack logs that batch gave way at the target.
-func (s *Steward) tellHeldBack(now time.Time, t *targetState, cancelled int) {
+// logPreemption logs that batch was preempted at the target, at most once per logEvery.
+func (s *Steward) logPreemption(now time.Time, t *targetState, cancelled int) {
 	t.mu.Lock()
-	t.heldBack += cancelled
-	told := now.Sub(t.toldAt) < tellEvery
-	held, online, running, why := t.heldBack, t.core.Online(now), t.core.Running(), t.why
-	if !told {
-		t.toldAt, t.heldBack = now, 0
+	t.cancelledUnlogged += cancelled
+	recent := now.Sub(t.loggedAt) < logEvery
+	total, online, running, reason := t.cancelledUnlogged, t.core.Online(now), t.core.Running(), t.reason
+	if !recent {
+		t.loggedAt, t.cancelledUnlogged = now, 0
 	}
 	t.mu.Unlock()
-	if told {
+	if recent {
 		return
 	}
 	s.log.Info("batch_held_back",
-		zap.String("target", t.address), zap.String("group", t.group), zap.String("cause", string(why)),
-		zap.Int("online", online), zap.Int("batch_running", running), zap.Int("cancelled_since_last", held))
+		zap.String("target", t.address), zap.String("group", t.group), zap.String("cause", string(reason)),
+		zap.Int("online", online), zap.Int("batch_running", running), zap.Int("cancelled_since_last", total))
 }
 
-// cancelLocked stops streams and returns how many were not being stopped
-// already; t.mu is held.
+// cancelLocked stops streams and returns how many of them were not being stopped already.
+// t.mu is held.
 func (t *targetState) cancelLocked(ids []admission.StreamID) int {
-	b := &burst{began: t.burstAt}
+	p := &preemption{began: t.onlineStartAt}
 	for _, id := range ids {
 		if r := t.runs[id]; r != nil && !r.stopping.Load() {
-			b.left.Add(1)
-			r.stopForBurst(b)
+			p.remaining.Add(1)
+			r.preempt(p)
 		}
 	}
-	return int(b.left.Load())
+	return int(p.remaining.Load())
 }
 
-// queueForLocked describes what waits for the target.
+// queueForLocked summarizes the queued items that may run at the target.
 func (s *Steward) queueForLocked(now time.Time, t *targetState) admission.Queue {
 	if s.draining {
 		return admission.Queue{}
 	}
-	if s.suspectTurnLocked(now, t) {
+	if s.suspectTargetLocked(now, t) {
 		return admission.Queue{Waiting: 1, Suspect: true}
 	}
 	q := admission.Queue{}
@@ -105,8 +105,8 @@
 			continue
 		}
 		q.Waiting++
-		// One is enough to know of: beside online work one starts at a time.
-		if q.Small == 0 && it.smallAtLocked(t) {
+		// Counting one is enough: alongside online work, one item starts at a time.
+		if q.Small == 0 && it.smallPrefillLocked(t) {
 			q.Small = 1
 		}
 		if q.NextDue.IsZero() || it.due.Before(q.NextDue) {
@@ -116,44 +116,45 @@
 	return q
 }
 
-// suspectTurnLocked tells whether the target should be emptied for a suspect
-// item. One target of the group at a time takes that turn, and only while no
-// online work is there, so that suspects cost the others at most one target.
-func (s *Steward) suspectTurnLocked(now time.Time, t *targetState) bool {
+// suspectTargetLocked reports whether the target should be emptied for a suspect item. At
+// most one target of the group is chosen at a time, and only while it has no online work,
+// so that suspects take at most one target from the other items.
+func (s *Steward) suspectTargetLocked(now time.Time, t *targetState) bool {
 	waiting := slices.ContainsFunc(s.queued[t.group], func(it *heldItem) bool { return it.suspect })
 	if !waiting {
-		delete(s.suspects, t.group)
+		delete(s.suspectTargets, t.group)
 		return false
 	}
 	t.mu.Lock()
 	free := t.core.Online(now) == 0 && t.lostAt.IsZero() && t.leavingAt.IsZero()
 	t.mu.Unlock()
-	chosen := s.suspects[t.group]
-	if chosen != nil && s.ownTargets()[chosen.address] != chosen {
-		chosen = nil // it went to another steward while it had the turn
+	chosen := s.suspectTargets[t.group]
+	if chosen != nil && s.assignedTargets()[chosen.address] != chosen {
+		chosen = nil // it was assigned to another steward meanwhile
 	}
 	if chosen == t && !free {
-		delete(s.suspects, t.group)
+		delete(s.suspectTargets, t.group)
 		return false
 	}
 	if chosen == nil && free {
-		s.suspects[t.group] = t
+		s.suspectTargets[t.group] = t
 	}
-	return s.suspects[t.group] == t
+	return s.suspectTargets[t.group] == t
 }
 
-// mayRunAt keeps a cancelled item for the target that has its prefix cached.
+// mayRunAt reports whether the item may start at the target. Until preferUntil, a cancelled
+// item waits for the target that has its prefix cached.
 func (it *heldItem) mayRunAt(now time.Time, t *targetState) bool {
 	return it.prefer == nil || it.prefer == t || !now.Before(it.preferUntil)
 }
 
-// startNextLocked starts the most urgent item that waits for the target, of
-// those with a small prefill if small is set.
+// startNextLocked starts the most urgent item that may run at the target; if small is set,
+// only of those with a small prefill. It reports whether it removed an item from the queue.
 func (s *Steward) startNextLocked(now time.Time, t *targetState, suspect, small bool) bool {
 	best := -1
 	queue := s.queued[t.group]
 	for i, it := range queue {
-		if it.suspect != suspect || !it.mayRunAt(now, t) || small && !it.smallAtLocked(t) {
+		if it.suspect != suspect || !it.mayRunAt(now, t) || small && !it.smallPrefillLocked(t) {
 			continue
 		}
 		if best < 0 || earlier(it, queue[best]) {
@@ -173,7 +174,8 @@
 	return true
 }
 
-// earlier orders items by due time, resumed ones first at the same time.
+// earlier orders items by due time; of items due at the same time, the one with more tokens
+// comes first.
 func earlier(a, b *heldItem) bool {
 	if !a.due.Equal(b.due) {
 		return a.due.Before(b.due)
@@ -187,14 +189,15 @@
 	return a.ref.Index < b.ref.Index
 }
 
-// handBackOverdue returns items that waited too long or whose lease ran out.
+// handBackOverdue hands back items that waited for maxQueueTime or whose lease no longer
+// allows a start.
 func (s *Steward) handBackOverdue() {
 	now := s.opts.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for group, queue := range s.queued {
 		s.queued[group] = slices.DeleteFunc(queue, func(it *heldItem) bool {
-			if now.Sub(it.queuedAt) < holdBound && now.Before(it.startUntil) {
+			if now.Sub(it.queuedAt) < maxQueueTime && now.Before(it.startUntil) {
 				return false
 			}
 			s.log.Debug("item_handed_back", zap.String("job", it.ref.Job), zap.Int("index", it.ref.Index),
@@ -210,8 +213,8 @@
 	}
 }
 
-// forecastLocked tells when the group's known backlog would be finished at the
-// present rate; zero if unknown.
+// forecastLocked returns when the group's known backlog would be finished at the current
+// rate; zero if unknown.
 func (s *Steward) forecastLocked(now time.Time, group string) time.Time {
 	rate := s.rates[group]
 	if rate == nil {
@@ -224,25 +227,25 @@
 	return finish
 }
 
-// backlogLocked adds this daemon's part of what waits at the owners to its own
-// queue. Stewards of a group share its backlog in the ratio of their targets;
-// the ratio is that of the configuration, so it needs no exchange.
+// backlogLocked returns the length of this daemon's queue plus its part of the owners'
+// backlog. Stewards of a group share its backlog in the ratio of their targets; the ratio
+// follows from the configuration, so no messages are needed.
 func (s *Steward) backlogLocked(group string) int {
 	waiting := 0
 	for _, o := range s.owners {
 		waiting += o.group(group).backlog
 	}
-	own, all := 0, 0
+	assigned, all := 0, 0
 	if cfg := s.opts.Config(); cfg != nil && cfg.Groups[group] != nil {
 		all = len(cfg.Groups[group].Targets)
 	}
-	for _, t := range s.ownTargets() {
+	for _, t := range s.assignedTargets() {
 		if t.group == group {
-			own++
+			assigned++
 		}
 	}
 	if all > 0 {
-		waiting = waiting * own / all
+		waiting = waiting * assigned / all
 	}
 	return waiting + len(s.queued[group])
 }
--- a/daemon/steward/fakes_test.go
+++ b/daemon/steward/fakes_test.go
@@ -33,7 +33,8 @@
 
 var self = membership.Member{Host: "h1", Incarnation: 7, PeerAddress: "10.1.0.1:70", Shards: []membership.ShardHold{{Shard: 1, Term: 1}}}
 
-// fakeView is a view with one member, whose word on targets can be changed.
+// fakeView is a view with one member. lost makes another daemon the steward of all targets,
+// and leaving marks targets as leaving.
 type fakeView struct {
 	mu      sync.Mutex
 	leaving map[string]bool
@@ -70,7 +71,7 @@
 	change()
 }
 
-// fakeLedger is an owner that leases items in order and takes their ends.
+// fakeLedger is an owner that leases items in order and records their ends.
 type fakeLedger struct {
 	ledger.Client
 	mu      sync.Mutex
@@ -80,16 +81,16 @@
 	ends    []ledger.ItemEnd
 	leaseMs int64
 	lines   int
-	// forecast is the word on every job.
+	// forecast is returned for every job; zero is unknown.
 	forecast time.Time
-	// away refuses all calls; disown tells that named items are no longer the
-	// steward's.
+	// away makes pulls fail and leaves all ends undelivered; disown makes every reply list
+	// the named items as cancelled.
 	away   bool
 	disown bool
 	named  []ledger.ItemRef
-	// only, when set, is the one group whose pulls get items.
+	// only, if set, is the only group whose pulls get items.
 	only string
-	// gate, when set, holds pull replies until it is closed.
+	// gate, if set, delays pull replies with items until it is closed.
 	gate chan struct{}
 }
 
@@ -136,8 +137,8 @@
 	return ledger.JobStatus{ForecastMs: l.forecast.UnixMilli()}, nil
 }
 
-// FinishItems keeps answers, and leases unfinished and crashed items again
-// under the next attempt.
+// FinishItems stores answers, and queues unfinished and crashed items again under the next
+// attempt.
 func (l *fakeLedger) FinishItems(_ context.Context, req ledger.FinishItemsRequest) ([]ledger.ItemEnd, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,13 +209,13 @@
 	return append([]ledger.ItemEnd(nil), l.ends...)
 }
 
-// bench is a steward with fakes all round.
+// bench is a steward with fake dependencies.
 type bench struct {
 	*Steward
 	view   *fakeView
 	ledger *fakeLedger
 	engine *faketarget.Engine
-	// skew moves the steward's clock ahead.
+	// skew is added to the steward's clock, in nanoseconds.
 	skew   atomic.Int64
 	seq    uint64
 	cancel context.CancelFunc
@@ -248,10 +249,11 @@
 	return b
 }
 
-// start runs the duties, with the entry host already heard as idle.
+// start runs the steward's loops after a signal from the entry host that it is idle.
 func (b *bench) start() { b.startBeside(0) }
 
-// startBeside runs the duties with online requests already there.
+// startBeside runs the steward's loops with the given number of online requests already
+// running at each target.
 func (b *bench) startBeside(online int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
@@ -265,26 +267,26 @@
 	})
 }
 
-// online signals the count of online requests at every own target.
+// online signals the number of online requests at every assigned target.
 func (b *bench) online(n int) {
 	b.seq++
 	sig := signal.Signal{Entry: self.ID(), Seq: b.seq}
-	for address := range b.ownTargets() {
+	for address := range b.assignedTargets() {
 		sig.Targets = append(sig.Targets, signal.TargetLoad{Address: address, Online: n, Started: b.seq * uint64(min(n, 1))})
 	}
 	b.OnSignal(sig)
 }
 
-// refresh repeats the count, as an entry host does, until the duties end.
+// refresh repeats the signal, as an entry host does, until the loops end.
 func (b *bench) refresh(online int) {
 	b.duties.Go(func(ctx context.Context) {
 		every(ctx, 100*time.Millisecond, func(context.Context) { b.online(online) })
 	})
 }
 
-// decideAll takes every decision that is due now, in place of waiting for it.
+// decideAll makes a decision for every target now, instead of waiting for decideLoop.
 func (b *bench) decideAll() {
-	for _, t := range b.ownTargets() {
+	for _, t := range b.assignedTargets() {
 		b.decide(t)
 	}
 }
@@ -299,7 +301,7 @@
 	return n
 }
 
-// gated scripts six-token answers that pass one token for each receive.
+// gated scripts answers of MaxTokens tokens that send one token per receive from gate.
 func gated(gate <-chan struct{}) func(string, target.GenerateRequest) faketarget.Generation {
 	return func(_ string, req target.GenerateRequest) faketarget.Generation {
 		g := faketarget.Generation{Gate: gate}
--- a/daemon/steward/forecast.go
+++ b/daemon/steward/forecast.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// forecastEvery is how often jobs are asked about, forecastJobs how many each
-	// time; the ones asked longest ago come first.
+	// forecastEvery is how often forecasts are fetched, forecastJobs for how many jobs
+	// each time; the least recently queried come first.
 	forecastEvery = time.Second
 	forecastJobs  = 4
-	// forecastTimeout bounds one question.
+	// forecastTimeout bounds one call.
 	forecastTimeout = 2 * time.Second
-	// forecastKept is how long a job is followed after its last item was here:
-	// while online work closes all targets, its forecast must still be known.
-	forecastKept = 10 * time.Minute
+	// forecastRetention is how long a job is tracked after its last item was pulled here:
+	// its forecast must stay known while online work closes all targets.
+	forecastRetention = 10 * time.Minute
 )
 
-// jobForecast is what this steward knows of a job that it has had items of.
+// jobForecast is the tracked state of a job of which this steward has had items.
 type jobForecast struct {
-	group    string
-	due      time.Time
-	weight   float64
-	finish   time.Time
-	heldAt   time.Time
-	askedAt  time.Time
-	finished bool
+	group     string
+	due       time.Time
+	weight    float64
+	finish    time.Time
+	heldAt    time.Time
+	queriedAt time.Time
+	finished  bool
 }
 
-// forecastLoop learns the owners' forecasts of the jobs at hand. They know the
-// rate of the whole fleet, where this daemon sees its own targets alone.
+// forecastLoop fetches the owners' forecasts of the tracked jobs. Owners know the rate of
+// the whole fleet, while this daemon sees only its assigned targets.
 func (s *Steward) forecastLoop(ctx context.Context) {
 	every(ctx, forecastEvery, func(ctx context.Context) {
-		for _, job := range s.jobsToAsk() {
-			s.askForecast(ctx, job)
+		for _, job := range s.jobsToQuery() {
+			s.fetchForecast(ctx, job)
 		}
-		s.spreadForecasts()
+		s.applyForecasts()
 	})
 }
 
-// noteJobLocked follows the item's job.
-func (s *Steward) noteJobLocked(now time.Time, it *heldItem) {
+// trackJobLocked starts or continues to track the item's job.
+func (s *Steward) trackJobLocked(now time.Time, it *heldItem) {
 	j := s.jobs[it.ref.Job]
 	if j == nil {
 		j = &jobForecast{group: it.group, due: it.due}
@@ -54,27 +54,27 @@
 	j.heldAt, j.weight, j.finished = now, it.weight, false
 }
 
-func (s *Steward) jobsToAsk() []string {
+func (s *Steward) jobsToQuery() []string {
 	now := s.opts.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var jobs []string
 	for job, j := range s.jobs {
-		if j.finished || now.Sub(j.heldAt) > forecastKept {
+		if j.finished || now.Sub(j.heldAt) > forecastRetention {
 			delete(s.jobs, job)
 			continue
 		}
 		jobs = append(jobs, job)
 	}
-	sort.Slice(jobs, func(i, j int) bool { return s.jobs[jobs[i]].askedAt.Before(s.jobs[jobs[j]].askedAt) })
+	sort.Slice(jobs, func(i, j int) bool { return s.jobs[jobs[i]].queriedAt.Before(s.jobs[jobs[j]].queriedAt) })
 	jobs = jobs[:min(len(jobs), forecastJobs)]
 	for _, job := range jobs {
-		s.jobs[job].askedAt = now
+		s.jobs[job].queriedAt = now
 	}
 	return jobs
 }
 
-func (s *Steward) askForecast(ctx context.Context, job string) {
+func (s *Steward) fetchForecast(ctx context.Context, job string) {
 	bounded, release := context.WithTimeout(ctx, forecastTimeout)
 	defer release()
 	status, err := s.opts.Ledger.Job(bounded, job)
@@ -95,8 +95,8 @@
 	}
 }
 
-// spreadForecasts tells the running streams of their jobs' forecasts.
-func (s *Steward) spreadForecasts() {
+// applyForecasts sets the forecasts of the running streams to those of their jobs.
+func (s *Steward) applyForecasts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, it := range s.held {
@@ -116,10 +116,10 @@
 	return time.Time{}
 }
 
-// groupWeightLocked is the highest effective weight of the work known to wait
-// for the group: of jobs at hand, and of the earliest due time that an owner
-// with a backlog has told. Without it a target that online work never leaves
-// would not be opened to items whose due time comes near.
+// groupWeightLocked returns the highest effective weight of the work known to wait for the
+// group: of tracked jobs, and of the earliest due time that an owner with a backlog has
+// reported. Without it, a target that always has online work would not be opened to items
+// whose due time approaches.
 func (s *Steward) groupWeightLocked(now time.Time, group string) float64 {
 	base := s.heaviestBatchWeight()
 	weight := base
--- a/daemon/steward/headofline_test.go
+++ b/daemon/steward/headofline_test.go
@@ -18,21 +18,21 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// queueWitness stands between the daemon and the engines and knows, at each
-// start, how many requests are under way at that engine.
-type queueWitness struct {
+// queueObserver wraps the engine client and knows, at each start, how many requests are in
+// flight at that engine.
+type queueObserver struct {
 	target.Engine
 	mu      sync.Mutex
 	running map[string]int
 	batch   int
-	// queued counts the starts that found all slots taken, by urgency.
+	// queued counts the starts at an engine with all slots in use, by urgency.
 	queued map[string]int
 }
 
-func (w *queueWitness) Generate(ctx context.Context, address string, req target.GenerateRequest, sink func(target.Token) error) (target.Finish, error) {
+func (w *queueObserver) Generate(ctx context.Context, address string, req target.GenerateRequest, sink func(target.Token) error) (target.Finish, error) {
 	urgency := target.UrgencyFrom(ctx)
 	w.change(func() {
-		if w.running[address] >= witnessSlots {
+		if w.running[address] >= observedSlots {
 			w.queued[urgency]++
 		}
 		if urgency == target.UrgencyBatch {
@@ -44,25 +44,24 @@
 	return w.Engine.Generate(ctx, address, req, sink)
 }
 
-func (w *queueWitness) change(f func()) {
+func (w *queueObserver) change(f func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f()
 }
 
-const witnessSlots = 4
+const observedSlots = 4
 
 var _ = Describe("an online request while batch saturates every target", func() {
-	// A planner clicks a sheet while the nightly bundle fills all engines. Engines
-	// serve first come first served, so one bundle item in an engine's queue would
-	// stand before the click. The steward must never send an item that has to
-	// queue, and the click must not share connections with the bundle either.
+	// Engines serve requests first come, first served, so one batch item in an engine's
+	// queue would delay an online request. The steward must never send an item that has to
+	// queue, and online requests must not share connections with batch either.
 	It("is never behind a batch item, in the engine's queue or for a connection", func() {
 		var addresses []string
 		var clicks atomic.Int64
 		for range 2 {
 			options := engine.DefaultOptions()
-			options.Slots, options.TimeScale = witnessSlots, 10
+			options.Slots, options.TimeScale = observedSlots, 10
 			server, err := engine.New(options)
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(server.Close)
@@ -76,15 +75,15 @@
 			addresses = append(addresses, strings.TrimPrefix(front.URL, "http://"))
 		}
 		connections := target.DefaultClientOptions()
-		connections.BatchConnections = witnessSlots - 1
+		connections.BatchConnections = observedSlots - 1
 		client := target.NewEngineClient(connections)
 		DeferCleanup(client.Close)
-		b := newBench(witnessSlots, addresses...)
-		w := &queueWitness{Engine: client, running: map[string]int{}, queued: map[string]int{}}
+		b := newBench(observedSlots, addresses...)
+		w := &queueObserver{Engine: client, running: map[string]int{}, queued: map[string]int{}}
 		b.opts.Engine = w
 		b.opts.PolicyOf = func(*config.TargetGroup) admission.Policy {
 			p := admission.DefaultGiveWay()
-			p.Fill = witnessSlots - 1
+			p.Fill = observedSlots - 1
 			return p
 		}
 		for i := range 400 {
@@ -93,12 +92,12 @@
 		b.start()
 		saturated := func() (all bool) {
 			w.change(func() {
-				all = w.running[addresses[0]] >= witnessSlots-1 && w.running[addresses[1]] >= witnessSlots-1
+				all = w.running[addresses[0]] >= observedSlots-1 && w.running[addresses[1]] >= observedSlots-1
 			})
 			return all
 		}
 		for burst := range 3 {
-			Eventually(saturated, patience).Should(BeTrue())
+			Eventually(saturated, eventuallyTimeout).Should(BeTrue())
 			b.online(1)
 			var group sync.WaitGroup
 			for _, address := range addresses {
@@ -107,22 +106,22 @@
 			group.Wait()
 			b.online(0)
 		}
-		By("a click whose signal is lost, while the bundle holds all its connections for good")
-		Eventually(saturated, patience).Should(BeTrue())
+		By("an online request whose signal is lost, while batch holds all its connections indefinitely")
+		Eventually(saturated, eventuallyTimeout).Should(BeTrue())
 		before := clicks.Load()
 		freeze(addresses[0], true)
 		DeferCleanup(freeze, addresses[0], false)
 		var group sync.WaitGroup
 		group.Go(func() { click(w, addresses[0], 99) })
-		Eventually(clicks.Load, patience).Should(Equal(before+1), "the click reached the engine")
+		Eventually(clicks.Load, eventuallyTimeout).Should(Equal(before+1), "the online request reached the engine")
 		freeze(addresses[0], false)
 		group.Wait()
-		Expect(w.batch).To(BeNumerically(">", 2*witnessSlots), "batch did run")
-		Expect(w.queued).To(BeEmpty(), "starts that found all slots of the engine taken")
+		Expect(w.batch).To(BeNumerically(">", 2*observedSlots), "batch did run")
+		Expect(w.queued).To(BeEmpty(), "starts at an engine with all slots in use")
 	})
 })
 
-// click sends one online request and waits for its whole answer.
+// click sends one online request and waits for its complete answer.
 func click(engine target.Engine, address string, n int) {
 	defer GinkgoRecover()
 	ctx := target.WithUrgency(context.Background(), target.UrgencyOnline)
--- a/daemon/steward/item.go
+++ b/daemon/steward/item.go
@@ -13,15 +13,15 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// itemKey names an item whatever its attempt.
+// itemKey identifies an item independently of its attempt.
 type itemKey struct {
 	job   string
 	index int
 }
 
-// heldItem is an item leased to this steward, from its pull until its end is
-// delivered or it is handed back. Guarded by Steward.mu, except that progress
-// belongs to the run while there is one.
+// heldItem is an item leased to this steward, from its pull until its end is delivered or
+// it is handed back. It is guarded by Steward.mu, except that progress belongs to the run
+// while there is one.
 type heldItem struct {
 	ref     ledger.ItemRef
 	item    ledger.Item
@@ -30,28 +30,28 @@
 	owner   string
 	due     time.Time
 	weight  float64
-	// pinned items are never cancelled to make room, as their run cannot go on
-	// elsewhere: calls of plain services, and work that is not repeatable.
+	// pinned items are never preempted, as their run cannot be resumed elsewhere: calls to
+	// plain services, and work that is not repeatable.
 	pinned  bool
 	suspect bool
-	// repeatable is the profile's word.
+	// repeatable is the profile's setting.
 	repeatable bool
-	// startUntil is when the lease no longer allows a start, on our own
-	// monotonic clock.
+	// startUntil is the time from which the lease no longer allows a start, on this
+	// daemon's monotonic clock.
 	startUntil time.Time
 
-	prompt   prompt
-	progress []string
-	segment  int
-	tries    int
-	queuedAt time.Time
-	// prefer is the target with the item's prefix in its cache, until preferUntil.
+	prompt          prompt
+	progress        []string
+	segment         int
+	unreachedStarts int
+	queuedAt        time.Time
+	// prefer is the target that has the item's prefix cached; it applies until preferUntil.
 	prefer      *targetState
 	preferUntil time.Time
 	run         *run
-	// stopped items belong to a cancelled job: their end is only handed back.
+	// stopped is set once the item's job was cancelled; the item is not started again.
 	stopped bool
-	// ended items wait for their end to be delivered; handedBack ones ended
+	// ended is set while the item's end waits to be delivered; handedBack if it ended
 	// without a result.
 	ended      bool
 	handedBack bool
@@ -59,33 +59,33 @@
 
 func (it *heldItem) key() itemKey { return itemKey{it.ref.Job, it.ref.Index} }
 
-// name is the idempotency key towards targets and the stem of stream ids.
+// name returns the idempotency key sent to targets, which is also the prefix of stream ids.
 func (it *heldItem) name() string { return it.ref.Job + "/" + it.item.CustomID }
 
-// streamID differs for every start, so that the late cancel of one stream
-// cannot hit its successor.
+// streamID differs for every start, so that a late cancel of one stream cannot cancel its
+// successor.
 func (it *heldItem) streamID() string {
 	return it.name() + "/" + strconv.Itoa(it.ref.Attempt) + "." + strconv.Itoa(it.segment)
 }
 
-// isChat tells whether the item goes to an engine.
+// isChat reports whether the item runs on an engine.
 func (it *heldItem) isChat() bool { return it.item.URL == jobline.ChatURL }
 
-// groupOf names the target group that serves the item, or pulled if the
-// configuration names none. An owner hands over items whose start it had to put
-// on the log first at the steward's next pull, whichever group that is for;
-// without this a service's item could be sent to an engine.
-func groupOf(cfg *config.Config, item ledger.Item, pulled string) string {
+// groupOf returns the target group that serves the item, or fallback if the configuration
+// has none. If an owner has to log an item's start before handing it off, it sends the item
+// in reply to the steward's next pull, whichever group that pull is for; without this
+// lookup a service's item could be sent to an engine.
+func groupOf(cfg *config.Config, item ledger.Item, fallback string) string {
 	if cfg == nil {
-		return pulled
+		return fallback
 	}
 	if name, ok := cfg.GroupForItem(item.URL, item.Body); ok {
 		return name
 	}
-	return pulled
+	return fallback
 }
 
-// generateRequest decodes the item's body in the OpenAI shape.
+// generateRequest decodes the item's body, which is in the OpenAI format.
 func (it *heldItem) generateRequest() (target.GenerateRequest, error) {
 	req, _, err := chat.ParseRequest(it.item.Body)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return req, nil
 }
 
-// serviceRequest turns /v1/services/{service}/{path} into the service's call.
+// serviceRequest converts /v1/services/{service}/{path} to the call to the service.
 func (it *heldItem) serviceRequest() (target.ServiceRequest, error) {
 	rest, ok := strings.CutPrefix(it.item.URL, jobline.ServicePrefix)
 	if !ok {
@@ -111,8 +111,8 @@
 	}, nil
 }
 
-// chatAnswer builds the kept answer from all tokens, those of cancelled
-// segments included.
+// chatAnswer builds the stored answer from all tokens, including those of cancelled
+// segments.
 func (it *heldItem) chatAnswer(model string, now time.Time, f target.Finish) *ledger.Answer {
 	f.Usage.CompletionTokens = len(it.progress)
 	whole := chat.Answer{Text: strings.Join(it.progress, ""), Finish: f}
--- a/daemon/steward/load.go
+++ b/daemon/steward/load.go
@@ -7,11 +7,11 @@
 	"tarragonhollow.example/tarragonhollow/core/config"
 )
 
-// loadLoop fetches the load reports of the own engines, one call in flight for
-// each, so that a target that hangs delays no other's report.
+// loadLoop fetches the load reports of the assigned engines, with at most one call in
+// flight for each, so that a hanging target does not delay the reports of others.
 func (s *Steward) loadLoop(ctx context.Context) {
 	every(ctx, loadEvery, func(context.Context) {
-		for _, t := range s.ownTargets() {
+		for _, t := range s.assignedTargets() {
 			if t.kind == config.KindEngine && t.beginLoad() {
 				s.group.Go(func(ctx context.Context) { s.fetchLoad(ctx, t) })
 			}
--- a/daemon/steward/meter.go
+++ b/daemon/steward/meter.go
@@ -6,37 +6,37 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meter holds the steward's metrics. Figures of single targets are gauges that
-// read the state when they are scraped.
+// meter holds the steward's metrics. Metrics of single targets are gauges that read the
+// state when they are scraped.
 type meter struct {
-	set     *metrics.Set
-	dropped *metrics.Counter
-	giveWay *metrics.Histogram
+	set            *metrics.Set
+	dropped        *metrics.Counter
+	preemptSeconds *metrics.Histogram
 }
 
 func newMeter(set *metrics.Set, s *Steward) *meter {
 	m := &meter{
-		set:     set,
-		dropped: set.NewCounter(`tarragonhollow_steward_ends_dropped_total`),
-		giveWay: set.NewHistogram(`tarragonhollow_steward_give_way_seconds`),
+		set:            set,
+		dropped:        set.NewCounter(`tarragonhollow_steward_ends_dropped_total`),
+		preemptSeconds: set.NewHistogram(`tarragonhollow_steward_give_way_seconds`),
 	}
 	set.NewGauge(`tarragonhollow_steward_items_held`, func() float64 {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return float64(len(s.held))
 	})
-	set.NewGauge(`tarragonhollow_steward_targets`, func() float64 { return float64(len(s.ownTargets())) })
+	set.NewGauge(`tarragonhollow_steward_targets`, func() float64 { return float64(len(s.assignedTargets())) })
 	return m
 }
 
-// gaveWay counts the streams cancelled for online work.
-func (m *meter) gaveWay(t *targetState, n int) {
+// countPreempted counts the streams cancelled for online work.
+func (m *meter) countPreempted(t *targetState, n int) {
 	if n > 0 {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`tarragonhollow_steward_give_way_cancels_total{target=%q}`, t.address)).Add(n)
 	}
 }
 
-// resumed counts the start of an item that goes on after its last token.
+// resumed counts the start of an item that resumes after its last token.
 func (m *meter) resumed(t *targetState) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tarragonhollow_steward_resumes_total{target=%q}`, t.address)).Inc()
 }
@@ -46,7 +46,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`tarragonhollow_steward_items_ended_total{result=%q}`, result)).Inc()
 }
 
-// addTarget publishes the gauges of a target that became this daemon's.
+// addTarget registers the gauges of a target that was assigned to this daemon.
 func (m *meter) addTarget(t *targetState) {
 	read := func(get func() float64) func() float64 {
 		return func() float64 {
@@ -60,7 +60,7 @@
 	m.set.NewGauge(shareName(t), read(t.core.Share))
 }
 
-// removeTarget withdraws them.
+// removeTarget unregisters the gauges of a target.
 func (m *meter) removeTarget(t *targetState) {
 	m.set.UnregisterMetric(inFlightName(t))
 	m.set.UnregisterMetric(shareName(t))
--- a/daemon/steward/owners.go
+++ b/daemon/steward/owners.go
@@ -6,22 +6,22 @@
 	"tarragonhollow.example/tarragonhollow/core/ledger"
 )
 
-// ownerState is what is known of one shard owner.
+// ownerState is the known state of one shard owner.
 type ownerState struct {
 	address  string
 	inFlight bool
 	groups   map[string]*ownerGroup
 	lease    time.Duration
-	// namedAt is when held items were last named to the owner, as counted from
-	// the sending of the pull that it answered.
-	namedAt time.Time
-	// listedAt is when the owner was last sent the whole list of held items.
-	listedAt time.Time
-	// retryAt follows a failed call.
+	// renewedAt is when held items were last listed to the owner for renewal: the time at
+	// which the answered pull was sent.
+	renewedAt time.Time
+	// fullListAt is when the owner was last sent the complete list of held items.
+	fullListAt time.Time
+	// retryAt is set after a failed call; the owner is not called before it.
 	retryAt time.Time
 }
 
-// ownerGroup is what an owner last said about one target group.
+// ownerGroup is what an owner last reported about one target group.
 type ownerGroup struct {
 	backlog  int
 	earliest int64
@@ -30,9 +30,9 @@
 	pause    time.Duration
 }
 
-// fairEvery: each such pull goes to the owner that waited longest instead of
-// the most urgent one, so that a large urgent job at one owner does not starve
-// the jobs of all others.
+// fairEvery: every fairEvery-th pull goes to the least recently pulled owner instead of the
+// most urgent one, so that a large urgent job at one owner does not starve the jobs of all
+// others.
 const fairEvery = 4
 
 func (o *ownerState) group(name string) *ownerGroup {
@@ -42,12 +42,12 @@
 	return o.groups[name]
 }
 
-// renewalDue tells whether the held items must be named again.
+// renewalDue reports whether the held items must be listed to the owner again.
 func (o *ownerState) renewalDue(now time.Time) bool {
-	return now.Sub(o.namedAt) >= o.lease/renewShare
+	return now.Sub(o.renewedAt) >= o.lease/renewFraction
 }
 
-// answered notes a reply and when to ask next.
+// answered records a pull's reply or error and sets when to pull next.
 func (o *ownerState) answered(now time.Time, p *pullCall, reply ledger.PullReply, err error) {
 	o.inFlight = false
 	g := o.group(p.group)
@@ -58,8 +58,8 @@
 		return
 	}
 	o.lease = time.Duration(reply.LeaseMs) * time.Millisecond
-	if len(p.named) > 0 {
-		o.namedAt = p.sentAt
+	if len(p.renewing) > 0 {
+		o.renewedAt = p.sentAt
 	}
 	g.backlog, g.earliest = reply.Backlog, reply.EarliestDueMs
 	if reply.Backlog > 0 {
@@ -72,12 +72,13 @@
 	}
 	g.nextAt = now.Add(g.pause)
 	if len(reply.Items) == 0 && reply.Backlog > 0 {
-		// What waits there may not run now, such as attempts that back off.
+		// The waiting items may not run yet, such as attempts in backoff.
 		g.nextAt = now.Add(pullIdleMin)
 	}
 }
 
-// syncOwnersLocked follows the membership: new owners are asked at once.
+// syncOwnersLocked updates the owners from the membership. New owners may be pulled from at
+// once.
 func (s *Steward) syncOwnersLocked(live map[string]bool) {
 	for address := range live {
 		if s.owners[address] == nil {
@@ -91,12 +92,12 @@
 	}
 }
 
-// nextOwnerLocked picks whom to ask: known backlog first, the most urgent due
-// time first; otherwise the one asked longest ago, no more than one of these in
-// idlePullGap.
+// nextOwnerLocked picks the owner to pull from: one with a known backlog, by the most
+// urgent due time, or else the least recently pulled one, but at most one of these per
+// idlePullEvery. It returns nil if there is none.
 func (s *Steward) nextOwnerLocked(now time.Time, group string) *ownerState {
-	s.pullSeq++
-	fair := s.pullSeq%fairEvery == 0
+	s.ownerPicks++
+	fair := s.ownerPicks%fairEvery == 0
 	var best *ownerState
 	for _, o := range s.owners {
 		g := o.group(group)
@@ -110,7 +111,7 @@
 	if best == nil || best.group(group).backlog > 0 {
 		return best
 	}
-	if now.Sub(s.lastIdle) < idlePullGap {
+	if now.Sub(s.lastIdle) < idlePullEvery {
 		return nil
 	}
 	s.lastIdle = now
@@ -131,24 +132,25 @@
 	return a.address < b.address
 }
 
-// renewLocked names held items to owners that no pull has told of them lately.
+// renewLocked lists held items, in a pull that requests no items, to the owners to which no
+// recent pull has listed them.
 func (s *Steward) renewLocked(now time.Time) {
 	for _, o := range s.owners {
 		if o.inFlight || now.Before(o.retryAt) || !o.renewalDue(now) {
 			continue
 		}
-		named := s.namedLocked(o.address)
-		if len(named) == 0 {
+		renewing := s.leasedByLocked(o.address)
+		if len(renewing) == 0 {
 			continue
 		}
-		s.sendPullLocked(now, o, named[0].group, 0)
+		s.sendPullLocked(now, o, renewing[0].group, 0)
 	}
 }
 
-// namedLocked lists the held items whose lease the owner keeps. Ends that are
-// not delivered yet count: their items must not be leased to others meanwhile.
-func (s *Steward) namedLocked(owner string) []*heldItem {
-	var named []*heldItem
+// leasedByLocked returns the held items whose lease is kept by the owner. Items whose end is
+// not delivered yet are included: they must not be leased to others meanwhile.
+func (s *Steward) leasedByLocked(owner string) []*heldItem {
+	var renewing []*heldItem
 	for _, it := range s.held {
 		at := it.owner
 		if s.opts.OwnerOf != nil {
@@ -157,8 +159,8 @@
 			}
 		}
 		if at == owner || s.owners[at] == nil {
-			named = append(named, it)
+			renewing = append(renewing, it)
 		}
 	}
-	return named
+	return renewing
 }
--- a/daemon/steward/policy_bench_test.go
+++ b/daemon/steward/policy_bench_test.go
@@ -25,8 +25,8 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// The load of BenchmarkPolicies: bursts of online requests with idle gaps of
-// seconds on one engine, beside a backlog of batch items that never ends.
+// The load of BenchmarkPolicies: bursts of online requests with idle gaps of seconds on one
+// engine, alongside a backlog of batch items that is never exhausted.
 const (
 	benchBursts     = 6
 	benchPerBurst   = 12
@@ -34,13 +34,13 @@
 	benchIdle       = 2 * time.Second
 	benchAnswer     = 24
 	benchBatchBytes = 2400
-	// benchFlush and benchWire are the entry host's grouping of signals and the
-	// way to a steward in another availability zone.
+	// benchFlush is the interval at which the entry host batches signals, benchWire the
+	// network latency to a steward in another availability zone.
 	benchFlush = 5 * time.Millisecond
 	benchWire  = 1500 * time.Microsecond
 )
 
-// latencies gathers the online callers' view.
+// latencies collects the latencies that online callers observe, in milliseconds.
 type latencies struct {
 	mu      sync.Mutex
 	first   []float64
@@ -75,17 +75,17 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// signalLoop is the entry host's side: absolute counts, grouped.
+// signalLoop sends signals as an entry host does: absolute counts, batched.
 func (l *latencies) signalLoop(ctx context.Context, s *Steward, address string) {
 	seq, last := uint64(0), uint64(0)
 	every(ctx, benchFlush, func(context.Context) {
 		online, started := int(l.running.Load()), l.started.Load()
-		word := started<<8 | uint64(online)
+		state := started<<8 | uint64(online)
 		seq++
-		if word == last && seq%100 != 0 {
+		if state == last && seq%100 != 0 {
 			return
 		}
-		last = word
+		last = state
 		time.Sleep(benchWire)
 		s.OnSignal(signal.Signal{Entry: self.ID(), Seq: seq, Targets: []signal.TargetLoad{{Address: address, Online: online, Started: started}}})
 	})
@@ -96,10 +96,10 @@
 	return values[min(int(q*float64(len(values))), len(values)-1)]
 }
 
-// BenchmarkPolicies compares the policies on the engine stand-in over loopback
-// HTTP: the online tail that batch work leaves, the batch tokens a second, and
-// the time from a burst's first request to the last batch token. Run it with
-// -benchtime=1x; one round takes some 20 seconds for each policy.
+// BenchmarkPolicies compares the policies on the stand-in engine over loopback HTTP: the
+// tail latency of online requests alongside batch work, the batch tokens per second, and
+// the time from a burst's first request to the last batch token. Run it with -benchtime=1x;
+// one round takes some 20 seconds for each policy.
 func BenchmarkPolicies(b *testing.B) {
 	filled := admission.DefaultGiveWay()
 	filled.Fill = 6
@@ -177,8 +177,8 @@
 	b.ReportMetric(giveWayMeanMs(s.opts.Metrics), "give_way_mean_ms")
 }
 
-// giveWayMeanMs reads the steward's own measurement: from the signal's arrival
-// to the answer of the last cancel.
+// giveWayMeanMs returns the mean of the steward's own metric, in milliseconds: the time from
+// a signal's arrival to the reply to the last cancel.
 func giveWayMeanMs(set *metrics.Set) float64 {
 	var text bytes.Buffer
 	set.WritePrometheus(&text)
@@ -193,8 +193,8 @@
 	return 1000 * sum / count
 }
 
-// BenchmarkOnSignal is what a signal about ten targets costs its sender, beside
-// the steward's own duties.
+// BenchmarkOnSignal measures the cost of a signal about ten targets to its sender while the
+// steward's loops run.
 func BenchmarkOnSignal(b *testing.B) {
 	RegisterTestingT(b)
 	addresses := make([]string, 10)
@@ -213,8 +213,8 @@
 	s.duties.Wait()
 }
 
-// lastBatchToken returns the worst and mean time from a burst's start to the
-// last token of a batch stream that was there before it.
+// lastBatchToken returns the maximum and mean time, in milliseconds, from a burst's start to
+// the last token of a batch stream that had started before it.
 func lastBatchToken(records []engine.Record, bursts []int64) (worst, mean float64) {
 	for _, at := range bursts {
 		last := at
--- a/daemon/steward/prefill.go
+++ b/daemon/steward/prefill.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// smallPrefill is how many prompt tokens a target may have to take in for a
-	// batch item that starts beside online work: as many as a guest's own question
-	// has, which lengthens one step as much.
-	smallPrefill = 64
-	// rememberedPrefixes bounds the prefixes remembered of one target; engines
-	// keep at least as many.
-	rememberedPrefixes = 4096
+	// smallPrefillTokens is how many prompt tokens a target may have to process for a
+	// batch item that starts alongside online work: as many as a typical short online
+	// prompt, which lengthens one step of the engine by as much.
+	smallPrefillTokens = 64
+	// maxPrefixes bounds the prefixes remembered for one target; engines cache at least
+	// as many.
+	maxPrefixes = 4096
 )
 
-// prompt is what is known of an item's prompt.
+// prompt describes an item's prompt.
 type prompt struct {
 	// prefixes are its prefixes' hashes by cache block, shortest first.
 	prefixes []string
-	// tokens estimates its length.
+	// tokens is its estimated length.
 	tokens int
 }
 
-// promptsOf reads the prompts of leased items. It is called without the lock:
-// decoding megabytes under it would hold up a cancel.
+// promptsOf decodes the prompts of leased items. It is called without Steward.mu held:
+// decoding megabytes under the lock would delay cancels.
 func promptsOf(items []ledger.LeasedItem) []prompt {
 	prompts := make([]prompt, len(items))
 	for i, leased := range items {
@@ -42,44 +42,44 @@
 	return prompts
 }
 
-// prefixMemory remembers which prefixes the steward's own items left in a
-// target's cache. The target may have evicted one since: then a single step is
-// longer than thought.
-type prefixMemory struct {
-	held *simplelru.LRU[string, struct{}]
+// prefixCache remembers which prefixes this steward's items left in a target's cache. The
+// target may have evicted one since; then a single step of the engine takes longer than
+// estimated.
+type prefixCache struct {
+	lru *simplelru.LRU[string, struct{}]
 }
 
-func newPrefixMemory() prefixMemory {
-	held, _ := simplelru.NewLRU[string, struct{}](rememberedPrefixes, nil)
-	return prefixMemory{held: held}
+func newPrefixCache() prefixCache {
+	cache, _ := simplelru.NewLRU[string, struct{}](maxPrefixes, nil)
+	return prefixCache{lru: cache}
 }
 
-func (m prefixMemory) remember(prefixes []string) {
+func (m prefixCache) add(prefixes []string) {
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		m.held.Add(prefixes[i], struct{}{})
+		m.lru.Add(prefixes[i], struct{}{})
 	}
 }
 
-func (m prefixMemory) match(prefixes []string) int {
+func (m prefixCache) match(prefixes []string) int {
 	n := 0
-	for n < len(prefixes) && m.held.Contains(prefixes[n]) {
+	for n < len(prefixes) && m.lru.Contains(prefixes[n]) {
 		n++
 	}
 	return n
 }
 
-// smallAtLocked tells whether the target has little left to take in before the
-// item's next token. What is not a chat takes in nothing that we know of, so it
-// never counts as small. Steward.mu is held, t.mu is not.
-func (it *heldItem) smallAtLocked(t *targetState) bool {
+// smallPrefillLocked reports whether the target has at most smallPrefillTokens left to
+// process before the item's next token. The prompt size of an item that is not a chat is
+// unknown, so it never counts as small. Steward.mu is held, t.mu is not.
+func (it *heldItem) smallPrefillLocked(t *targetState) bool {
 	if it.prompt.tokens == 0 {
 		return false
 	}
 	if it.prefer == t && len(it.progress) > 0 {
-		return true // it was cancelled here, and its prefix is still cached
+		return true // it was cancelled at this target, and its prefix is still cached
 	}
 	t.mu.Lock()
 	cached := t.prefixes.match(it.prompt.prefixes) * target.BlockTokens
 	t.mu.Unlock()
-	return it.prompt.tokens+len(it.progress)-cached <= smallPrefill
+	return it.prompt.tokens+len(it.progress)-cached <= smallPrefillTokens
 }
--- a/daemon/steward/pull.go
+++ b/daemon/steward/pull.go
@@ -13,19 +13,19 @@
 
 // pullCall is one pull in flight.
 type pullCall struct {
-	owner  string
-	group  string
-	max    int
-	sentAt time.Time
-	named  []*heldItem
+	owner    string
+	group    string
+	max      int
+	sentAt   time.Time
+	renewing []*heldItem
 }
 
-// reserveFor is how long a pull in flight counts as capacity taken; beyond it
-// the owner is slow and others are asked, at the price of some items too many.
-const reserveFor = 300 * time.Millisecond
+// pullReservation is how long a pull in flight counts as used capacity. After that the
+// owner is considered slow and others are pulled from, at the cost of some surplus items.
+const pullReservation = 300 * time.Millisecond
 
-// pullLoop fetches items while own targets have room for them, and names held
-// items to their owners so that their leases are renewed.
+// pullLoop pulls items while assigned targets have capacity for them, and lists held items
+// to their owners so that their leases are renewed.
 func (s *Steward) pullLoop(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -35,7 +35,7 @@
 			return
 		case <-timer.C:
 			s.pullRound()
-			timer.Reset(s.pace(pullEvery))
+			timer.Reset(s.interval(pullEvery))
 		}
 	}
 }
@@ -43,14 +43,14 @@
 func (s *Steward) pullRound() {
 	now := s.opts.Now()
 	owners := s.liveOwners()
-	groups := s.ownGroups()
+	groups := s.assignedGroups()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.syncOwnersLocked(owners)
 	if !s.draining {
 		for group := range groups {
 			s.pullGroupLocked(now, group)
-			s.lookLocked(now, group)
+			s.queryBacklogLocked(now, group)
 		}
 	}
 	s.renewLocked(now)
@@ -67,39 +67,39 @@
 	return owners
 }
 
-func (s *Steward) ownGroups() map[string]bool {
+func (s *Steward) assignedGroups() map[string]bool {
 	groups := make(map[string]bool)
-	for _, t := range s.ownTargets() {
+	for _, t := range s.assignedTargets() {
 		groups[t.group] = true
 	}
 	return groups
 }
 
-// pullGroupLocked sends pulls until the group's room is asked for.
+// pullGroupLocked sends pulls until they cover the group's free capacity.
 func (s *Steward) pullGroupLocked(now time.Time, group string) {
 	for {
-		want := s.wantLocked(now, group)
-		if want <= 0 {
+		wanted := s.wantedLocked(now, group)
+		if wanted <= 0 {
 			return
 		}
 		owner := s.nextOwnerLocked(now, group)
 		if owner == nil {
 			return
 		}
-		s.sendPullLocked(now, owner, group, want)
+		s.sendPullLocked(now, owner, group, wanted)
 	}
 }
 
-// lookLocked asks an owner that has not been asked for long what waits there,
-// without taking anything. Targets closed by online work pull nothing, but the
-// due times must be known all the same, to be shown and to raise the weight.
-func (s *Steward) lookLocked(now time.Time, group string) {
-	if now.Sub(s.lastLook) < lookGap {
+// queryBacklogLocked queries the backlog of an owner that has not been pulled from for
+// backlogMaxAge, without pulling items. Nothing is pulled for targets closed by online
+// work, but the due times must still be known, to be shown and to raise the weight.
+func (s *Steward) queryBacklogLocked(now time.Time, group string) {
+	if now.Sub(s.lastQuery) < backlogQueryEvery {
 		return
 	}
 	var oldest *ownerState
 	for _, o := range s.owners {
-		if o.inFlight || now.Before(o.retryAt) || now.Sub(o.group(group).pulledAt) < lookAfter {
+		if o.inFlight || now.Before(o.retryAt) || now.Sub(o.group(group).pulledAt) < backlogMaxAge {
 			continue
 		}
 		if oldest == nil || o.group(group).pulledAt.Before(oldest.group(group).pulledAt) {
@@ -107,34 +107,34 @@
 		}
 	}
 	if oldest != nil {
-		s.lastLook = now
+		s.lastQuery = now
 		s.sendPullLocked(now, oldest, group, 0)
 	}
 }
 
-// wantLocked is how many more items the group's open targets have room for. As
-// many again are held ready as may run, so that a slot that falls free does not
-// wait for a pull; a target that online work has closed counts for nothing.
-func (s *Steward) wantLocked(now time.Time, group string) int {
+// wantedLocked returns how many more items to pull for the group. Up to twice as many items
+// are held as may run, so that a freed slot does not wait for a pull; a target that online
+// work has closed does not count.
+func (s *Steward) wantedLocked(now time.Time, group string) int {
 	weight := s.groupWeightLocked(now, group)
-	want := 0
-	for _, t := range s.ownTargets() {
+	wanted := 0
+	for _, t := range s.assignedTargets() {
 		if t.group != group {
 			continue
 		}
 		t.mu.Lock()
-		if room := t.core.Room(now, weight); room > 0 {
-			want += max(2*room-t.core.Running(), 0)
+		if limit := t.core.Room(now, weight); limit > 0 {
+			wanted += max(2*limit-t.core.Running(), 0)
 		}
 		t.mu.Unlock()
 	}
-	want -= len(s.queued[group])
+	wanted -= len(s.queued[group])
 	for p := range s.pulls {
-		if p.group == group && now.Sub(p.sentAt) < reserveFor {
-			want -= p.max
+		if p.group == group && now.Sub(p.sentAt) < pullReservation {
+			wanted -= p.max
 		}
 	}
-	return min(want, maxUndelivered-len(s.held))
+	return min(wanted, maxUndelivered-len(s.held))
 }
 
 func (s *Steward) heaviestBatchWeight() float64 {
@@ -149,33 +149,33 @@
 	return weight
 }
 
-// sendPullLocked starts one pull; its reply is dealt with in pull.
-func (s *Steward) sendPullLocked(now time.Time, o *ownerState, group string, want int) {
-	p := &pullCall{owner: o.address, group: group, max: want, sentAt: now}
+// sendPullLocked starts one pull; pull handles its reply.
+func (s *Steward) sendPullLocked(now time.Time, o *ownerState, group string, wanted int) {
+	p := &pullCall{owner: o.address, group: group, max: wanted, sentAt: now}
 	if o.renewalDue(now) {
-		p.named = s.namedLocked(o.address)
+		p.renewing = s.leasedByLocked(o.address)
 	}
-	req := ledger.PullRequest{Steward: s.selfID(), Group: group, Max: want, MaxBytes: pullMaxBytes}
-	for _, it := range p.named {
+	req := ledger.PullRequest{Steward: s.selfID(), Group: group, Max: wanted, MaxBytes: pullMaxBytes}
+	for _, it := range p.renewing {
 		req.Running = append(req.Running, it.ref)
 	}
-	s.pullNo++
-	req.Seq = s.pullNo
-	if now.Sub(o.listedAt) >= o.lease/renewShare {
-		o.listedAt = now
-		req.Held, req.HeldWhole = s.heldWholeLocked(o.address)
-		req.Terms = maps.Clone(s.terms) // of the same moment as the list
+	s.lastPullSeq++
+	req.Seq = s.lastPullSeq
+	if now.Sub(o.fullListAt) >= o.lease/renewFraction {
+		o.fullListAt = now
+		req.Held, req.HeldWhole = s.heldListLocked(o.address)
+		req.Terms = maps.Clone(s.terms) // consistent with the list
 	}
 	o.inFlight = true
 	s.pulls[p] = true
 	s.group.Go(func(ctx context.Context) { s.pull(ctx, p, req) })
 }
 
-// heldWholeLocked lists all held items for an owner that looks for those whose
-// handing over went astray. The list is whole only while no other pull at that
-// owner is in flight, whose reply might still bring items; and never again once
-// an end was dropped, since its item ran and is listed no more.
-func (s *Steward) heldWholeLocked(owner string) (refs []ledger.ItemRef, whole bool) {
+// heldListLocked lists all held items, so that the owner can find items whose hand-off was
+// lost. The list is complete only while no other pull from that owner is in flight, whose
+// reply might still bring items, and never again once an end was dropped, since its item
+// ran and is no longer listed.
+func (s *Steward) heldListLocked(owner string) (refs []ledger.ItemRef, complete bool) {
 	if s.endsLost {
 		return nil, false
 	}
@@ -207,14 +207,14 @@
 		s.log.Debug("pull_failed", zap.String("owner", p.owner), zap.String("group", p.group), zap.Error(err))
 		return
 	}
-	s.takeReplyLocked(now, p, req, reply, prompts)
+	s.applyReplyLocked(now, p, req, reply, prompts)
 }
 
-func (s *Steward) takeReplyLocked(now time.Time, p *pullCall, req ledger.PullRequest, reply ledger.PullReply, prompts []prompt) {
+func (s *Steward) applyReplyLocked(now time.Time, p *pullCall, req ledger.PullRequest, reply ledger.PullReply, prompts []prompt) {
 	lease := time.Duration(reply.LeaseMs) * time.Millisecond
 	s.maxLease = max(s.maxLease, lease)
 	until := p.sentAt.Add(lease - leaseMargin)
-	s.renewedLocked(p.named, req.Running, reply.Cancelled, until)
+	s.extendLeasesLocked(p.renewing, req.Running, reply.Cancelled, until)
 	for _, ref := range reply.Cancelled {
 		if it := s.held[itemKey{ref.Job, ref.Index}]; it != nil {
 			s.stopItemLocked(it)
@@ -227,42 +227,42 @@
 		if leased.Term < s.terms[leased.Shard] {
 			continue
 		}
-		s.takeItemLocked(now, p, leased, prompts[i], until)
+		s.acceptItemLocked(now, p, leased, prompts[i], until)
 	}
 	if len(reply.Items) > 0 {
-		s.pokes.Offer(s.anyTarget(p.group))
+		s.decideQueue.Offer(s.anyTarget(p.group))
 	}
 }
 
-// renewedLocked moves the leases of the items that the pull named. An owner
-// that was replaced and does not know it yet renews what is no longer its own;
-// for a repeatable item that costs a second run at worst. Items that are not
-// repeatable start only within the lease that brought them, which the owner had
-// read back from the log before it answered.
-func (s *Steward) renewedLocked(named []*heldItem, refs []ledger.ItemRef, cancelled []ledger.ItemRef, until time.Time) {
-	gone := make(map[ledger.ItemRef]bool, len(cancelled))
+// extendLeasesLocked extends the leases of the items that the pull listed. An owner that
+// was replaced and does not know it yet may renew items that it no longer owns; for a
+// repeatable item that costs a second run at worst. Items that are not repeatable start
+// only within their original lease, which the owner had read back from the log before it
+// replied.
+func (s *Steward) extendLeasesLocked(items []*heldItem, refs []ledger.ItemRef, cancelled []ledger.ItemRef, until time.Time) {
+	isCancelled := make(map[ledger.ItemRef]bool, len(cancelled))
 	for _, ref := range cancelled {
-		gone[ref] = true
+		isCancelled[ref] = true
 	}
-	for i, it := range named {
-		if it.repeatable && !gone[refs[i]] && until.After(it.startUntil) {
+	for i, it := range items {
+		if it.repeatable && !isCancelled[refs[i]] && until.After(it.startUntil) {
 			it.startUntil = until
 		}
 	}
 }
 
-// takeItemLocked queues a leased item. If it still runs here, it was leased to us
-// again because its renewal went astray: the run goes on under the new attempt.
-// If its end waits to be delivered, running it again would be wasted. An item
-// that was handed back may return before the call that took it over does.
-func (s *Steward) takeItemLocked(now time.Time, p *pullCall, leased ledger.LeasedItem, read prompt, until time.Time) {
+// acceptItemLocked queues a leased item. If the item still runs here, it was leased again
+// because its renewal was lost: the run continues under the new attempt. If its end waits
+// to be delivered, another run would be wasted. An item that was handed back may be leased
+// again before the call that handed it back returns.
+func (s *Steward) acceptItemLocked(now time.Time, p *pullCall, leased ledger.LeasedItem, itemPrompt prompt, until time.Time) {
 	key := itemKey{leased.Ref.Job, leased.Ref.Index}
-	if have := s.held[key]; have != nil && !have.handedBack {
-		if have.ended {
-			s.ends.Offer(endedItem{item: have, end: ledger.ItemEnd{Ref: leased.Ref}})
+	if existing := s.held[key]; existing != nil && !existing.handedBack {
+		if existing.ended {
+			s.ends.Offer(endedItem{item: existing, end: ledger.ItemEnd{Ref: leased.Ref}})
 			return
 		}
-		have.ref, have.owner, have.startUntil = leased.Ref, p.owner, until
+		existing.ref, existing.owner, existing.startUntil = leased.Ref, p.owner, until
 		return
 	}
 	profile := s.profile(leased.Profile)
@@ -277,7 +277,7 @@
 		suspect:    leased.Suspect,
 		startUntil: until,
 		repeatable: profile.Repeatable,
-		prompt:     read,
+		prompt:     itemPrompt,
 		progress:   append([]string(nil), leased.Progress...),
 		queuedAt:   now,
 	}
@@ -287,12 +287,12 @@
 		s.handBackLocked(it)
 		return
 	}
-	s.noteJobLocked(now, it)
+	s.trackJobLocked(now, it)
 	s.queued[it.group] = append(s.queued[it.group], it)
 }
 
-// stopItemLocked makes sure that the item of a cancelled job does not start
-// here, and stops it if it runs.
+// stopItemLocked prevents a start of the item of a cancelled job, and stops the item if it
+// is running.
 func (s *Steward) stopItemLocked(it *heldItem) {
 	it.stopped = true
 	if it.run != nil {
@@ -302,12 +302,12 @@
 	if it.ended {
 		return
 	}
-	s.unqueueLocked(it)
+	s.dequeueLocked(it)
 	s.meter.ended("cancelled")
 	s.endLocked(it, ledger.ItemEnd{Ref: it.ref})
 }
 
-func (s *Steward) unqueueLocked(it *heldItem) {
+func (s *Steward) dequeueLocked(it *heldItem) {
 	queue := s.queued[it.group]
 	for i, other := range queue {
 		if other == it {
@@ -318,7 +318,7 @@
 }
 
 func (s *Steward) anyTarget(group string) *targetState {
-	for _, t := range s.ownTargets() {
+	for _, t := range s.assignedTargets() {
 		if t.group == group {
 			return t
 		}
--- a/daemon/steward/report.go
+++ b/daemon/steward/report.go
@@ -9,41 +9,40 @@
 	"tarragonhollow.example/tarragonhollow/core/ledger"
 )
 
-// reportsInFlight bounds the reports that run at once.
+// reportsInFlight bounds the number of concurrent reports.
 const reportsInFlight = 4
 
-// reportLoop groups the ends of items and delivers them. What an owner does not
-// take over comes back into the ring after reportRetry, for as long as it takes:
-// the log may be out for hours.
+// reportLoop batches the ends of items and delivers them. Ends that an owner does not
+// accept are queued again after reportRetry, without limit: the log may be down for hours.
 func (s *Steward) reportLoop(ctx context.Context) {
 	timer := time.NewTimer(reportEvery)
 	defer timer.Stop()
 	slots := make(chan struct{}, reportsInFlight)
-	var fresh, tried []endedItem
+	var fresh, retried []endedItem
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-s.ends.C():
-			if len(fresh)+len(tried) == 0 {
+			if len(fresh)+len(retried) == 0 {
 				timer.Reset(reportEvery)
 			}
-			if e.tried {
-				tried = append(tried, e)
+			if e.retried {
+				retried = append(retried, e)
 			} else {
 				fresh = append(fresh, e)
 			}
 		case <-timer.C:
 			fresh = s.sendEnds(slots, fresh)
-			tried = s.sendEnds(slots, tried)
-			if len(fresh)+len(tried) > 0 {
+			retried = s.sendEnds(slots, retried)
+			if len(fresh)+len(retried) > 0 {
 				timer.Reset(reportEvery)
 			}
 		}
 	}
 }
 
-// sendEnds starts reports while there is a slot and returns what is left.
+// sendEnds starts reports while there is a free slot and returns the remaining ends.
 func (s *Steward) sendEnds(slots chan struct{}, ends []endedItem) []endedItem {
 	for len(ends) > 0 {
 		select {
@@ -78,7 +77,8 @@
 	s.group.Go(func(ctx context.Context) { s.retryEnds(ctx, again) })
 }
 
-// delivered forgets the items whose ends were taken over and returns the rest.
+// delivered releases the items whose ends were accepted and returns the other ends, which
+// must be reported again.
 func (s *Steward) delivered(batch []endedItem, undelivered []ledger.ItemEnd, err error) []endedItem {
 	left := make(map[ledger.ItemRef]bool, len(undelivered))
 	for _, end := range undelivered {
@@ -89,11 +89,11 @@
 	defer s.mu.Unlock()
 	for _, e := range batch {
 		if left[e.end.Ref] || (err != nil && len(undelivered) == 0) {
-			e.tried = true
+			e.retried = true
 			again = append(again, e)
 			continue
 		}
-		s.forgetLocked(e.item)
+		s.releaseLocked(e.item)
 	}
 	return again
 }
@@ -110,7 +110,7 @@
 	defer s.mu.Unlock()
 	for _, e := range again {
 		if !s.ends.Offer(e) {
-			s.forgetLocked(e.item)
+			s.releaseLocked(e.item)
 			s.endsLost = true
 			s.meter.dropped.Inc()
 		}
--- a/daemon/steward/run.go
+++ b/daemon/steward/run.go
@@ -16,11 +16,11 @@
 
 // The causes for which this daemon stops a run.
 var (
-	errGiveWay  = errors.New("online work needs the target")
-	errRevoked  = errors.New("the job was cancelled")
-	errHandBack = errors.New("the daemon drains")
-	errMoveOn   = errors.New("the target is left")
-	errGap      = errors.New("the engine skipped a token")
+	errPreempted         = errors.New("preempted by online work")
+	errRevoked           = errors.New("the job was cancelled")
+	errDraining          = errors.New("the daemon is draining")
+	errTargetUnavailable = errors.New("the target is leaving or has another steward")
+	errGap               = errors.New("the engine skipped a token")
 )
 
 // run is one start of an item at a target.
@@ -35,54 +35,52 @@
 	// alone stays true while nothing else was at the target; guarded by target.mu.
 	alone bool
 
-	// stopping is set by the first stop; its cause stands.
-	stopping atomic.Bool
-	burst    *burst
+	// stopping is set by the first stop, whose cause is kept.
+	stopping   atomic.Bool
+	preemption *preemption
 }
 
-// stop cancels the run; the first cause stands.
+// stop cancels the run. Only the first call has an effect.
 func (r *run) stop(cause error) {
 	if r.stopping.CompareAndSwap(false, true) {
 		r.cancel(cause)
 	}
 }
 
-// stopForBurst is stop for online work; b hears when the cancel has gone out.
-func (r *run) stopForBurst(b *burst) {
+// preempt stops the run for online work; p is notified once the engine's cancel returned.
+func (r *run) preempt(p *preemption) {
 	if !r.stopping.CompareAndSwap(false, true) {
-		b.left.Add(-1)
+		p.remaining.Add(-1)
 		return
 	}
-	r.burst = b
-	r.cancel(errGiveWay)
+	r.preemption = p
+	r.cancel(errPreempted)
 }
 
-// burst measures how long batch takes to give way.
-type burst struct {
-	began time.Time
-	left  atomic.Int64
+// preemption measures how long it takes to cancel a target's batch streams for online work.
+type preemption struct {
+	began     time.Time
+	remaining atomic.Int64
 }
 
-// cancelled is called for each stream once the engine was told; the last one
-// closes the measurement. A nil burst measures nothing.
-func (b *burst) cancelled(now time.Time, m *meter) {
-	if b == nil || b.left.Add(-1) > 0 || b.began.IsZero() {
+// cancelled is called for each stream once the cancel call to its engine has returned; the
+// last call completes the measurement. A nil preemption measures nothing.
+func (p *preemption) cancelled(now time.Time, m *meter) {
+	if p == nil || p.remaining.Add(-1) > 0 || p.began.IsZero() {
 		return
 	}
-	m.giveWay.Update(now.Sub(b.began).Seconds())
+	m.preemptSeconds.Update(now.Sub(p.began).Seconds())
 }
 
-// mayStartLocked is the last check before an item is sent. It guards against a
-// steward that was paused or cut off: its lease has lapsed, the owner has leased
-// the item to another, and a start here would run it twice. The lease is counted
-// from before the pull was sent, on the monotonic clock, so it ends here no
-// later than at the owner.
+// mayStartLocked is the last check before an item is sent. It guards against a steward that
+// was paused or partitioned: its lease has expired, the owner has leased the item to
+// another steward, and a start here would run it twice. The lease is counted from before
+// the pull was sent, on the monotonic clock, so it expires here no later than at the owner.
 //
-// The remaining window is the time between this check and the request's first
-// byte on the wire: a pause of the process there exceeds it unseen. Then a
-// repeatable item may run twice and the ledger keeps the first completion; one
-// that is not repeatable is never leased again without word of its first run,
-// so it still runs once.
+// A window remains between this check and the request's first byte on the wire: a pause of
+// the process in that window goes undetected. Then a repeatable item may run twice, and the
+// ledger keeps the first completion. An item that is not repeatable is never leased again
+// before the result of its first run is known, so it still runs only once.
 func (s *Steward) mayStartLocked(now time.Time, it *heldItem, t *targetState) bool {
 	if s.draining || it.stopped || !now.Before(it.startUntil) {
 		return false
@@ -93,15 +91,15 @@
 	return !s.opts.View.TargetLeaving(t.address) && s.isSteward(t.address)
 }
 
-// startLocked registers the run before its goroutine exists: from then on a
-// revoke finds it.
+// startLocked starts the item at the target. It registers the run before starting its
+// goroutine, so that a revoke always finds it.
 func (s *Steward) startLocked(now time.Time, it *heldItem, t *targetState) {
 	s.nextStream++
 	it.segment++
 	if len(it.progress) > 0 {
 		s.meter.resumed(t)
 	}
-	small := it.smallAtLocked(t)
+	small := it.smallPrefillLocked(t)
 	r := &run{id: s.nextStream, item: it, target: t, streamID: it.streamID(), done: make(chan struct{})}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r.cancel = cancel
@@ -122,7 +120,7 @@
 		deadline = defaultDeadline
 	}
 	s.group.Go(func(groupCtx context.Context) {
-		stopWithGroup := context.AfterFunc(groupCtx, func() { r.stop(errHandBack) })
+		stopWithGroup := context.AfterFunc(groupCtx, func() { r.stop(errDraining) })
 		defer stopWithGroup()
 		bounded, release := context.WithTimeout(ctx, deadline)
 		defer release()
@@ -130,7 +128,7 @@
 	})
 }
 
-// execute sends the item and settles its end.
+// execute sends the item and handles the end of its run.
 func (s *Steward) execute(ctx context.Context, r *run) {
 	ctx = target.WithUrgency(target.WithKey(ctx, r.item.name()), target.UrgencyBatch)
 	var answer *ledger.Answer
@@ -142,11 +140,11 @@
 	}
 	cause := context.Cause(ctx)
 	r.cancel(nil)
-	s.settle(r, answer, err, cause)
+	s.finishRun(r, answer, err, cause)
 }
 
-// generate streams the item's tokens. A cancel goes to the engine at the same
-// moment as the connection is dropped: an engine may notice either first.
+// generate streams the item's tokens. On a cancel, the engine is called and the connection
+// closed at the same time: an engine may notice either first.
 func (s *Steward) generate(ctx context.Context, r *run) (*ledger.Answer, error) {
 	req, err := r.item.generateRequest()
 	if err != nil {
@@ -167,8 +165,8 @@
 	return r.item.chatAnswer(req.Model, s.opts.Now(), finish), nil
 }
 
-// cancelAtEngine tells the engine to drop the stream. The connection's end says
-// the same, but an engine may see it only when it next writes.
+// cancelAtEngine asks the engine to cancel the stream. Closing the connection has the same
+// effect, but an engine may notice that only at its next write.
 func (s *Steward) cancelAtEngine(r *run) {
 	ctx, release := context.WithTimeout(context.Background(), cancelTimeout)
 	defer release()
@@ -176,11 +174,11 @@
 	if err != nil {
 		s.log.Warn("cancel_failed", zap.String("target", r.target.address), zap.String("stream", r.streamID), zap.Error(err))
 	}
-	r.burst.cancelled(s.opts.Now(), s.meter)
+	r.preemption.cancelled(s.opts.Now(), s.meter)
 }
 
-// onToken appends one token. Tokens that were there before a resume are never
-// appended again, and a gap fails the attempt: a kept answer is whole or absent.
+// onToken appends one token. Tokens from before a resume are never appended again, and a
+// gap fails the attempt: a stored answer is complete or absent.
 func (r *run) onToken(tok target.Token) error {
 	it := r.item
 	switch {
--- a/daemon/steward/settle.go
+++ b/daemon/steward/settle.go
@@ -14,17 +14,18 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// endedItem is an end on its way to the item's owner.
+// endedItem is an item's end that is being delivered to the item's owner.
 type endedItem struct {
 	item *heldItem
 	end  ledger.ItemEnd
-	// tried tells that a report failed before: such ends travel apart, so that
-	// one owner out of reach does not hold up the others' fresh ends.
-	tried bool
+	// retried is set if a report failed before. Such ends are sent in separate reports, so
+	// that one unreachable owner does not delay new ends for the others.
+	retried bool
 }
 
-// settle ends a run: its answer or failure is reported, or the item waits again.
-func (s *Steward) settle(r *run, answer *ledger.Answer, err, cause error) {
+// finishRun handles the end of a run: it reports the answer or failure, or queues the item
+// again.
+func (s *Steward) finishRun(r *run, answer *ledger.Answer, err, cause error) {
 	now := s.opts.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -32,19 +33,19 @@
 	close(r.done)
 	it := r.item
 	it.run = nil
-	s.pokes.Offer(r.target)
+	s.decideQueue.Offer(r.target)
 	if err == nil {
-		s.finishLocked(now, it, answer)
+		s.completeLocked(now, it, answer)
 		return
 	}
-	if s.stoppedHereLocked(now, it, r, err, cause) {
+	if s.handleStoppedLocked(now, it, r, err, cause) {
 		return
 	}
 	s.failLocked(now, it, r, alone, err)
 }
 
-// endRun takes the run off the target and tells whether it was alone there. A
-// run that we stopped or that ran out of time says nothing about the target.
+// endRun removes the run from the target and reports whether it was alone there. A run that
+// this daemon stopped or that timed out says nothing about the target's health.
 func (t *targetState) endRun(now time.Time, r *run, err, cause error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +53,7 @@
 	t.core.Ended(now, r.id)
 	delete(t.runs, r.id)
 	if len(r.item.progress) > 0 {
-		t.prefixes.remember(r.item.prompt.prefixes)
+		t.prefixes.add(r.item.prompt.prefixes)
 	}
 	f := target.FailureOf(err)
 	switch {
@@ -64,19 +65,20 @@
 	return alone
 }
 
-func (s *Steward) finishLocked(now time.Time, it *heldItem, answer *ledger.Answer) {
+func (s *Steward) completeLocked(now time.Time, it *heldItem, answer *ledger.Answer) {
 	s.rateLocked(it.group).Observe(now, 1)
 	s.meter.ended("completed")
 	s.endLocked(it, ledger.ItemEnd{Ref: it.ref, Answer: answer})
 }
 
-// stoppedHereLocked deals with a run that ended because we stopped it, or that
-// somebody cancelled at the engine; its tokens are kept and no attempt is lost.
+// handleStoppedLocked handles a run that ended because this daemon stopped it, or because
+// it was cancelled at the engine. Its tokens are kept, and it does not count as an attempt.
+// It reports whether it handled the end.
 //
-// An item that is not repeatable and that a target received is never handed back
-// as if it had not run: its owner would lease it again, and it would run twice.
-// It ends as may_have_run instead.
-func (s *Steward) stoppedHereLocked(now time.Time, it *heldItem, r *run, err, cause error) bool {
+// An item that is not repeatable and that a target received is never handed back as if it
+// had not run: its owner would lease it again, and it would run twice. It ends as
+// may_have_run instead.
+func (s *Steward) handleStoppedLocked(now time.Time, it *heldItem, r *run, err, cause error) bool {
 	f := target.FailureOf(err)
 	if !it.repeatable && (f == nil || f.Reached) {
 		return false
@@ -85,11 +87,11 @@
 	case it.stopped, errors.Is(cause, errRevoked):
 		s.meter.ended("cancelled")
 		s.endLocked(it, ledger.ItemEnd{Ref: it.ref})
-	case errors.Is(cause, errHandBack):
+	case errors.Is(cause, errDraining):
 		s.handBackLocked(it)
-	case errors.Is(cause, errMoveOn):
+	case errors.Is(cause, errTargetUnavailable):
 		s.requeueLocked(now, it, nil)
-	case errors.Is(cause, errGiveWay), errors.Is(err, target.ErrStreamCancelled):
+	case errors.Is(cause, errPreempted), errors.Is(err, target.ErrStreamCancelled):
 		s.requeueLocked(now, it, r.target)
 	default:
 		return false
@@ -97,20 +99,20 @@
 	return true
 }
 
-// failLocked turns a target's failure into the end of the attempt.
+// failLocked ends the attempt with the target's failure.
 func (s *Steward) failLocked(now time.Time, it *heldItem, r *run, alone bool, err error) {
 	f := target.FailureOf(err)
 	s.log.Info("item_failed", zap.String("job", it.ref.Job), zap.Int("index", it.ref.Index),
 		zap.String("target", r.target.address), zap.Error(err))
 	if f != nil && (!f.Reached || f.Busy) && !f.Rejected {
-		s.notRunLocked(now, it)
+		s.retryUnreachedLocked(now, it)
 		return
 	}
 	end := ledger.ItemEnd{Ref: it.ref, Refusal: refusalFor(err, f)}
 	switch {
 	case f == nil:
-		// A body that cannot be decoded never will be; an engine that broke the
-		// token order may do better next time.
+		// A body that cannot be decoded fails on every attempt; an engine that skipped a
+		// token may succeed on the next one.
 		end.Final = errorx.IsOfType(err, ItemError)
 	case f.Rejected:
 		end.Final = true
@@ -121,11 +123,11 @@
 	s.endLocked(it, end)
 }
 
-// notRunLocked keeps an item that no target received; after localTries it goes
-// back to its owner, whose other stewards may reach a target.
-func (s *Steward) notRunLocked(now time.Time, it *heldItem) {
-	it.tries++
-	if it.tries >= localTries {
+// retryUnreachedLocked queues an item again that no target received. After maxLocalStarts
+// the item is handed back to its owner, as other stewards may be able to reach a target.
+func (s *Steward) retryUnreachedLocked(now time.Time, it *heldItem) {
+	it.unreachedStarts++
+	if it.unreachedStarts >= maxLocalStarts {
 		s.handBackLocked(it)
 		return
 	}
@@ -148,7 +150,8 @@
 	return refusal
 }
 
-// requeueLocked lets an item wait here for a start, if its lease still allows one.
+// requeueLocked queues the item again if its lease still allows a start, and hands it back
+// otherwise.
 func (s *Steward) requeueLocked(now time.Time, it *heldItem, prefer *targetState) {
 	if s.draining || !now.Before(it.startUntil) {
 		s.handBackLocked(it)
@@ -159,29 +162,29 @@
 	s.queued[it.group] = append(s.queued[it.group], it)
 }
 
-// handBackLocked returns an item unfinished, with its tokens.
+// handBackLocked returns an unfinished item to its owner, with its tokens.
 func (s *Steward) handBackLocked(it *heldItem) {
 	s.meter.ended("handed_back")
 	s.endLocked(it, ledger.ItemEnd{Ref: it.ref, Progress: it.progress})
 }
 
-// endLocked passes an end to the report duty. Pulls keep the held items below
-// the ring's capacity and each has one end at a time, so the ring has room; were
-// it full all the same, the owner would see the lease lapse.
+// endLocked passes an end to reportLoop. Pulls keep the number of held items below the
+// queue's capacity, and each item has one end at a time, so the queue has room. If it were
+// full anyway, the lease would expire at the owner.
 func (s *Steward) endLocked(it *heldItem, end ledger.ItemEnd) {
 	it.ended = true
 	it.handedBack = end.Answer == nil && end.Refusal == nil
 	if s.ends.Offer(endedItem{item: it, end: end}) {
 		return
 	}
-	s.forgetLocked(it)
+	s.releaseLocked(it)
 	s.endsLost = true
 	s.meter.dropped.Inc()
 	s.log.Error("end_dropped", zap.String("job", it.ref.Job), zap.Int("index", it.ref.Index))
 }
 
-// forgetLocked drops an item whose end is delivered.
-func (s *Steward) forgetLocked(it *heldItem) {
+// releaseLocked removes an item whose end has been delivered or dropped.
+func (s *Steward) releaseLocked(it *heldItem) {
 	if s.held[it.key()] == it {
 		delete(s.held, it.key())
 	}
--- a/daemon/steward/signals.go
+++ b/daemon/steward/signals.go
@@ -4,30 +4,30 @@
 	"tarragonhollow.example/tarragonhollow/daemon/signal"
 )
 
-// OnSignal implements signal.Receiver. It is on the way of online traffic's
-// signals, so it only updates counts under the target's short lock and pokes
-// the decision duty without waiting for it. Targets of other stewards are left
-// out of the answer.
+// OnSignal implements signal.Receiver. It is on the path of the signals of online traffic,
+// so it only updates counts under the target's lock, which is never held for long, and
+// queues a decision without waiting for it. Targets of other stewards are omitted from the
+// reply.
 func (s *Steward) OnSignal(sig signal.Signal) []signal.Word {
-	targets := s.ownTargets()
+	targets := s.assignedTargets()
 	self := s.selfID()
-	words := make([]signal.Word, 0, len(sig.Targets))
+	reports := make([]signal.Word, 0, len(sig.Targets))
 	for _, load := range sig.Targets {
 		t := targets[load.Address]
 		if t == nil {
 			continue
 		}
-		word, poke := s.signalTarget(t, sig, load)
-		word.Steward = self
-		words = append(words, word)
-		if poke {
-			s.pokes.Offer(t)
+		report, began := s.applySignal(t, sig, load)
+		report.Steward = self
+		reports = append(reports, report)
+		if began {
+			s.decideQueue.Offer(t)
 		}
 	}
-	return words
+	return reports
 }
 
-func (s *Steward) signalTarget(t *targetState, sig signal.Signal, load signal.TargetLoad) (signal.Word, bool) {
+func (s *Steward) applySignal(t *targetState, sig signal.Signal, load signal.TargetLoad) (signal.Word, bool) {
 	now := s.opts.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,17 +37,17 @@
 			r.alone = false
 		}
 		if len(t.runs) > 0 {
-			t.burstAt = now
+			t.onlineStartAt = now
 		}
 	}
-	word := signal.Word{
+	report := signal.Word{
 		Address:      t.address,
 		OnlineTotal:  t.core.Online(now),
 		BatchRunning: t.core.Running(),
 		Report:       t.report,
 	}
 	if !t.reportAt.IsZero() {
-		word.ReportAgeMs = now.Sub(t.reportAt).Milliseconds()
+		report.ReportAgeMs = now.Sub(t.reportAt).Milliseconds()
 	}
-	return word, began
+	return report, began
 }
--- a/daemon/steward/status.go
+++ b/daemon/steward/status.go
@@ -7,7 +7,7 @@
 	"tarragonhollow.example/tarragonhollow/core/admission"
 )
 
-// Status is the operators' view of the steward.
+// Status is the state of the steward as shown to operators.
 type Status struct {
 	Draining bool           `json:"draining"`
 	Held     int            `json:"held"`
@@ -16,32 +16,32 @@
 	Jobs     []JobStatus    `json:"jobs"`
 }
 
-// JobStatus tells whether a job that this steward has had items of will be late.
+// JobStatus is the forecast of a job of which this steward has had items.
 type JobStatus struct {
 	Job string `json:"job"`
 	// DueMs and ForecastMs are Unix milliseconds; a forecast of 0 is unknown.
 	DueMs      int64 `json:"due_ms"`
 	ForecastMs int64 `json:"forecast_ms"`
-	// Late tells that the forecast lies beyond the due time.
+	// Late is set if the forecast is after the due time.
 	Late bool `json:"late"`
-	// Weight is the effective weight beside online work.
+	// Weight is the effective weight relative to online work.
 	Weight float64 `json:"weight"`
 }
 
-// TargetStatus describes one own target.
+// TargetStatus describes one target assigned to this daemon.
 type TargetStatus struct {
 	Address string `json:"address"`
 	Group   string `json:"group"`
-	// Policy is the rule in force for batch there.
+	// Policy is the name of the admission policy in force.
 	Policy string `json:"policy"`
-	// Steward is false while streams of ours end at a target that another took.
+	// Steward is false while this daemon's streams end at a target that has another steward.
 	Steward bool `json:"steward"`
 	Leaving bool `json:"leaving"`
 	Online  int  `json:"online"`
 	Running int  `json:"batch_running"`
-	// ReportAgeMs is -1 without any load report.
+	// ReportAgeMs is -1 if there is no load report yet.
 	ReportAgeMs int64 `json:"report_age_ms"`
-	// HeldBack tells what keeps further batch away, "" if nothing does.
+	// BlockedBy is the reason why no further batch is admitted; "" if there is none.
 	HeldBack string `json:"held_back"`
 }
 
@@ -49,26 +49,26 @@
 type GroupStatus struct {
 	Group  string `json:"group"`
 	Queued int    `json:"queued"`
-	// Resuming counts the queued items that were cancelled and wait to go on.
+	// Resuming counts the queued items that were cancelled and wait to resume.
 	Resuming int `json:"resuming"`
-	// Backlog is this daemon's part of what waits, its queue included.
+	// Backlog is this daemon's part of the waiting items, including its queue.
 	Backlog int `json:"backlog"`
 	// ItemsPerSecond is the recent rate of finished items.
 	ItemsPerSecond float64 `json:"items_per_second"`
-	// ForecastMs is when the backlog is expected to be finished, Unix
-	// milliseconds; 0 is unknown. EarliestDueMs is the first due time in it.
+	// ForecastMs is when the backlog is expected to be finished, Unix milliseconds; 0 is
+	// unknown. EarliestDueMs is the earliest due time in the backlog, Unix milliseconds.
 	ForecastMs    int64 `json:"forecast_ms"`
 	EarliestDueMs int64 `json:"earliest_due_ms"`
 }
 
-// Status returns the present view.
+// Status returns the current state for operators.
 func (s *Steward) Status() Status {
 	now := s.opts.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := Status{Draining: s.draining, Held: len(s.held)}
 	groups := make(map[string]bool)
-	for _, t := range s.ownTargets() {
+	for _, t := range s.assignedTargets() {
 		groups[t.group] = true
 		st.Targets = append(st.Targets, t.status(now))
 	}
@@ -109,7 +109,7 @@
 		Online:      t.core.Online(now),
 		Running:     t.core.Running(),
 		ReportAgeMs: -1,
-		HeldBack:    string(t.why),
+		HeldBack:    string(t.reason),
 	}
 	if !t.reportAt.IsZero() {
 		st.ReportAgeMs = now.Sub(t.reportAt).Milliseconds()
--- a/daemon/steward/steward.go
+++ b/daemon/steward/steward.go
@@ -14,43 +14,44 @@
 	"tarragonhollow.example/tarragonhollow/daemon/signal"
 )
 
-// pokeRing bounds the wishes for an early decision; a lost one costs decideEvery.
-const pokeRing = 256
+// decideQueueSize bounds the queued requests for an immediate decision. A request that is
+// dropped because the queue is full delays the decision by at most decideEvery.
+const decideQueueSize = 256
 
-// Steward runs batch items at the targets that are this daemon's.
+// Steward runs batch items at the targets assigned to this daemon.
 //
-// Locks: mu guards the held items and queues; each targetState has its own lock
-// for the admission state. mu may be held when a target's lock is taken, never
-// the other way, and OnSignal takes only the target's.
+// Locks: mu guards the held items and queues; each targetState has its own lock for the
+// admission state. A target's lock may be acquired while mu is held, never the reverse.
+// OnSignal acquires only the target's lock.
 type Steward struct {
-	opts  Options
-	log   *zap.Logger
-	meter *meter
-	group *duty.Group
-	pokes *duty.Ring[*targetState]
-	ends  *duty.Ring[endedItem]
-	// targets is replaced whole, so that signals are looked up without a lock.
+	opts        Options
+	log         *zap.Logger
+	meter       *meter
+	group       *duty.Group
+	decideQueue *duty.Ring[*targetState]
+	ends        *duty.Ring[endedItem]
+	// targets is replaced as a whole, so that OnSignal can look up targets without a lock.
 	targets atomic.Pointer[map[string]*targetState]
 
-	mu       sync.Mutex
-	held     map[itemKey]*heldItem
-	queued   map[string][]*heldItem
-	suspects map[string]*targetState
-	jobs     map[string]*jobForecast
-	rates    map[string]*admission.Rate
-	owners   map[string]*ownerState
-	pulls    map[*pullCall]bool
-	pullSeq  int
-	// pullNo numbers the pulls towards owners; endsLost is set once an end was
+	mu             sync.Mutex
+	held           map[itemKey]*heldItem
+	queued         map[string][]*heldItem
+	suspectTargets map[string]*targetState
+	jobs           map[string]*jobForecast
+	rates          map[string]*admission.Rate
+	owners         map[string]*ownerState
+	pulls          map[*pullCall]bool
+	ownerPicks     int
+	// lastPullSeq is the sequence number of the last pull; endsLost is set once an end was
 	// dropped.
-	pullNo   uint64
-	endsLost bool
-	// terms are the highest terms that owners have told of, by shard. Items from
-	// owners of earlier ones are dropped: the later owner may have given them to
-	// others, since this steward doesn't list them.
+	lastPullSeq uint64
+	endsLost    bool
+	// terms holds the highest term reported by owners, by shard. Items from owners with an
+	// earlier term are dropped: the later owner may have leased them to other stewards,
+	// since this one does not list them.
 	terms      map[int]uint64
 	lastIdle   time.Time
-	lastLook   time.Time
+	lastQuery  time.Time
 	revoked    map[string]time.Time
 	maxLease   time.Duration
 	draining   bool
@@ -65,19 +66,19 @@
 		return nil, err
 	}
 	s := &Steward{
-		opts:     opts,
-		log:      opts.Logger,
-		pokes:    duty.NewRing[*targetState](pokeRing),
-		ends:     duty.NewRing[endedItem](maxUndelivered),
-		held:     make(map[itemKey]*heldItem),
-		queued:   make(map[string][]*heldItem),
-		suspects: make(map[string]*targetState),
-		jobs:     make(map[string]*jobForecast),
-		rates:    make(map[string]*admission.Rate),
-		owners:   make(map[string]*ownerState),
-		pulls:    make(map[*pullCall]bool),
-		revoked:  make(map[string]time.Time),
-		terms:    make(map[int]uint64),
+		opts:           opts,
+		log:            opts.Logger,
+		decideQueue:    duty.NewRing[*targetState](decideQueueSize),
+		ends:           duty.NewRing[endedItem](maxUndelivered),
+		held:           make(map[itemKey]*heldItem),
+		queued:         make(map[string][]*heldItem),
+		suspectTargets: make(map[string]*targetState),
+		jobs:           make(map[string]*jobForecast),
+		rates:          make(map[string]*admission.Rate),
+		owners:         make(map[string]*ownerState),
+		pulls:          make(map[*pullCall]bool),
+		revoked:        make(map[string]time.Time),
+		terms:          make(map[int]uint64),
 	}
 	s.targets.Store(&map[string]*targetState{})
 	s.meter = newMeter(opts.Metrics, s)
@@ -89,7 +90,7 @@
 	return s, nil
 }
 
-// Run starts the duties; they end with the group.
+// Run starts the background loops; they end with the group.
 func (s *Steward) Run(g *duty.Group) {
 	s.group = g
 	g.Go(s.assignLoop)
@@ -100,8 +101,8 @@
 	g.Go(s.forecastLoop)
 }
 
-// atRest tells that no batch work is held here or known to wait at an owner.
-func (s *Steward) atRest() bool {
+// idle reports whether no batch work is held here or known to wait at an owner.
+func (s *Steward) idle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.held) > 0 {
@@ -117,15 +118,16 @@
 	return true
 }
 
-// pace is the period of a duty that is busy only while there is batch work.
-func (s *Steward) pace(busy time.Duration) time.Duration {
-	if s.atRest() {
-		return restEvery
+// interval returns the period of a loop: idleEvery while there is no batch work, and busy
+// otherwise.
+func (s *Steward) interval(busy time.Duration) time.Duration {
+	if s.idle() {
+		return idleEvery
 	}
 	return busy
 }
 
-// every runs step at once and then each period until ctx is done.
+// every runs step immediately and then once per period until ctx is done.
 func every(ctx context.Context, period time.Duration, step func(ctx context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -139,12 +141,12 @@
 	}
 }
 
-func (s *Steward) ownTargets() map[string]*targetState { return *s.targets.Load() }
+func (s *Steward) assignedTargets() map[string]*targetState { return *s.targets.Load() }
 
 func (s *Steward) selfID() string { return s.opts.View.Self().ID() }
 
-// profile returns the item's profile; an unknown one is taken as not
-// repeatable and weightless, which is the careful reading.
+// profile returns the named profile. An unknown one is treated as not repeatable and with
+// weight 0, which is the conservative choice.
 func (s *Steward) profile(name string) config.Profile {
 	if c := s.opts.Config(); c != nil && c.Profiles[name] != nil {
 		return *c.Profiles[name]
@@ -152,9 +154,10 @@
 	return config.Profile{Name: name, Urgency: config.Batch}
 }
 
-// Drain stops pulling and starting, cancels what can be resumed elsewhere,
-// hands everything back with its progress, and returns once the owners have
-// taken it over. Streams that cannot be resumed are waited for.
+// Drain stops pulling and starting items, cancels the streams that can be resumed
+// elsewhere, hands all items back with their progress, and returns once the owners have
+// accepted them. It waits for streams that cannot be resumed. If ctx ends first, Drain
+// returns a StopError.
 func (s *Steward) Drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -166,7 +169,7 @@
 	}
 	for _, it := range s.held {
 		if it.run != nil && !it.pinned {
-			it.run.stop(errHandBack)
+			it.run.stop(errDraining)
 		}
 	}
 	s.mu.Unlock()
--- a/daemon/steward/steward_test.go
+++ b/daemon/steward/steward_test.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	patience = 10 * time.Second
-	// chatItem is the least body that an engine could answer.
+	eventuallyTimeout = 10 * time.Second
+	// chatItem is a minimal body that an engine can answer.
 	chatItem = `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 )
 
@@ -29,31 +29,31 @@
 }
 
 var _ = Describe("a burst of online requests", func() {
-	// A guest orders while prep sheets are drafted on the same engine. The sheets'
-	// streams must end at once and none may start while the guest is served; later
-	// each sheet goes on after its last token instead of from the start.
+	// Online requests arrive while batch streams run on the same engine. The streams must
+	// end at once, and none may start while online work runs; later each item must resume
+	// after its last token instead of from the start.
 	It("cancels batch, admits none, and resumes after the last token", func() {
 		b := newBench(3, engineA)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x", "y")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(2))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(2))
 		for range 5 {
 			gate <- struct{}{}
 		}
 		b.online(1)
-		Eventually(func() int { return b.endedAs("cancelled") }, patience).Should(Equal(2))
-		Eventually(b.engine.Cancels, patience).Should(HaveLen(2))
-		Eventually(func() int { return b.Status().Groups[0].Queued }, patience).Should(Equal(2))
+		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(2))
+		Eventually(b.engine.Cancels, eventuallyTimeout).Should(HaveLen(2))
+		Eventually(func() int { return b.Status().Groups[0].Queued }, eventuallyTimeout).Should(Equal(2))
 		b.skew.Add(int64(time.Second))
 		b.decideAll()
-		Expect(b.engine.Calls()).To(HaveLen(2), "nothing starts beside the guest")
+		Expect(b.engine.Calls()).To(HaveLen(2), "nothing starts alongside online work")
 		Expect(b.Status().Targets[0].HeldBack).To(Equal("online_running"))
 
 		b.online(0)
 		close(gate)
-		Eventually(b.ledger.answered, patience).Should(HaveLen(2))
+		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(2))
 		Expect(content(b.ledger.answered()["x"])).To(Equal("x0 x1 x2 x3 x4 x5 "))
 		Expect(content(b.ledger.answered()["y"])).To(Equal("y0 y1 y2 y3 y4 y5 "))
 		sent := 0
@@ -63,42 +63,42 @@
 			Expect(c.Request.Extra).To(HaveKey("seed"))
 		}
 		Expect(sent).To(Equal(12), "no token is generated twice")
-		Expect(b.ledger.ended()).To(HaveLen(2), "resumed here, without a word to the owner")
+		Expect(b.ledger.ended()).To(HaveLen(2), "resumed here, without a report to the owner")
 	})
 
-	// The burst lasts for minutes. The item must not sit here under a lease that
-	// is renewed for ever: it goes back with its tokens, for a steward with room.
+	// The burst lasts for minutes. The item must not wait here under a lease that is
+	// renewed indefinitely: it is handed back with its tokens, for a steward with capacity.
 	It("hands a cancelled item back with its tokens when the burst lasts", func() {
 		b := newBench(3, engineA)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(1))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		gate <- struct{}{}
 		gate <- struct{}{}
 		b.online(1)
-		Eventually(func() int { return b.Status().Groups[0].Queued }, patience).Should(Equal(1))
-		for range holdBound / time.Second {
+		Eventually(func() int { return b.Status().Groups[0].Queued }, eventuallyTimeout).Should(Equal(1))
+		for range maxQueueTime / time.Second {
 			b.skew.Add(int64(time.Second))
 			b.online(1)
 		}
-		Eventually(b.ledger.ended, patience).Should(HaveLen(1))
+		Eventually(b.ledger.ended, eventuallyTimeout).Should(HaveLen(1))
 		Expect(len(b.ledger.ended()[0].Progress)).To(BeNumerically(">=", 1))
 		Expect(b.ledger.ended()[0].Answer).To(BeNil())
 	})
 })
 
-var _ = Describe("a due time that comes near", func() {
-	// Guests keep the engine busy all night and the kitchen's profile has weight 0,
-	// so no sheet ever starts, and at the morning shift there are none. The due
-	// time must open a part of the engine in time, and not long before.
-	It("opens a part of a target that online work never leaves", func() {
+var _ = Describe("a due time that approaches", func() {
+	// Online work keeps the engine busy all the time and the profile has weight 0, so no
+	// batch item would ever start, and the job would miss its due time. The due time must
+	// open a part of the engine in time, and not long before.
+	It("opens a part of a target that always has online work", func() {
 		b := newBench(8, engineA)
 		b.ledger.add("c/j", "night", "x", "y")
 		b.startBeside(2)
 		b.refresh(2)
-		Eventually(func() int { return b.Status().Groups[0].Backlog }, patience).Should(Equal(2), "known though nothing is pulled")
+		Eventually(func() int { return b.Status().Groups[0].Backlog }, eventuallyTimeout).Should(Equal(2), "known though nothing is pulled")
 		b.decideAll()
 		Expect(b.engine.Calls()).To(BeEmpty())
 		b.ledger.set(func() {
@@ -106,38 +106,38 @@
 				b.ledger.waiting[i].DueMs = time.Now().Add(time.Minute).UnixMilli()
 			}
 		})
-		Eventually(b.ledger.answered, patience).Should(HaveLen(2))
+		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(2))
 	})
 
-	// The job is due in the morning, but at the present rate it will be finished
-	// at noon. That must be seen now, not in the morning.
-	It("shows a forecast of being late, and raises the weight", func() {
+	// The job is due in 24 hours, but at the current rate it will take 30. This must be
+	// visible now, not only at the due time.
+	It("shows that the job is forecast to be late, and raises the weight", func() {
 		b := newBench(2, engineA)
 		b.engine.OnGenerate = gated(make(chan struct{}))
 		b.ledger.forecast = time.Now().Add(30 * time.Hour)
 		b.ledger.add("c/j", "night", "x")
 		b.start()
-		Eventually(func() []JobStatus { return b.Status().Jobs }, patience).Should(ConsistOf(
+		Eventually(func() []JobStatus { return b.Status().Jobs }, eventuallyTimeout).Should(ConsistOf(
 			And(HaveField("Late", true), HaveField("Weight", admission.UrgentWeight))))
 	})
 })
 
 var _ = Describe("a cancelled job", func() {
-	// Kitchen staff cancel a job; the reply says that it has stopped. One sheet is
-	// running, one waits here, and a third is on its way in the answer to a pull
-	// from before the cancel. None may run after the reply.
+	// The reply to a cancel means that the job has stopped. Two items are running, one is
+	// queued here, and another is in the reply to a pull that was sent before the cancel.
+	// None may run after the acknowledgement.
 	It("is acknowledged only when none of its items will start", func() {
 		b := newBench(3, engineA)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x", "y", "z")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(2))
-		Eventually(func() int { return b.Status().Held }, patience).Should(Equal(3))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(2))
+		Eventually(func() int { return b.Status().Held }, eventuallyTimeout).Should(Equal(3))
 		late := make(chan struct{})
 		b.ledger.set(func() { b.ledger.gate = late })
 		b.ledger.add("c/j", "night", "late")
-		Eventually(b.ledger.leases, patience).Should(Equal(4))
+		Eventually(b.ledger.leases, eventuallyTimeout).Should(Equal(4))
 
 		var reply RevokeReply
 		Expect((&rpcService{b.Steward}).Revoke(&RevokeRequest{Job: "c/j"}, &reply)).To(Succeed())
@@ -148,44 +148,44 @@
 		b.ledger.set(func() { b.ledger.leaseMs = 0 })
 		close(late)
 		close(gate)
-		Eventually(b.ledger.ended, patience).Should(ContainElement(HaveField("Ref", ledger.ItemRef{Job: "c/j", Index: 3, Attempt: 1})))
+		Eventually(b.ledger.ended, eventuallyTimeout).Should(ContainElement(HaveField("Ref", ledger.ItemRef{Job: "c/j", Index: 3, Attempt: 1})))
 		b.decideAll()
 		Expect(b.engine.Calls()).To(HaveLen(2))
 		Expect(b.ledger.answered()).To(BeEmpty())
 	})
 })
 
-var _ = Describe("a lapsed lease", func() {
-	// The daemon is cut off from the owner with one sheet running and one waiting
-	// here. The lease lapses, and the owner may lease the waiting one to another
-	// steward. When the running one ends, a start would run the other twice.
-	It("starts nothing, and what runs is reported when the owner is back", func() {
+var _ = Describe("an expired lease", func() {
+	// The daemon is partitioned from the owner with one item running and one queued here.
+	// The lease expires, and the owner may lease the queued item to another steward. If it
+	// started here when the running one ends, it would run twice.
+	It("starts nothing, and reports the running item when the owner is back", func() {
 		b := newBench(2, engineA)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x", "y")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(1))
-		Eventually(func() int { return b.Status().Held }, patience).Should(Equal(2))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
+		Eventually(func() int { return b.Status().Held }, eventuallyTimeout).Should(Equal(2))
 		b.ledger.set(func() { b.ledger.away = true })
 		b.skew.Add(int64(60 * time.Second))
 		close(gate)
-		Eventually(func() int { return b.endedAs("finished") }, patience).Should(Equal(1))
+		Eventually(func() int { return b.endedAs("finished") }, eventuallyTimeout).Should(Equal(1))
 		b.decideAll()
 		Expect(b.engine.Calls()).To(HaveLen(1))
 
 		b.ledger.set(func() { b.ledger.away = false })
-		Eventually(b.ledger.answered, patience).Should(HaveLen(2))
+		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(2))
 		Expect(b.engine.Calls()).To(HaveLen(2))
 		Expect(b.engine.Calls()[1].Request.StreamID).To(HavePrefix("c/j/y/2."), "only the second lease started it")
 	})
 })
 
 var _ = Describe("a held lease", func() {
-	// A drawing takes longer than a lease. Unless the steward names it in time the
-	// owner leases it to another; and once the owner has done so, or the job was
-	// cancelled, the stream here must stop.
-	It("is renewed while the item runs, until the owner disowns it", func() {
+	// An item runs for longer than a lease. Unless the steward lists it in time, the owner
+	// leases it to another steward. Once the owner has done so, or the job was cancelled,
+	// the stream here must stop.
+	It("is renewed while the item runs, until the owner cancels it", func() {
 		b := newBench(1, engineA)
 		b.engine.OnGenerate = gated(make(chan struct{}))
 		b.ledger.leaseMs = 1500
@@ -195,46 +195,46 @@
 			b.ledger.set(func() { refs = b.ledger.named })
 			return refs
 		}
-		Eventually(named, patience).Should(ConsistOf(ledger.ItemRef{Job: "c/j", Index: 0, Attempt: 1}))
+		Eventually(named, eventuallyTimeout).Should(ConsistOf(ledger.ItemRef{Job: "c/j", Index: 0, Attempt: 1}))
 		Expect(b.endedAs("cancelled")).To(BeZero())
 		b.ledger.set(func() { b.ledger.disown = true })
-		Eventually(func() int { return b.endedAs("cancelled") }, patience).Should(Equal(1))
-		Eventually(func() int { return b.Status().Held }, patience).Should(BeZero())
+		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
+		Eventually(func() int { return b.Status().Held }, eventuallyTimeout).Should(BeZero())
 	})
 
-	// An owner takes a handed-over item back when the steward's list lacks it. A
-	// list made while a reply is still on its way would lack what it brings, and
-	// the item would run here and elsewhere.
-	It("is listed as whole only while no reply can bring more", func() {
+	// An owner takes an item back if the steward's complete list lacks it. A list made while
+	// a reply is in flight would lack the reply's items, and they would run here and
+	// elsewhere.
+	It("is in a list marked complete only while no reply can bring more", func() {
 		b := newBench(1, engineA)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		p := &pullCall{owner: self.PeerAddress, group: "g"}
 		b.pulls[p] = true
-		_, whole := b.heldWholeLocked(self.PeerAddress)
+		_, whole := b.heldListLocked(self.PeerAddress)
 		Expect(whole).To(BeFalse())
 		b.ledger.add("c/j", "once", "x")
-		b.takeReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, ledger.PullReply{Items: b.ledger.waiting, LeaseMs: 1000}, promptsOf(b.ledger.waiting))
+		b.applyReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, ledger.PullReply{Items: b.ledger.waiting, LeaseMs: 1000}, promptsOf(b.ledger.waiting))
 		delete(b.pulls, p)
-		refs, whole := b.heldWholeLocked(self.PeerAddress)
+		refs, whole := b.heldListLocked(self.PeerAddress)
 		Expect(whole).To(BeTrue())
 		Expect(refs).To(ConsistOf(b.ledger.waiting[0].Ref))
 		b.endsLost = true
-		_, whole = b.heldWholeLocked(self.PeerAddress)
+		_, whole = b.heldListLocked(self.PeerAddress)
 		Expect(whole).To(BeFalse())
 	})
 })
 
 var _ = Describe("an item from an owner that has been replaced", func() {
-	// The new owner has given the item to another steward, as this one told that
-	// it had it not. The old owner, paused until now, answers an earlier pull.
-	It("is dropped, and the list tells from which term on", func() {
+	// The new owner has leased the item to another steward, since this one did not list it.
+	// The old owner, paused until now, answers an earlier pull.
+	It("is dropped, and the highest term of each shard is kept", func() {
 		b := newBench(1, engineA)
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		p := &pullCall{owner: self.PeerAddress, group: "g"}
 		take := func(reply ledger.PullReply) {
-			b.takeReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, reply, promptsOf(reply.Items))
+			b.applyReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, reply, promptsOf(reply.Items))
 		}
 		b.ledger.add("c/j", "once", "x")
 		late := b.ledger.waiting
@@ -250,8 +250,8 @@
 	})
 })
 
-// What a target says decides whether the item may be tried again, and what its
-// caller is told; "not run" only where that is certain.
+// The target's failure determines whether the item may be tried again and which run state
+// its caller gets; not_run only if that is certain.
 var _ = DescribeTable("a failed attempt",
 	func(body string, failure error, expected ledger.ItemEnd) {
 		b := newBench(2, engineA)
@@ -261,7 +261,7 @@
 		b.ledger.add("c/j", "night", "x")
 		b.ledger.waiting[0].Item.Body = []byte(body)
 		b.start()
-		Eventually(b.ledger.ended, patience).ShouldNot(BeEmpty())
+		Eventually(b.ledger.ended, eventuallyTimeout).ShouldNot(BeEmpty())
 		end := b.ledger.ended()[0]
 		if end.Refusal != nil {
 			end.Refusal = &outcome.Refusal{Code: end.Refusal.Code, Run: end.Refusal.Run}
@@ -273,16 +273,16 @@
 		ledger.ItemEnd{Final: true, Refusal: &outcome.Refusal{Code: outcome.Unprocessable, Run: outcome.MayHaveRun}}),
 	Entry("a broken body is final and reaches no target", "[]", nil,
 		ledger.ItemEnd{Final: true, Refusal: &outcome.Refusal{Code: outcome.BadRequest, Run: outcome.NotRun}}),
-	Entry("a fault of the target is not final", chatItem, &target.Failure{Reached: true, Status: 500},
+	Entry("an internal error of the target is not final", chatItem, &target.Failure{Reached: true, Status: 500},
 		ledger.ItemEnd{Refusal: &outcome.Refusal{Code: outcome.TargetFailed, Run: outcome.MayHaveRun}}),
 	Entry("a busy target costs no attempt", chatItem, &target.Failure{Busy: true, Status: 503}, ledger.ItemEnd{}),
 )
 
-var _ = Describe("a call of a plain service", func() {
-	// Prep tickets are printed by a plain service, which cannot resume a call. A
-	// burst must not cut it off half way, and its answer is kept as it is.
-	// The item comes in the answer to a pull for the engines, as an owner does.
-	It("runs to its end beside online work, at the service and under its own key", func() {
+var _ = Describe("a call to a plain service", func() {
+	// A plain service cannot resume a call. A burst of online requests must not cancel the
+	// call, and its answer is stored unchanged. The item arrives in the reply to a pull for
+	// the engines' group, as owners may send it.
+	It("completes alongside online work, at the service and under its own key", func() {
 		b := newBench(4, engineA)
 		b.opts.Config().Groups["kitchen"] = &config.TargetGroup{
 			Name: "kitchen", Kind: config.KindService, Slots: 4, Targets: []config.Target{{Address: engineB}},
@@ -301,11 +301,11 @@
 		b.ledger.add("c/j", "night", "x")
 		b.ledger.waiting[0].Item = ledger.Item{CustomID: "x", URL: "/v1/services/kitchen/tickets?copies=1", Body: []byte(`{"n":1}`)}
 		b.start()
-		Eventually(service.Calls, patience).Should(HaveLen(1))
+		Eventually(service.Calls, eventuallyTimeout).Should(HaveLen(1))
 		b.online(1)
 		b.decideAll()
 		close(let)
-		Eventually(b.ledger.ended, patience).Should(HaveLen(1))
+		Eventually(b.ledger.ended, eventuallyTimeout).Should(HaveLen(1))
 		Expect(b.ledger.ended()[0].Answer).To(Equal(&ledger.Answer{Status: 201, Body: []byte(`{"n":1}`)}))
 		call := service.Calls()[0]
 		Expect([]string{call.Address, call.Key, call.Urgency, call.Request.Path}).To(
@@ -314,9 +314,8 @@
 })
 
 var _ = Describe("an item that crashes its target", func() {
-	// One drawing kills every engine that reads it. The sheets beside it on the
-	// engine must still finish, and only a crash while nothing else was there may
-	// count against the drawing.
+	// One item crashes every engine that runs it. The other items on the engine must still
+	// complete, and only a crash while nothing else ran there may count against the item.
 	It("runs alone the second time and stalls no other", func() {
 		b := newBench(4, engineA, engineB)
 		answer := gated(nil)
@@ -329,7 +328,7 @@
 		}
 		b.ledger.add("c/j", "night", "a", "b", "poison", "c", "d", "e", "f", "g")
 		b.start()
-		Eventually(b.ledger.answered, patience).Should(HaveLen(7))
+		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(7))
 		alone := func() []ledger.ItemEnd {
 			var ends []ledger.ItemEnd
 			for _, e := range b.ledger.ended() {
@@ -339,64 +338,64 @@
 			}
 			return ends
 		}
-		Eventually(alone, patience).Should(HaveLen(1))
+		Eventually(alone, eventuallyTimeout).Should(HaveLen(1))
 		Expect(alone()[0].Ref.Index).To(Equal(2))
 		Expect(alone()[0].Refusal.Run).To(Equal(outcome.MayHaveRun))
 	})
 })
 
-var _ = Describe("a target that leaves, or changes its steward", func() {
-	// The host list says that an engine leaves, and its machine is switched off
-	// soon after. Work sent there from now on would be lost half way.
-	It("gets no new item, and what runs moves on after a bound", func() {
+var _ = Describe("a target that is leaving, or changes its steward", func() {
+	// An engine is marked as leaving and its machine is switched off soon after. Work that
+	// is sent there from now on would be lost midway.
+	It("gets no new item, and running items move to other targets after leavingGrace", func() {
 		b := newBench(2, engineA, engineB)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x", "y", "z")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(2))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(2))
 		b.view.set(func() { b.view.leaving[engineA] = true })
 		b.assign()
-		b.skew.Add(int64(leaveBound))
-		Eventually(func() int { return b.endedAs("cancelled") }, patience).Should(Equal(1))
+		b.skew.Add(int64(leavingGrace))
+		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
 		close(gate)
-		Eventually(b.ledger.answered, patience).Should(HaveLen(3))
+		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(3))
 		onA := 0
 		for _, c := range b.engine.Calls() {
 			if c.Address == engineA {
 				onA++
 			}
 		}
-		Expect(onA).To(Equal(1), "only the start from before")
+		Expect(onA).To(Equal(1), "only the start from before it was leaving")
 	})
 
-	// Another daemon becomes steward of the engine, and entry hosts now signal to
-	// it alone. Streams of ours would no longer hear of a burst.
-	It("stops its streams after the grace and hands them back", func() {
+	// Another daemon becomes steward of the engine, and entry hosts now signal only to it.
+	// This daemon's streams would no longer be preempted by a burst.
+	It("stops its streams after lostGrace and hands them back", func() {
 		b := newBench(2, engineA)
 		b.engine.OnGenerate = gated(make(chan struct{}))
 		b.ledger.add("c/j", "night", "x")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(1))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		b.view.set(func() { b.view.lost = true })
 		b.assign()
 		b.skew.Add(int64(lostGrace))
-		Eventually(func() int { return b.endedAs("cancelled") }, patience).Should(Equal(1))
-		b.skew.Add(int64(holdBound))
-		Eventually(b.ledger.ended, patience).Should(HaveLen(1))
+		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
+		b.skew.Add(int64(maxQueueTime))
+		Eventually(b.ledger.ended, eventuallyTimeout).Should(HaveLen(1))
 		Expect(b.engine.Calls()).To(HaveLen(1))
 	})
 })
 
 var _ = Describe("work that must not be repeated", func() {
-	// A stamp is being set by a batch item as the daemon goes down. Handing it
-	// back as unfinished would let the owner lease it again: two stamps.
+	// A non-repeatable item is running when the daemon stops. Handing it back as unfinished
+	// would let the owner lease it again, and it would run twice.
 	It("is not cancelled for online work and ends as may_have_run when stopped", func() {
 		b := newBench(2, engineA)
 		b.engine.OnGenerate = gated(make(chan struct{}))
 		b.ledger.add("c/j", "once", "x")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(1))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		b.online(1)
 		b.decideAll()
 		Expect(b.endedAs("cancelled")).To(BeZero())
@@ -404,35 +403,35 @@
 
 		b.mu.Lock()
 		for _, it := range b.held {
-			it.run.stop(errHandBack)
+			it.run.stop(errDraining)
 		}
 		b.mu.Unlock()
-		Eventually(b.ledger.ended, patience).Should(HaveLen(1))
+		Eventually(b.ledger.ended, eventuallyTimeout).Should(HaveLen(1))
 		Expect(b.ledger.ended()[0].Refusal).To(HaveField("Run", outcome.MayHaveRun))
 	})
 })
 
 var _ = Describe("a drain", func() {
-	// A host is replaced while it runs batch. The items' tokens so far must reach
-	// the owner before the process ends, though the owner is away for a while.
+	// A host is replaced while it runs batch. The items' tokens so far must reach the owner
+	// before the process ends, although the owner is unreachable for a while.
 	It("hands everything back with its progress before it returns", func() {
 		b := newBench(2, engineA)
 		gate := make(chan struct{})
 		b.engine.OnGenerate = gated(gate)
 		b.ledger.add("c/j", "night", "x", "y")
 		b.start()
-		Eventually(func() int { return len(b.engine.Calls()) }, patience).Should(Equal(1))
+		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		gate <- struct{}{}
 		gate <- struct{}{}
 		b.ledger.set(func() { b.ledger.away = true })
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		drained := make(chan error, 1)
 		go func() { drained <- b.Drain(ctx) }()
-		Eventually(func() int { return b.endedAs("cancelled") }, patience).Should(Equal(1))
+		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
 		Expect(drained).NotTo(Receive())
 		b.ledger.set(func() { b.ledger.away = false })
-		Eventually(drained, patience).Should(Receive(Not(HaveOccurred())))
+		Eventually(drained, eventuallyTimeout).Should(Receive(Not(HaveOccurred())))
 		Expect(b.ledger.ended()).To(HaveLen(2))
 		Expect(b.ledger.ended()).To(ContainElement(HaveField("Progress", Not(BeEmpty()))))
 		Expect(b.engine.Calls()).To(HaveLen(1))
