--- a/daemon/shards/append.go
+++ b/daemon/shards/append.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// urgentReserve is the part of the budget's burst that batch changes leave
-	// to urgent ones; reserveWait is how long they wait to look again.
+	// urgentReserve is the number of burst tokens that batch changes leave to urgent
+	// changes. A batch change that finds fewer tokens checks again after reserveWait.
 	urgentReserve = budgetBurst / 2
 	reserveWait   = 20 * time.Millisecond
 )
 
-// appendLoop appends the owner's records, one at a time, at its pace and within
-// this daemon's budget.
+// appendLoop appends the owner's records one at a time, at the intervals that the
+// owner sets and within this daemon's append budget.
 func (s *Shards) appendLoop(ctx context.Context, sl *slot, owner *ledger.Owner) {
 	for ctx.Err() == nil {
 		if s.findBound(ctx, sl, owner) {
 			continue
 		}
-		urgent, ready := s.awaitTurn(ctx, sl, owner)
+		urgent, ready := s.awaitAppend(ctx, sl, owner)
 		if !ready {
 			continue
 		}
@@ -40,7 +40,8 @@
 	}
 }
 
-// findBound asks where the stream ends after an answer was lost.
+// findBound looks up the end of the stream after the response to an append was lost.
+// It reports whether the owner needed that.
 func (s *Shards) findBound(ctx context.Context, sl *slot, owner *ledger.Owner) bool {
 	sl.mu.Lock()
 	needed := owner.NeedsBound()
@@ -50,7 +51,7 @@
 	}
 	_, next, err := s.bounds(ctx, sl)
 	if err != nil {
-		s.noteLog(false)
+		s.setLogOK(false)
 		duty.Pause(ctx, pauseAfterError)
 		return true
 	}
@@ -60,8 +61,9 @@
 	return true
 }
 
-// awaitTurn waits until a record may be built or something has changed.
-func (s *Shards) awaitTurn(ctx context.Context, sl *slot, owner *ledger.Owner) (urgent, ready bool) {
+// awaitAppend waits until a record may be built or the state has changed. ready reports
+// whether a record may be built now, urgent whether it holds an urgent change.
+func (s *Shards) awaitAppend(ctx context.Context, sl *slot, owner *ledger.Owner) (urgent, ready bool) {
 	sl.mu.Lock()
 	atMs, urgent, ok := owner.NextAppend()
 	sl.mu.Unlock()
@@ -105,8 +107,8 @@
 	s.meter.appends.Inc()
 	s.meter.appendBytes.Add(len(data))
 	out, retry := classify(err)
-	if out == ledger.Unavailable && ctx.Err() == nil { // not one that ended with its hold
-		s.noteLog(false)
+	if out == ledger.Unavailable && ctx.Err() == nil { // not an append cancelled by the end of the hold
+		s.setLogOK(false)
 	}
 	switch {
 	case err == nil || ctx.Err() != nil:
@@ -122,7 +124,8 @@
 	s.deliver(sl)
 }
 
-// classify tells what is known of an append from its error.
+// classify returns the outcome of an append that ended with err, and the log's
+// retry-after time if the append was rate limited.
 func classify(err error) (ledger.AppendOutcome, time.Duration) {
 	if err == nil {
 		return ledger.Appended, 0
@@ -139,22 +142,22 @@
 	return ledger.Unknown, 0
 }
 
-// noteLog records the last word on whether the log answers.
-func (s *Shards) noteLog(ok bool) {
+// setLogOK records whether the log is reachable, and logs each change.
+func (s *Shards) setLogOK(ok bool) {
 	if s.logOK.Swap(ok) != ok {
 		s.opt.Logger.Info("log_reachable", zap.Bool("ok", ok))
 	}
 }
 
-// probeLoop looks at the log while it was found out of reach, so that a daemon
-// without shards notices its return too.
+// probeLoop probes the log while it is unreachable, so that a daemon that holds no
+// shards also notices when the log is back.
 func (s *Shards) probeLoop(ctx context.Context) {
 	every(ctx, pauseAfterError, func() {
 		if s.logOK.Load() {
 			return
 		}
 		if _, _, err := s.bounds(ctx, s.slots[0]); err == nil {
-			s.noteLog(true)
+			s.setLogOK(true)
 		}
 	})
 }
--- a/daemon/shards/bench_test.go
+++ b/daemon/shards/bench_test.go
@@ -12,8 +12,8 @@
 	"tarragonhollow.example/tarragonhollow/extern/fakelog"
 )
 
-// BenchmarkOrder measures a non-repeatable Begin until it is granted, with the
-// default paces and 32 shards on three daemons over loopback.
+// BenchmarkOrder measures the time until a non-repeatable Begin is granted, with the
+// default append intervals and 32 shards on three daemons over loopback.
 func BenchmarkOrder(b *testing.B) {
 	RegisterTestingT(b)
 	f := &fleet{log: fakelog.New(fakelog.Options{}), nodes: map[string]*node{}, tune: defaultPaces}
--- a/daemon/shards/claim.go
+++ b/daemon/shards/claim.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// doubtSteps is how many claim steps longer a shard counts as held when its
-	// holder is merely leaving (it is about to name its successor) or has not
-	// reached the log lately (it may be a blip).
-	doubtSteps = 10
-	// moveEvery bounds how often a shard is released for balance.
-	moveEvery = 2 * time.Second
-	// drainLogWait is how long a drain waits for a log that does not answer.
+	// degradedSteps is the number of additional claim steps before a shard is claimed
+	// whose holder is leaving (it is about to name its successor) or has not reached
+	// the log lately (the failure may be transient).
+	degradedSteps = 10
+	// rebalanceInterval is the minimum time between two releases of shards for balance.
+	rebalanceInterval = 2 * time.Second
+	// drainLogWait is how long a drain waits for a log that does not respond.
 	drainLogWait = 3 * time.Second
-	// settleTime is how long a fresh holder is given to tell that it holds the
-	// shard, before a claim is weighed against it.
-	settleTime = 5 * time.Second
-	// claimsAtOnce is how many of the shards that lose their holders together are
-	// claimed without pacing, claimSpacing the time between the further ones. It
-	// guards against a storm at a cold start: 32 claims within milliseconds exceed
-	// the burst a log allows, which shows as refused appends. Shards take turns by
-	// number, so all daemons together keep to half of the fleet's default budget
-	// without talking to each other.
-	claimsAtOnce = 8
+	// announceTime is how long a new holder has to announce that it holds the shard
+	// before other daemons consider claiming it.
+	announceTime = 5 * time.Second
+	// claimBurst is how many of the shards that lose their holders at the same time are
+	// claimed without delay; the further ones follow at intervals of claimSpacing. This
+	// prevents a burst of claims at a cold start: 32 claims within milliseconds exceed
+	// the burst that the log allows, and appends are refused. The delay depends on the
+	// shard's number, so all daemons together stay within half of the fleet's default
+	// budget without coordination.
+	claimBurst   = 8
 	claimSpacing = 5 * time.Millisecond
 )
 
-// claimLoop claims shards that have no usable holder and gives up shards that
-// others should hold.
+// claimLoop claims shards that have no usable holder and releases shards that other
+// daemons should hold.
 func (s *Shards) claimLoop(ctx context.Context) {
-	every(ctx, tickEvery, func() {
+	every(ctx, tickInterval, func() {
 		if s.draining.Load() || s.opt.Clock().Sub(s.started) < s.opt.ColdStart {
 			return
 		}
@@ -43,25 +43,27 @@
 	})
 }
 
-// claimRound weighs a claim of each shard and returns how many this daemon holds
-// or has begun to claim.
+// claimRound decides for each shard whether to claim it, and returns the number of
+// shards that this daemon holds or has started to claim.
 func (s *Shards) claimRound(ctx context.Context) (held int) {
 	held = len(s.Holds())
-	unheld := 0
+	unheldBefore := 0
 	for _, sl := range s.slots {
-		claimed, found := s.considerClaim(ctx, sl, held, unheld)
+		claimed, unheld := s.considerClaim(ctx, sl, held, unheldBefore)
 		if claimed {
 			held++
 		}
-		if found {
-			unheld++
+		if unheld {
+			unheldBefore++
 		}
 	}
 	return held
 }
 
-// unheldCause tells why the shard needs a claim, "" if it has a usable holder.
-func (s *Shards) unheldCause(id int) (cause string, doubt bool) {
+// unheldCause returns why the shard needs a claim, "" if it has a usable holder.
+// degraded reports that the shard has a holder, which is leaving or does not reach the
+// log.
+func (s *Shards) unheldCause(id int) (cause string, degraded bool) {
 	holder, ok := s.opt.View.Holder(id)
 	switch {
 	case !ok:
@@ -74,61 +76,62 @@
 	return "", false
 }
 
-// considerClaim starts a hold duty when it is this daemon's turn. unheld counts
-// the shards before this one that have no usable holder; the second result tells
-// whether this one has none.
-func (s *Shards) considerClaim(ctx context.Context, sl *slot, held, unheld int) (claimed, found bool) {
-	cause, doubt := s.unheldCause(sl.id)
+// considerClaim starts a goroutine that claims and holds the shard when it is this
+// daemon's turn. unheldBefore is the number of shards before this one that have no
+// usable holder; the result unheld reports whether this one has none.
+func (s *Shards) considerClaim(ctx context.Context, sl *slot, held, unheldBefore int) (claimed, unheld bool) {
+	cause, degraded := s.unheldCause(sl.id)
 	now := s.opt.Clock()
 	if cause != "" {
-		s.lastMove = now // no moving while shards change hands anyway
+		s.lastRebalance = now // no rebalancing while shards change holders
 	}
 	successors := s.opt.View.Successors(shard.Key(sl.id))
 	holder, _ := s.opt.View.Holder(sl.id)
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
-	sl.heardOf(holder)
-	if sl.busy || (cause == "" && !sl.named) {
-		sl.unheld = time.Time{}
+	sl.noteTerm(holder)
+	if sl.busy || (cause == "" && !sl.isSuccessor) {
+		sl.unheldSince = time.Time{}
 		return false, cause != ""
 	}
 	if !s.logOK.Load() {
-		// The time in which nobody could claim doesn't count: after an outage
-		// the holders are heard of again before anyone claims against them.
-		sl.unheld = time.Time{}
+		// The time in which no daemon could claim does not count, so that after an
+		// outage the holders announce themselves before another daemon claims their
+		// shards.
+		sl.unheldSince = time.Time{}
 		return false, true
 	}
-	if now.Before(sl.standsUntil) && !sl.named {
-		sl.unheld = time.Time{} // ranks are counted from the end of that time
+	if now.Before(sl.graceUntil) && !sl.isSuccessor {
+		sl.unheldSince = time.Time{} // the wait by rank starts when the grace time ends
 		return false, true
 	}
-	if sl.unheld.IsZero() {
-		sl.unheld = now
-		sl.pace = claimPace(unheld)
+	if sl.unheldSince.IsZero() {
+		sl.unheldSince = now
+		sl.stagger = claimStagger(unheldBefore)
 	}
 	sl.cause = cause
 	wait, ok := s.claimAfter(sl, successors, held)
-	if doubt && !sl.named {
-		wait += doubtSteps * s.opt.ClaimStep
+	if degraded && !sl.isSuccessor {
+		wait += degradedSteps * s.opt.ClaimStep
 	}
-	if !ok || now.Sub(sl.unheld) < wait+sl.pace {
+	if !ok || now.Sub(sl.unheldSince) < wait+sl.stagger {
 		return false, true
 	}
-	sl.busy, sl.named = true, false
+	sl.busy, sl.isSuccessor = true, false
 	s.group.Go(func(ctx context.Context) { s.hold(ctx, sl) })
 	return true, true
 }
 
-// claimPace is how much longer a shard waits for its claim that lost its holder
-// together with others before it.
-func claimPace(before int) time.Duration {
-	return time.Duration(max(0, before-claimsAtOnce+1)) * claimSpacing
+// claimStagger returns the additional delay of the claim of a shard that lost its holder
+// together with the given number of shards before it.
+func claimStagger(before int) time.Duration {
+	return time.Duration(max(0, before-claimBurst+1)) * claimSpacing
 }
 
 func (s *Shards) claimAfter(sl *slot, successors []membership.Member, held int) (time.Duration, bool) {
 	f := shard.Facts{
 		Shard: sl.id, Self: s.opt.View.Self().ID(), Shards: len(s.slots), Held: held,
-		Named: sl.named, StepMs: s.opt.ClaimStep.Milliseconds(),
+		Named: sl.isSuccessor, StepMs: s.opt.ClaimStep.Milliseconds(),
 	}
 	for _, m := range successors {
 		f.Successors = append(f.Successors, m.ID())
@@ -137,11 +140,12 @@
 	return time.Duration(ms) * time.Millisecond, ok
 }
 
-// rebalance releases one shard at a time while this daemon holds more than its
-// fair part and another has room, as after a cold start or when hosts come back.
+// rebalance releases one shard at a time while this daemon holds more than its fair
+// share and another daemon holds less, for example after a cold start or when hosts come
+// back.
 func (s *Shards) rebalance(held int) {
 	now := s.opt.Clock()
-	if now.Sub(s.lastMove) < moveEvery || !s.logOK.Load() {
+	if now.Sub(s.lastRebalance) < rebalanceInterval || !s.logOK.Load() {
 		return
 	}
 	self := s.opt.View.Self().ID()
@@ -155,13 +159,14 @@
 			return
 		}
 		if s.release(sl, to) {
-			s.lastMove = now
+			s.lastRebalance = now
 			return
 		}
 	}
 }
 
-// release has the owner give the shard up to the successor.
+// release makes the owner release the shard to the successor. It reports whether the
+// release has begun.
 func (s *Shards) release(sl *slot, to string) bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -169,12 +174,12 @@
 		return false
 	}
 	s.opt.Logger.Info("shard_release", zap.Int("shard", sl.id), zap.String("successor", to))
-	sl.poke()
+	sl.notify()
 	return true
 }
 
-// tellSuccessor asks the named successor to claim now instead of at its turn.
-func (s *Shards) tellSuccessor(sl *slot, successor string) {
+// notifySuccessor asks the named successor to claim the shard now instead of at its turn.
+func (s *Shards) notifySuccessor(sl *slot, successor string) {
 	for _, m := range s.opt.View.Members() {
 		if m.ID() == successor {
 			s.opt.Peer.Notify(m.PeerAddress, methodTakeOver, TakeOverRequest{Shard: sl.id})
@@ -183,25 +188,27 @@
 	}
 }
 
-// Drain hands all shards over and returns when none is held. Claims end at once.
+// Drain hands off all shards and returns when this daemon holds none. It starts no more
+// claims. The error is a DrainTimeout if shards are still held when ctx ends, or when the
+// log has been unreachable for drainLogWait.
 func (s *Shards) Drain(ctx context.Context) error {
 	s.draining.Store(true)
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	lastOK := time.Now()
 	for s.busySlots() > 0 {
 		if s.LogOK() || s.figures().Waiting > 0 {
 			lastOK = time.Now()
 		}
-		// Handing over takes a record. While the log is out a stopping daemon would
-		// wait for it until its whole drain time is over, and gain nothing: when the
-		// log is back, the others claim what is left as from a lost host. But ends
-		// that wait for the log would be lost with this daemon, so they are waited
-		// for.
+		// A hand-off needs a record on the log. During an outage of the log a stopping
+		// daemon would wait for its whole drain time and gain nothing: when the log is
+		// back, other daemons claim the remaining shards as those of a lost host. But
+		// results that are not on the log yet would be lost with this daemon, so Drain
+		// waits for those.
 		if time.Since(lastOK) >= drainLogWait {
 			return DrainTimeout.New("%d shards are still held and the log is out of reach", s.busySlots())
 		}
-		for _, sl := range s.slots { // again and again: a claim may just succeed
+		for _, sl := range s.slots { // repeatedly, as a claim in progress may still succeed
 			s.release(sl, s.bestSuccessor(sl.id))
 		}
 		select {
@@ -225,7 +232,7 @@
 	return n
 }
 
-// bestSuccessor is the best ranked other member, "" if there is none.
+// bestSuccessor returns the id of the highest ranked other member, "" if there is none.
 func (s *Shards) bestSuccessor(id int) string {
 	self := s.opt.View.Self().ID()
 	for _, m := range s.opt.View.Successors(shard.Key(id)) {
--- a/daemon/shards/claim_test.go
+++ b/daemon/shards/claim_test.go
@@ -16,10 +16,10 @@
 )
 
 var _ = Describe("Claims after the loss of every daemon", func() {
-	// All hosts come back from a power cut at once. Claims of all shards within
-	// milliseconds exceed the burst that the log allows, so it refuses some, and
-	// those wait. Claims must come spread out instead, and all soon.
-	It("come within half of the fleet's append budget", func() {
+	// All hosts restart at the same time after a power failure. Claims of all shards
+	// within milliseconds exceed the burst that the log allows, so the log refuses some
+	// of them, which delays these. Claims must be spread out, and complete soon.
+	It("stay within half of the fleet's append budget", func() {
 		began := time.Now()
 		var passed atomic.Int64
 		self := membership.Member{Host: "a", Incarnation: 1, LogOK: true, Ready: true}
@@ -35,7 +35,7 @@
 		s.group = duty.NewGroup(ctx)
 		DeferCleanup(func() { cancel(); s.group.Wait() })
 
-		// A log takes 20 at once; half of that is left to what isn't a claim.
+		// The log accepts a burst of 20 appends; half of that is left to other records.
 		const round, burst = 10 * time.Millisecond, 10
 		before := 0
 		for s.busySlots() < DefaultShards && passed.Load() < int64(time.Second) {
@@ -53,40 +53,40 @@
 	})
 })
 
-var _ = Describe("Daemons that are cut from each other but reach the log", func() {
-	// Each takes the other for dead and claims its shards. If each claims again
-	// the moment it reads of its loss, a shard changes hands ten times a second,
-	// no holder keeps anything, and the claims use up the log's appends.
-	It("let a claim stand before they claim against it", func() {
+var _ = Describe("Daemons that can't reach each other but reach the log", func() {
+	// Each considers the other dead and claims its shards. If each claims a shard again
+	// as soon as it reads that it lost it, the shard changes holders ten times a second,
+	// no holder gets anything done, and the claims use up the log's append limit.
+	It("grant a claim a grace time before they claim against it", func() {
 		f := newFleet("a", "b")
 		first := f.ownerOf("key")
 		second := f.other(first)
 		Eventually(func() uint64 { return second.seenTerm("key") }).Should(Equal(first.term("key")))
 		before, began := first.term("key"), time.Now()
-		first.alone.Store(true)
-		second.alone.Store(true)
+		first.isolated.Store(true)
+		second.isolated.Store(true)
 		Eventually(func() uint64 { return first.term("key") }).WithTimeout(20*time.Second).
 			Should(BeNumerically(">", before), "the first claims it back")
-		// The other's claim between has stood; a slow machine only takes longer.
-		Expect(time.Since(began)).To(BeNumerically(">=", standTime))
+		// The other daemon's claim had its grace time; a slow machine only takes longer.
+		Expect(time.Since(began)).To(BeNumerically(">=", claimGrace))
 		Expect(first.term("key")).To(Equal(before + 2))
 	})
 
-	// A host whose clock is wrong by a day has claimed a shard and died: the
-	// others wait no longer than for any other claim.
-	It("wait for a claim once, whatever its record's time", func() {
+	// A host whose clock is wrong by a day has claimed a shard and died. The others must
+	// wait no longer than for any other claim.
+	It("wait once for a claim, whatever the time in its record", func() {
 		f := newFleet("a")
 		s := f.ownerOf("key").shards
 		sl := s.slotOf("key")
 		for _, passed := range []time.Duration{-24 * time.Hour, 24 * time.Hour} {
 			sl.mu.Lock()
-			term := sl.known + 1
-			stands := s.letStand(sl, term, passed)
-			until := sl.standsUntil
-			again := s.letStand(sl, term, passed)
+			term := sl.knownTerm + 1
+			stands := s.startGrace(sl, term, passed)
+			until := sl.graceUntil
+			again := s.startGrace(sl, term, passed)
 			sl.mu.Unlock()
 			Expect(stands).To(Equal(passed < 0))
-			Expect(until).To(BeTemporally("<=", time.Now().Add(standTime)))
+			Expect(until).To(BeTemporally("<=", time.Now().Add(claimGrace)))
 			Expect(again).To(BeFalse(), "a second time")
 		}
 	})
--- a/daemon/shards/client.go
+++ b/daemon/shards/client.go
@@ -13,76 +13,79 @@
 )
 
 const (
-	// askTimeout bounds one call at an owner that answers from memory, waitTimeout
-	// one that waits for the log, cancelTimeout a cancel.
-	askTimeout    = 3 * time.Second
+	// queryTimeout limits one call to an owner that responds from memory, waitTimeout a
+	// call that waits for the log, uploadTimeout a chunk or a commit of a job, and
+	// cancelTimeout the cancellation of a job.
+	queryTimeout  = 3 * time.Second
 	waitTimeout   = 6 * time.Second
 	uploadTimeout = 15 * time.Second
 	cancelTimeout = 40 * time.Second
-	// lookAgain is the pause before the shard's owner is looked for again.
-	lookAgain = 50 * time.Millisecond
-	// likelyHolders is how many members are asked in turn for a shard whose holder
-	// is not known.
-	likelyHolders = 3
-	// noOwnerRetryMs is told to a caller whose shard has no owner.
+	// ownerRetryPause is the pause before the shard's owner is looked up again.
+	ownerRetryPause = 50 * time.Millisecond
+	// maxLikelyHolders is the number of members that are tried in turn for a shard whose
+	// holder is not known.
+	maxLikelyHolders = 3
+	// noOwnerRetryMs is the retry-after time that a caller gets when the shard has no
+	// owner.
 	noOwnerRetryMs = 1000
 )
 
-// ask finds the shard's owner and calls it, again and again until ctx or the
-// retry time ends. That is safe for every call of this package: a Begin has its
-// nonce, an upload its name and chunk numbers, an end its item and attempt, so
-// an owner knows a call that it has had before.
-func ask[Q, R any](ctx context.Context, s *Shards, sl *slot, method string, timeout time.Duration,
-	req Q, own func(context.Context, Q) Word[R]) (R, error) {
+// callOwner calls the shard's owner, and retries until ctx ends or Options.RetryFor has
+// passed. local runs the call at an owner on this daemon. Retries are safe for every call
+// of this package, because an owner recognizes a call that it has already received: a
+// Begin by its nonce, an upload by its name and chunk numbers, the end of an item by the
+// item and its attempt.
+func callOwner[Q, R any](ctx context.Context, s *Shards, sl *slot, method string, timeout time.Duration,
+	req Q, local func(context.Context, Q) Word[R]) (R, error) {
 	var none R
-	giveUp := s.opt.Clock().Add(s.opt.RetryFor)
+	deadline := s.opt.Clock().Add(s.opt.RetryFor)
 	reached := false
 	for try := 0; ; try++ {
-		w, sent := askOnce(ctx, s, sl, try, method, timeout, req, own)
+		reply, sent := callOwnerOnce(ctx, s, sl, try, method, timeout, req, local)
 		reached = reached || sent
 		switch {
-		case !w.NotOwner && w.Refusal != nil:
-			return w.Value, w.Refusal
-		case !w.NotOwner:
-			return w.Value, nil
-		case ctx.Err() != nil || s.opt.Clock().After(giveUp):
+		case !reply.NotOwner && reply.Refusal != nil:
+			return reply.Value, reply.Refusal
+		case !reply.NotOwner:
+			return reply.Value, nil
+		case ctx.Err() != nil || s.opt.Clock().After(deadline):
 			return none, noOwner(reached)
 		}
-		duty.Pause(ctx, lookAgain)
+		duty.Pause(ctx, ownerRetryPause)
 	}
 }
 
-// askOnce calls the owner as far as it is known. sent tells that the call may
-// have taken effect though no answer came.
-func askOnce[Q, R any](ctx context.Context, s *Shards, sl *slot, try int, method string, timeout time.Duration,
-	req Q, own func(context.Context, Q) Word[R]) (w Word[R], sent bool) {
+// callOwnerOnce calls the owner, or a likely owner if no holder is known. sent reports that
+// the call may have taken effect although no response arrived.
+func callOwnerOnce[Q, R any](ctx context.Context, s *Shards, sl *slot, try int, method string, timeout time.Duration,
+	req Q, local func(context.Context, Q) Word[R]) (reply Word[R], sent bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	holder, ok := s.opt.View.Holder(sl.id)
-	if s.holdsHere(sl, holder, ok) {
-		w = own(ctx, req)
-		return w, w.NotOwner
+	if s.useLocalOwner(sl, holder, ok) {
+		reply = local(ctx, req)
+		return reply, reply.NotOwner
 	}
 	if !ok || holder.ID() == s.opt.View.Self().ID() {
-		// Word of a new holder travels with the probes. Who should claim the shard
-		// is known at once, and may hold it already.
+		// Probes carry the announcement of a new holder, which may not have arrived.
+		// The members that should claim the shard are known, and may hold it already.
 		if holder, ok = s.likelyHolder(sl.id, try); !ok {
 			return Word[R]{NotOwner: true}, false
 		}
 	}
-	if err := s.call(ctx, holder.PeerAddress, method, req, &w); err != nil {
+	if err := s.call(ctx, holder.PeerAddress, method, req, &reply); err != nil {
 		return Word[R]{NotOwner: true}, !peer.IsUnreachable(err)
 	}
-	return w, false
+	return reply, false
 }
 
-// likelyHolder is one of the best ranked other members, which claim a shard that
-// loses its holder; each further try asks the next of them.
+// likelyHolder returns one of the highest ranked other members, which claim a shard that
+// loses its holder. Each further try returns the next of them.
 func (s *Shards) likelyHolder(id, try int) (membership.Member, bool) {
 	self := s.opt.View.Self().ID()
 	var likely []membership.Member
 	for _, m := range s.opt.View.Successors(shard.Key(id)) {
-		if m.ID() != self && len(likely) < likelyHolders {
+		if m.ID() != self && len(likely) < maxLikelyHolders {
 			likely = append(likely, m)
 		}
 	}
@@ -92,20 +95,21 @@
 	return likely[try%len(likely)], true
 }
 
-// doubter is a View that can look at a member out of turn.
-type doubter interface{ Doubt(address string) }
+// prober is a View that can probe a member immediately.
+type prober interface{ Doubt(address string) }
 
-// doubt has the member at the address looked at, because a call there failed.
-func (s *Shards) doubt(address string, err error) {
-	if d, ok := s.opt.View.(doubter); ok && !peer.IsRemoteError(err) {
-		d.Doubt(address)
+// reportFailed makes the membership probe the member at the address, because a call to it
+// failed with err. An error that the member returned itself is ignored.
+func (s *Shards) reportFailed(address string, err error) {
+	if p, ok := s.opt.View.(prober); ok && !peer.IsRemoteError(err) {
+		p.Doubt(address)
 	}
 }
 
-// holdsHere tells whether the owner here should be asked. One that is cut off
-// from the log can't read that it lost its shard; if another daemon tells of a
-// later term, that one can do what this owner would have to refuse.
-func (s *Shards) holdsHere(sl *slot, holder membership.Member, known bool) bool {
+// useLocalOwner reports whether the owner on this daemon should handle the call. An owner
+// that can't reach the log can't read that it lost its shard. If another daemon announces
+// a later term, that one can handle calls that this owner would have to refuse.
+func (s *Shards) useLocalOwner(sl *slot, holder membership.Member, known bool) bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
 	if !sl.holding() {
@@ -130,11 +134,11 @@
 	return r
 }
 
-// Begin implements ledger.Client. Its refusals are not_run in any case: the
-// entry host sends nothing to a target before the grant.
+// Begin implements ledger.Client. All its refusals are not_run, because the entry host
+// sends nothing to a target before the grant.
 func (s *Shards) Begin(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, error) {
 	timeout := time.Duration(req.WaitMs)*time.Millisecond + waitTimeout
-	reply, err := ask(ctx, s, s.slotOf(req.Key), methodBegin, timeout, req, s.ownBegin)
+	reply, err := callOwner(ctx, s, s.slotOf(req.Key), methodBegin, timeout, req, s.localBegin)
 	if r, ok := err.(*outcome.Refusal); ok {
 		return reply, r.WithRun(outcome.NotRun)
 	}
@@ -147,13 +151,13 @@
 	return reply, err
 }
 
-// Finish implements ledger.Client. It adds what the run was granted on, where
-// this daemon still knows it.
+// Finish implements ledger.Client. It adds the BeginRequest on which the run was granted,
+// if this daemon still has it.
 func (s *Shards) Finish(ctx context.Context, req ledger.FinishRequest) (ledger.FinishReply, error) {
 	if begin, ok := s.granted.Get(req.Nonce); ok && req.Begin.Key == "" {
 		req.Begin = begin
 	}
-	reply, err := ask(ctx, s, s.slotOf(req.Key), methodFinish, waitTimeout, req, s.ownFinish)
+	reply, err := callOwner(ctx, s, s.slotOf(req.Key), methodFinish, waitTimeout, req, s.localFinish)
 	if err == nil && reply.Durable {
 		s.granted.Remove(req.Nonce)
 	}
@@ -162,22 +166,23 @@
 
 // Request implements ledger.Client.
 func (s *Shards) Request(ctx context.Context, key string) (ledger.KeptRequest, error) {
-	return ask(ctx, s, s.slotOf(key), methodRequest, askTimeout, key, s.ownRequest)
+	return callOwner(ctx, s, s.slotOf(key), methodRequest, queryTimeout, key, s.localRequest)
 }
 
 // OpenJob implements ledger.Client.
 func (s *Shards) OpenJob(ctx context.Context, req ledger.JobOpenRequest) error {
-	_, err := ask(ctx, s, s.slotOf(req.Job), methodOpenJob, askTimeout, req, s.ownOpenJob)
+	_, err := callOwner(ctx, s, s.slotOf(req.Job), methodOpenJob, queryTimeout, req, s.localOpenJob)
 	return notRun(err)
 }
 
 // AddItems implements ledger.Client.
 func (s *Shards) AddItems(ctx context.Context, req ledger.JobChunkRequest) error {
-	_, err := ask(ctx, s, s.slotOf(req.Job), methodAddItems, uploadTimeout, req, s.ownAddItems)
+	_, err := callOwner(ctx, s, s.slotOf(req.Job), methodAddItems, uploadTimeout, req, s.localAddItems)
 	return notRun(err)
 }
 
-// notRun marks a refusal of an upload that was not committed: nothing of it runs.
+// notRun marks a refusal of an upload as not_run: none of the items of a job runs before
+// the job is committed.
 func notRun(err error) error {
 	if r, ok := err.(*outcome.Refusal); ok {
 		return r.WithRun(outcome.NotRun)
@@ -187,46 +192,46 @@
 
 // CommitJob implements ledger.Client.
 func (s *Shards) CommitJob(ctx context.Context, req ledger.JobCommitRequest) (ledger.JobCommitReply, error) {
-	return ask(ctx, s, s.slotOf(req.Job), methodCommitJob, uploadTimeout, req, s.ownCommitJob)
+	return callOwner(ctx, s, s.slotOf(req.Job), methodCommitJob, uploadTimeout, req, s.localCommitJob)
 }
 
 // Job implements ledger.Client.
 func (s *Shards) Job(ctx context.Context, job string) (ledger.JobStatus, error) {
-	return ask(ctx, s, s.slotOf(job), methodJob, askTimeout, job, s.ownJob)
+	return callOwner(ctx, s, s.slotOf(job), methodJob, queryTimeout, job, s.localJob)
 }
 
 // Results implements ledger.Client.
 func (s *Shards) Results(ctx context.Context, req ledger.ResultsRequest) (ledger.ResultsReply, error) {
-	return ask(ctx, s, s.slotOf(req.Job), methodResults, askTimeout, req, s.ownResults)
+	return callOwner(ctx, s, s.slotOf(req.Job), methodResults, queryTimeout, req, s.localResults)
 }
 
 // Item implements ledger.Client.
 func (s *Shards) Item(ctx context.Context, job, customID string) (ledger.ItemResult, error) {
 	req := ItemRequest{Job: job, CustomID: customID}
-	return ask(ctx, s, s.slotOf(job), methodItem, askTimeout, req, s.ownItem)
+	return callOwner(ctx, s, s.slotOf(job), methodItem, queryTimeout, req, s.localItem)
 }
 
 // CancelJob implements ledger.Client.
 func (s *Shards) CancelJob(ctx context.Context, job string) (ledger.JobStatus, error) {
-	return ask(ctx, s, s.slotOf(job), methodCancelJob, cancelTimeout, job, s.ownCancelJob)
+	return callOwner(ctx, s, s.slotOf(job), methodCancelJob, cancelTimeout, job, s.localCancelJob)
 }
 
 // Pull implements ledger.Client.
 func (s *Shards) Pull(ctx context.Context, owner string, req ledger.PullRequest) (ledger.PullReply, error) {
 	if owner == s.opt.View.Self().PeerAddress {
-		return s.ownPull(ctx, req).Value, nil
+		return s.localPull(ctx, req).Value, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var w Word[ledger.PullReply]
-	if err := s.call(ctx, owner, methodPull, req, &w); err != nil {
+	var reply Word[ledger.PullReply]
+	if err := s.call(ctx, owner, methodPull, req, &reply); err != nil {
 		return ledger.PullReply{}, noOwner(!peer.IsUnreachable(err))
 	}
-	return w.Value, nil
+	return reply.Value, nil
 }
 
-// FinishItems implements ledger.Client. Each shard's ends go to its owner at the
-// same time; those that no owner has kept are returned.
+// FinishItems implements ledger.Client. It sends the ends of each shard to the shard's
+// owner, to all owners concurrently, and returns those that no owner has recorded.
 func (s *Shards) FinishItems(ctx context.Context, req ledger.FinishItemsRequest) ([]ledger.ItemEnd, error) {
 	byShard := map[*slot][]ledger.ItemEnd{}
 	var order []*slot
@@ -240,7 +245,7 @@
 	failed := make([]bool, len(order))
 	fanOut(len(order), func(i int) {
 		part := ledger.FinishItemsRequest{Steward: req.Steward, Ends: byShard[order[i]]}
-		_, err := ask(ctx, s, order[i], methodFinishItems, waitTimeout, part, s.ownFinishItems)
+		_, err := callOwner(ctx, s, order[i], methodFinishItems, waitTimeout, part, s.localFinishItems)
 		failed[i] = err != nil
 	})
 	var undelivered []ledger.ItemEnd
--- a/daemon/shards/fleet_test.go
+++ b/daemon/shards/fleet_test.go
@@ -30,7 +30,7 @@
 
 const testShards = 4
 
-// fleet is a handful of Shards over one fake log, joined in process.
+// fleet is a few daemons' Shards in this process, over one fake log.
 type fleet struct {
 	mu    sync.Mutex
 	log   *fakelog.Log
@@ -48,14 +48,14 @@
 	stop   func()
 	server *peer.Server
 	caller *peer.Client
-	// revoked lists the jobs that this node's steward was told to drop, doubted
-	// the members that were to be looked at.
+	// revoked lists the jobs that this node's batch dispatcher (steward) had to drop,
+	// probed the addresses of the members that were to be probed immediately.
 	revoked []string
-	doubted []string
-	// blind keeps the node from hearing who holds what.
+	probed  []string
+	// blind hides from the node which member holds which shard.
 	blind atomic.Bool
-	// alone cuts it from all others, but not from the log.
-	alone atomic.Bool
+	// isolated cuts the node off from all others, but not from the log.
+	isolated atomic.Bool
 }
 
 func newFleet(hosts ...string) *fleet {
@@ -78,7 +78,7 @@
 			Host: host, PeerAddress: listener.Addr().String(), Incarnation: f.next, LogOK: true, Ready: true,
 		},
 	}
-	Expect(n.server.Register("Steward", &stewardFake{n})).To(Succeed())
+	Expect(n.server.Register("Steward", &fakeSteward{n})).To(Succeed())
 	opt := Options{
 		Log: n.client, View: n, Peer: n.caller, Registrar: n.server, Shards: testShards,
 		Config:     func() *config.Config { return nil },
@@ -109,7 +109,7 @@
 	return n
 }
 
-// kill ends a node as abruptly as a process can: nothing is handed over.
+// kill stops a node like a killed process, without a hand-off.
 func (f *fleet) kill(n *node) {
 	f.mu.Lock()
 	delete(f.nodes, n.self.Host)
@@ -127,7 +127,7 @@
 	}
 }
 
-// term is the term in which the node holds the name's shard, 0 if it doesn't.
+// term returns the term in which the node holds the name's shard, 0 if it does not.
 func (n *node) term(name string) uint64 {
 	for _, h := range n.shards.Holds() {
 		if h.Shard == shard.Of(name, testShards) {
@@ -137,7 +137,7 @@
 	return 0
 }
 
-// seenTerm is the highest term in which anybody is seen to hold the shard.
+// seenTerm returns the highest term in which the node sees a member hold the shard.
 func (n *node) seenTerm(name string) (term uint64) {
 	holder, _ := n.Holder(shard.Of(name, testShards))
 	for _, h := range holder.Shards {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-// The node is its own view.
+// node implements membership.View.
 
 func (n *node) Self() membership.Member { return n.self }
 
@@ -190,7 +190,7 @@
 	defer n.fleet.mu.Unlock()
 	var out []membership.Member
 	for _, m := range n.fleet.nodes {
-		if n.alone.Load() && m != n {
+		if n.isolated.Load() && m != n {
 			continue
 		}
 		self := m.self
@@ -239,16 +239,16 @@
 
 func (n *node) TargetLeaving(string) bool { return false }
 
-func (n *node) Doubt(address string) { n.doubted = append(n.doubted, address) }
+func (n *node) Doubt(address string) { n.probed = append(n.probed, address) }
 
-type stewardFake struct{ n *node }
+type fakeSteward struct{ n *node }
 
-// RevokeArgs and RevokeWords have the fields of the steward's messages.
+// RevokeArgs and RevokeReply have the fields of the messages of Steward.Revoke.
 type RevokeArgs struct{ Job string }
 
 type RevokeWords struct{ Queued, Running int }
 
-func (f *stewardFake) Revoke(req RevokeArgs, _ *RevokeWords) error {
+func (f *fakeSteward) Revoke(req RevokeArgs, _ *RevokeWords) error {
 	f.n.fleet.mu.Lock()
 	defer f.n.fleet.mu.Unlock()
 	f.n.revoked = append(f.n.revoked, req.Job)
--- a/daemon/shards/group.go
+++ b/daemon/shards/group.go
@@ -5,9 +5,9 @@
 	"tarragonhollow.example/tarragonhollow/core/ledger"
 )
 
-// groupByConfig finds an item's target group in the configuration in force. As
-// long as there is none, every item has an unnamed group, so that nothing fails
-// for the lack of a configuration.
+// groupByConfig returns a function that looks up an item's target group in the current
+// configuration. While there is no configuration, every item gets the group "", so that no
+// item fails for lack of one.
 func groupByConfig(current func() *config.Config) func(ledger.Item) (string, bool) {
 	return func(item ledger.Item) (string, bool) {
 		c := current()
--- a/daemon/shards/hold.go
+++ b/daemon/shards/hold.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// readBytes bounds one page of a stream.
+	// readBytes limits one page of a stream.
 	readBytes = 4 << 20
-	// pollWait is how long a read waits for the next record; pollWaitDown while
-	// the log is being tried again after a failure.
+	// pollWait is how long a read waits for the next record, pollWaitDown the same after
+	// a failed read, until the log responds again.
 	pollWait     = 2 * time.Second
 	pollWaitDown = 200 * time.Millisecond
-	// callTimeout bounds an append or a look at a stream's bounds.
+	// callTimeout limits an append, or a query of a stream's bounds.
 	callTimeout = 3 * time.Second
-	// pauseAfterError is the wait before the log is asked again.
+	// pauseAfterError is the pause before the log is called again after an error.
 	pauseAfterError = 200 * time.Millisecond
 )
 
-// hold replays the shard's stream, claims the shard and serves as its owner
-// until another daemon has it.
+// hold replays the shard's stream, claims the shard, and acts as its owner until another
+// daemon holds it.
 func (s *Shards) hold(ctx context.Context, sl *slot) {
-	defer s.ended(sl)
+	defer s.endHold(sl)
 	began := s.opt.Clock()
 	st, err := s.replay(ctx, sl, math.MaxInt)
 	if err != nil {
-		s.noteLog(false)
+		s.setLogOK(false)
 		s.opt.Logger.Warn("shard_replay_failed", zap.Int("shard", sl.id), zap.Error(err))
 		return
 	}
-	took := s.opt.Clock().Sub(began)
+	replayTime := s.opt.Clock().Sub(began)
 	if s.freshlyHeld(st) || s.newlyClaimed(sl, st) {
 		return
 	}
-	s.meter.replay.Update(took.Seconds())
+	s.meter.replay.Update(replayTime.Seconds())
 	owner := ledger.NewOwner(s.ownerConfig(sl.id), st, s.nowMs())
 	sl.mu.Lock()
 	sl.owner = owner
 	_, before := st.Term()
 	s.opt.Logger.Info("shard_claim", zap.Int("shard", sl.id), zap.Uint64("term", owner.Term()),
 		zap.String("cause", sl.cause), zap.String("previous", before),
-		zap.Duration("unheld", s.opt.Clock().Sub(sl.unheld)),
-		zap.Duration("replay", took), zap.Int64("next", st.Next()))
+		zap.Duration("unheld", s.opt.Clock().Sub(sl.unheldSince)),
+		zap.Duration("replay", replayTime), zap.Int64("next", st.Next()))
 	sl.mu.Unlock()
 
 	inner, stop := context.WithCancel(ctx)
@@ -63,12 +63,12 @@
 	<-done
 }
 
-// ended closes a hold: waiting calls are sent to the next owner, and a released
-// shard's successor is told.
-func (s *Shards) ended(sl *slot) {
+// endHold cleans up after a hold: it returns waiting calls as lost, so that they are
+// retried at the next owner, and notifies the successor of a released shard.
+func (s *Shards) endHold(sl *slot) {
 	sl.mu.Lock()
 	owner := sl.owner
-	sl.owner, sl.busy, sl.unheld = nil, false, time.Time{}
+	sl.owner, sl.busy, sl.unheldSince = nil, false, time.Time{}
 	for id, ch := range sl.calls {
 		delete(sl.calls, id)
 		ch <- ledger.Reply{Call: id, Lost: true}
@@ -80,7 +80,7 @@
 	sl.figures.Add(owner.Figures())
 	term, holder := owner.State().Term()
 	if holder != "" && holder != s.opt.View.Self().ID() {
-		s.letStand(sl, term, 0)
+		s.startGrace(sl, term, 0)
 	}
 	sl.mu.Unlock()
 	successor := owner.State().Successor()
@@ -88,12 +88,12 @@
 		zap.Uint64("current_term", term), zap.String("holder", holder),
 		zap.String("successor", successor))
 	if holder == "" && successor != "" {
-		s.tellSuccessor(sl, successor)
+		s.notifySuccessor(sl, successor)
 	}
 }
 
-// freshlyHeld tells whether the stream shows a live holder that claimed or wrote
-// so recently that its word about it may not have spread yet.
+// freshlyHeld reports whether the stream shows a live holder that claimed the shard or
+// wrote to it so recently that its announcement may not have reached this daemon yet.
 func (s *Shards) freshlyHeld(st *ledger.State) bool {
 	_, holder := st.Term()
 	if holder == "" || holder == s.opt.View.Self().ID() {
@@ -101,16 +101,16 @@
 	}
 	for _, m := range s.opt.View.Members() {
 		if m.ID() == holder {
-			fresh := s.nowMs()-st.LastAtMs() < settleTime.Milliseconds()
+			fresh := s.nowMs()-st.LastAtMs() < announceTime.Milliseconds()
 			return fresh && m.LogOK && m.State == membership.Live
 		}
 	}
 	return false
 }
 
-// replay folds the stream from the last Low on up to its present end; it fails if
-// that is more than the given bytes.
-func (s *Shards) replay(ctx context.Context, sl *slot, atMost int) (*ledger.State, error) {
+// replay applies the stream's records from the last Low to its current end. It fails if
+// these have more than maxBytes bytes.
+func (s *Shards) replay(ctx context.Context, sl *slot, maxBytes int) (*ledger.State, error) {
 	first, next, err := s.bounds(ctx, sl)
 	if err != nil {
 		return nil, err
@@ -130,8 +130,8 @@
 			return nil, errReplay.New("%s ends at %d, not %d", sl.stream, st.Next(), next)
 		}
 		for _, r := range page.Records {
-			if atMost -= len(r.Data); atMost < 0 {
-				return nil, errReplay.New("%s has more to read than is allowed", sl.stream)
+			if maxBytes -= len(r.Data); maxBytes < 0 {
+				return nil, errReplay.New("%s exceeds the size limit of a replay", sl.stream)
 			}
 			rec, _ := ledger.DecodeRecord(sl.id, r.Data)
 			if _, err := st.Apply(r.Offset, len(r.Data), rec); err != nil {
@@ -152,7 +152,7 @@
 	return first, next, nil
 }
 
-// tail reads the stream's last record, nil if there is none.
+// tail returns the stream's last record, nil if there is none.
 func (s *Shards) tail(ctx context.Context, sl *slot, first, next int64) (*ledger.Record, error) {
 	if next == first {
 		return nil, nil
@@ -168,7 +168,7 @@
 	return rec, nil
 }
 
-// readLoop folds what appears on the stream until the shard is lost.
+// readLoop applies new records of the stream until the shard is lost.
 func (s *Shards) readLoop(ctx context.Context, sl *slot, owner *ledger.Owner) {
 	for ctx.Err() == nil {
 		from, wait := s.readFrom(sl, owner)
@@ -181,8 +181,8 @@
 			duty.Pause(ctx, pauseAfterError)
 			continue
 		}
-		s.noteLog(true)
-		if !s.fold(sl, owner, page) {
+		s.setLogOK(true)
+		if !s.applyPage(sl, owner, page) {
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 
 func (s *Shards) readFailed(sl *slot, owner *ledger.Owner, err error) {
 	if extern.IsUnavailable(err) {
-		s.noteLog(false)
+		s.setLogOK(false)
 	}
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
@@ -208,9 +208,10 @@
 	s.deliver(sl)
 }
 
-// fold steps a page in; false ends the hold: the shard is lost, or records that
-// were still needed have expired and the stream has to be replayed.
-func (s *Shards) fold(sl *slot, owner *ledger.Owner, page extern.Page) bool {
+// applyPage applies a page of records. It returns false if the hold must end, because the
+// shard is lost, or because records that were still needed have expired and the stream has
+// to be replayed.
+func (s *Shards) applyPage(sl *slot, owner *ledger.Owner, page extern.Page) bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
 	owner.ReadOK(s.nowMs())
@@ -226,6 +227,6 @@
 			zap.Int("jobs", len(owner.Jobs())))
 	}
 	s.deliver(sl)
-	sl.poke()
+	sl.notify()
 	return !owner.Lost()
 }
--- a/daemon/shards/meter.go
+++ b/daemon/shards/meter.go
@@ -11,7 +11,7 @@
 	appends      *metrics.Counter
 	appendBytes  *metrics.Counter
 	appendErrors *metrics.Counter
-	// appendLimited counts appends that the log's rate limit refused.
+	// appendLimited counts appends that the log refused by its rate limit.
 	appendLimited *metrics.Counter
 	replay        *metrics.Histogram
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// figures sums the counters of all owners, past and present.
+// figures returns the sums of the counters of all owners, past and present.
 func (s *Shards) figures() ledger.Figures {
 	var sum ledger.Figures
 	for _, sl := range s.slots {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// ShardStatus is one held shard as operators see it.
+// ShardStatus is the status of one held shard, for operators.
 type ShardStatus struct {
 	Shard   int    `json:"shard"`
 	Term    uint64 `json:"term"`
@@ -93,14 +93,15 @@
 	LogOK   bool   `json:"log_ok"`
 }
 
-// Status is this daemon's part in the ledger as operators see it.
+// Status is the status of this daemon's part of the ledger, for operators.
 type Status struct {
 	LogOK  bool               `json:"log_ok"`
 	Shards []ShardStatus      `json:"shards"`
 	Jobs   []ledger.JobStatus `json:"jobs"`
 }
 
-// Status returns what this daemon holds.
+// Status returns the status of the log, of the shards that this daemon holds, and of their
+// jobs.
 func (s *Shards) Status() Status {
 	st := Status{LogOK: s.LogOK(), Jobs: s.Jobs()}
 	for _, sl := range s.slots {
--- a/daemon/shards/onlog.go
+++ b/daemon/shards/onlog.go
@@ -8,53 +8,55 @@
 )
 
 const (
-	// looksAtOnce is how many streams are read at once for OnLog, and lookBytes
-	// how much of each. They guard against a daemon that is cut from all owners
-	// under load and would read every stream for every order; a shard with more
-	// live state than that tells nothing, and its keys may have run.
-	looksAtOnce = 2
-	lookBytes   = 64 << 20
-	// lookTimeout bounds a look as long as a call at an owner.
-	lookTimeout = askTimeout
+	// maxLogReads is the number of streams that OnLog reads concurrently, and
+	// maxLogReadBytes how much of each. They limit the reads of a daemon that reaches no
+	// owner while it is under load, and would read a whole stream for every
+	// non-repeatable request. OnLog fails for a shard with more live state than that,
+	// and requests with the shard's keys may have run.
+	maxLogReads     = 2
+	maxLogReadBytes = 64 << 20
+	// logReadTimeout limits OnLog to the time of a call to an owner.
+	logReadTimeout = queryTimeout
 )
 
-// OnLog implements ledger.Client. It reads the shard's stream up to an end asked
-// for after the call began: an arrival of the key that was granted and answered
-// before has its start before that end, since a non-repeatable request is granted
-// only once its start was read back. Calls of a shard share one reading while
-// it waits for its turn; one that comes after the reading began waits for the
-// next, which that one's Forget lets begin.
+// OnLog implements ledger.Client. It reads the shard's stream up to an end that it queries
+// after the call began. A request with the same key that was granted and answered before
+// the call has its start record before that end, since a non-repeatable request is granted
+// only after its start record was read back. Calls for one shard share a read that has not
+// begun yet. A call that arrives after the read began needs a new one, which the Forget in
+// readState allows.
 func (s *Shards) OnLog(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, logReadTimeout)
 	defer cancel()
 	sl := s.slotOf(req.Key)
-	look := s.looks.DoChan(strconv.Itoa(sl.id), func() (any, error) { return s.readForLook(ctx, sl) })
+	result := s.logReads.DoChan(strconv.Itoa(sl.id), func() (any, error) { return s.readState(ctx, sl) })
 	select {
-	case r := <-look:
+	case r := <-result:
 		if r.Err != nil {
 			return ledger.BeginReply{}, r.Err
 		}
 		return r.Val.(*ledger.State).Look(req), nil
 	case <-ctx.Done():
-		return ledger.BeginReply{}, errReplay.Wrap(ctx.Err(), "look at %s", sl.stream)
+		return ledger.BeginReply{}, errReplay.Wrap(ctx.Err(), "read the state of %s", sl.stream)
 	}
 }
 
-// readForLook returns the shard's state; nobody changes it any more.
-func (s *Shards) readForLook(ctx context.Context, sl *slot) (*ledger.State, error) {
+// readState replays the shard's stream and returns its state. The state is shared by the
+// calls that wait for it, and must not be changed.
+func (s *Shards) readState(ctx context.Context, sl *slot) (*ledger.State, error) {
 	select {
-	case s.looking <- struct{}{}:
-		defer func() { <-s.looking }()
+	case s.logReadSlots <- struct{}{}:
+		defer func() { <-s.logReadSlots }()
 	case <-ctx.Done():
 		return nil, errReplay.Wrap(ctx.Err(), "wait to read %s", sl.stream)
 	}
-	s.looks.Forget(strconv.Itoa(sl.id))
-	st, err := s.replay(ctx, sl, lookBytes)
+	s.logReads.Forget(strconv.Itoa(sl.id))
+	st, err := s.replay(ctx, sl, maxLogReadBytes)
 	if err != nil {
 		return nil, err
 	}
 	if st.Next() > 0 && !st.Anchored() {
-		return nil, errReplay.New("%s tells no state", sl.stream)
+		return nil, errReplay.New("the state of %s can't be rebuilt from its records", sl.stream)
 	}
 	return st, nil
 }
--- a/daemon/shards/onlog_test.go
+++ b/daemon/shards/onlog_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("A daemon that reaches no owner", func() {
-	// A guest's order was placed through the other half of the fleet. Sent again
-	// to this half, it must not be called not run.
-	It("reads from the log what became of a key", func() {
+	// A non-repeatable request was accepted by the other half of a partitioned fleet. When
+	// the caller sends it again to this half, it must not be reported as not run.
+	It("reads the outcome of a key from the log", func() {
 		f := newFleet("a", "b")
 		owner := f.ownerOf("c/k")
 		apart := f.other(owner)
--- a/daemon/shards/options.go
+++ b/daemon/shards/options.go
@@ -1,6 +1,6 @@
-// Package shards runs the ledger: it claims shards, appends what their owners
-// decide, reads it back, and answers calls of this and other daemons. What is
-// decided, is decided in core/ledger; this package moves it.
+// Package shards runs the ledger: it claims shards, appends the decisions of their owners
+// to the log, reads them back, and handles calls from this and other daemons. All decisions
+// are made in core/ledger; this package does the input and output.
 package shards
 
 import (
@@ -17,13 +17,14 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// Errors is the namespace of this layer.
+// Errors is the error namespace of this package.
 var Errors = errorx.NewNamespace("shards")
 
 var (
-	// BadOptions: the options can't work.
+	// BadOptions is the type of errors for invalid options.
 	BadOptions = Errors.NewType("bad_options")
-	// DrainTimeout: shards were still held when the time for handing over ended.
+	// DrainTimeout is the type of errors for shards that were still held when the time
+	// for their hand-off ended.
 	DrainTimeout = Errors.NewType("drain_timeout", errorx.Timeout())
 	errReplay    = Errors.NewType("replay")
 	errNoMember  = Errors.NewType("no_member")
@@ -32,22 +33,24 @@
 const (
 	// DefaultShards is the number of shards; it is fixed for the life of a log.
 	DefaultShards = 32
-	// DefaultAppendPace is the time between two appends of batch changes on a shard.
+	// DefaultAppendInterval is the time between two appends of batch changes on a shard.
 	DefaultAppendPace = 100 * time.Millisecond
-	// DefaultUrgentPace is the time before an urgent one.
+	// DefaultUrgentInterval is the time between two appends if the second has an urgent
+	// change.
 	DefaultUrgentPace = 10 * time.Millisecond
-	// DefaultAppendBudget is the whole fleet's appends a second.
+	// DefaultAppendBudget is the limit for the whole fleet, in appends per second.
 	DefaultAppendBudget = 400
-	// DefaultLease is how long a steward holds an item without renewing it.
+	// DefaultLease is how long a batch dispatcher (steward) holds an item without renewing
+	// its lease.
 	DefaultLease = 4 * time.Second
-	// DefaultRetention is how long the log is taken to keep records.
+	// DefaultRetention is how long the log is assumed to keep records.
 	DefaultRetention = 24 * time.Hour
 	// DefaultClaimStep is the time between the claims of successive ranks.
 	DefaultClaimStep = 300 * time.Millisecond
-	// DefaultColdStart is how long a daemon gets to know the others before it
-	// claims anything.
+	// DefaultColdStart is how long a daemon waits after its start before it claims shards,
+	// to discover the other members first.
 	DefaultColdStart = 1500 * time.Millisecond
-	// DefaultRetryFor is how long a call looks for a shard's owner.
+	// DefaultRetryFor is how long a call is retried until it reaches the shard's owner.
 	DefaultRetryFor = 5 * time.Second
 )
 
@@ -58,17 +61,19 @@
 	View      membership.View
 	Peer      peer.Caller
 	Registrar peer.Registrar
-	// Config returns the configuration in force; nil or version 0 is "none yet".
+	// Config returns the current configuration; nil or version 0 means that there is none
+	// yet.
 	Config func() *config.Config
-	// GroupOf names the target group that serves an item; !ok is "none". The
-	// default follows from Config: the service in the URL or the body's model.
+	// GroupOf returns the target group that serves an item; ok is false if there is none.
+	// By default the group follows from Config by the service in the URL or the model in
+	// the body.
 	GroupOf func(ledger.Item) (group string, ok bool)
 
 	Shards     int
 	AppendPace time.Duration
 	UrgentPace time.Duration
-	// AppendBudget is the fleet's appends a second; each held shard has an equal
-	// part of it.
+	// AppendBudget is the limit for the whole fleet, in appends per second. Each held
+	// shard has an equal part of it.
 	AppendBudget float64
 	Lease        time.Duration
 	Retention    time.Duration
--- a/daemon/shards/own.go
+++ b/daemon/shards/own.go
@@ -9,19 +9,20 @@
 	"tarragonhollow.example/tarragonhollow/core/shard"
 )
 
-// Word is an owner's answer as it crosses the peers' connection.
+// OwnerReply is the message with which an owner replies to a call from another daemon.
 type Word[T any] struct {
-	// NotOwner tells that this daemon doesn't hold the shard.
+	// NotOwner reports that the called daemon does not hold the shard.
 	NotOwner bool
 	// Refusal is set if the call was refused.
 	Refusal *outcome.Refusal
-	// Value is the answer otherwise.
+	// Value is the result otherwise.
 	Value T
 }
 
-// step runs a call at the shard's owner here and waits for its reply. ok is
-// false if this daemon doesn't hold the shard, or lost it meanwhile.
-func (s *Shards) step(ctx context.Context, sl *slot, in func(*ledger.Owner, ledger.CallID)) (ledger.Reply, bool) {
+// runLocal starts a call at the shard's owner on this daemon and waits for the reply. It
+// returns false if this daemon does not hold the shard or has lost it meanwhile, or if ctx
+// has ended.
+func (s *Shards) runLocal(ctx context.Context, sl *slot, start func(*ledger.Owner, ledger.CallID)) (ledger.Reply, bool) {
 	sl.mu.Lock()
 	if !sl.holding() {
 		sl.mu.Unlock()
@@ -31,10 +32,10 @@
 	id := sl.lastCall
 	ch := make(chan ledger.Reply, 1)
 	sl.calls[id] = ch
-	in(sl.owner, id)
+	start(sl.owner, id)
 	s.deliver(sl)
 	sl.mu.Unlock()
-	sl.poke()
+	sl.notify()
 	select {
 	case r := <-ch:
 		return r, !r.Lost
@@ -46,177 +47,180 @@
 	}
 }
 
-// look runs a read or an immediate change at the owner here.
-func (s *Shards) look(sl *slot, at func(*ledger.Owner)) bool {
+// withOwner runs fn, a read or an immediate change, on the owner on this daemon. It returns
+// false if this daemon does not hold the shard.
+func (s *Shards) withOwner(sl *slot, fn func(*ledger.Owner)) bool {
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
 	if !sl.holding() {
 		return false
 	}
-	at(sl.owner)
+	fn(sl.owner)
 	s.deliver(sl)
-	sl.poke()
+	sl.notify()
 	return true
 }
 
-func (s *Shards) ownBegin(ctx context.Context, req ledger.BeginRequest) (w Word[ledger.BeginReply]) {
-	r, ok := s.step(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
+func (s *Shards) localBegin(ctx context.Context, req ledger.BeginRequest) (reply Word[ledger.BeginReply]) {
+	r, ok := s.runLocal(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
 		o.Begin(s.nowMs(), id, req)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Value = *r.Begin
-	return w
+	reply.Value = *r.Begin
+	return reply
 }
 
-func (s *Shards) ownFinish(ctx context.Context, req ledger.FinishRequest) (w Word[ledger.FinishReply]) {
-	r, ok := s.step(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
+func (s *Shards) localFinish(ctx context.Context, req ledger.FinishRequest) (reply Word[ledger.FinishReply]) {
+	r, ok := s.runLocal(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
 		o.Finish(s.nowMs(), id, req)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Value = *r.Finish
-	return w
+	reply.Value = *r.Finish
+	return reply
 }
 
-func (s *Shards) ownRequest(_ context.Context, key string) (w Word[ledger.KeptRequest]) {
-	w.NotOwner = !s.look(s.slotOf(key), func(o *ledger.Owner) {
+func (s *Shards) localRequest(_ context.Context, key string) (reply Word[ledger.KeptRequest]) {
+	reply.NotOwner = !s.withOwner(s.slotOf(key), func(o *ledger.Owner) {
 		kept, ok := o.Request(key)
-		w.Value = kept
+		reply.Value = kept
 		if !ok {
-			w.Refusal = outcome.Refuse(outcome.NotFound, "no such key")
+			reply.Refusal = outcome.Refuse(outcome.NotFound, "no such key")
 		}
 	})
-	return w
+	return reply
 }
 
-func (s *Shards) ownOpenJob(_ context.Context, req ledger.JobOpenRequest) (w Word[ledger.JobOpenReply]) {
-	w.NotOwner = !s.look(s.slotOf(req.Job), func(o *ledger.Owner) {
-		w.Refusal = o.OpenJob(s.nowMs(), req).Refusal
+func (s *Shards) localOpenJob(_ context.Context, req ledger.JobOpenRequest) (reply Word[ledger.JobOpenReply]) {
+	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
+		reply.Refusal = o.OpenJob(s.nowMs(), req).Refusal
 	})
-	return w
+	return reply
 }
 
-func (s *Shards) ownAddItems(ctx context.Context, req ledger.JobChunkRequest) (w Word[ledger.JobChunkReply]) {
-	r, ok := s.step(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
+func (s *Shards) localAddItems(ctx context.Context, req ledger.JobChunkRequest) (reply Word[ledger.JobChunkReply]) {
+	r, ok := s.runLocal(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
 		o.AddItems(s.nowMs(), id, req)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Refusal = r.Chunk.Refusal
-	return w
+	reply.Refusal = r.Chunk.Refusal
+	return reply
 }
 
-func (s *Shards) ownCommitJob(ctx context.Context, req ledger.JobCommitRequest) (w Word[ledger.JobCommitReply]) {
-	r, ok := s.step(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
+func (s *Shards) localCommitJob(ctx context.Context, req ledger.JobCommitRequest) (reply Word[ledger.JobCommitReply]) {
+	r, ok := s.runLocal(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
 		o.CommitJob(s.nowMs(), id, req)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Value, w.Refusal = *r.Commit, r.Commit.Refusal
-	return w
+	reply.Value, reply.Refusal = *r.Commit, r.Commit.Refusal
+	return reply
 }
 
-func (s *Shards) ownJob(_ context.Context, job string) (w Word[ledger.JobStatus]) {
-	w.NotOwner = !s.look(s.slotOf(job), func(o *ledger.Owner) {
-		w.Value, w.Refusal = o.Job(s.nowMs(), job)
+func (s *Shards) localJob(_ context.Context, job string) (reply Word[ledger.JobStatus]) {
+	reply.NotOwner = !s.withOwner(s.slotOf(job), func(o *ledger.Owner) {
+		reply.Value, reply.Refusal = o.Job(s.nowMs(), job)
 	})
-	return w
+	return reply
 }
 
-func (s *Shards) ownResults(_ context.Context, req ledger.ResultsRequest) (w Word[ledger.ResultsReply]) {
-	w.NotOwner = !s.look(s.slotOf(req.Job), func(o *ledger.Owner) {
-		w.Value = o.Results(req)
-		w.Refusal = w.Value.Refusal
+func (s *Shards) localResults(_ context.Context, req ledger.ResultsRequest) (reply Word[ledger.ResultsReply]) {
+	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
+		reply.Value = o.Results(req)
+		reply.Refusal = reply.Value.Refusal
 	})
-	return w
+	return reply
 }
 
-func (s *Shards) ownItem(_ context.Context, req ItemRequest) (w Word[ledger.ItemResult]) {
-	w.NotOwner = !s.look(s.slotOf(req.Job), func(o *ledger.Owner) {
-		w.Value, w.Refusal = o.Item(req.Job, req.CustomID)
+func (s *Shards) localItem(_ context.Context, req ItemRequest) (reply Word[ledger.ItemResult]) {
+	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
+		reply.Value, reply.Refusal = o.Item(req.Job, req.CustomID)
 	})
-	return w
+	return reply
 }
 
-func (s *Shards) ownCancelJob(ctx context.Context, job string) (w Word[ledger.JobStatus]) {
-	r, ok := s.step(ctx, s.slotOf(job), func(o *ledger.Owner, id ledger.CallID) {
+func (s *Shards) localCancelJob(ctx context.Context, job string) (reply Word[ledger.JobStatus]) {
+	r, ok := s.runLocal(ctx, s.slotOf(job), func(o *ledger.Owner, id ledger.CallID) {
 		o.CancelJob(s.nowMs(), id, job)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Value, w.Refusal = r.Cancel.Status, r.Cancel.Refusal
-	return w
+	reply.Value, reply.Refusal = r.Cancel.Status, r.Cancel.Refusal
+	return reply
 }
 
-func (s *Shards) ownFinishItems(ctx context.Context, req ledger.FinishItemsRequest) (w Word[ledger.FinishItemsReply]) {
+func (s *Shards) localFinishItems(ctx context.Context, req ledger.FinishItemsRequest) (reply Word[ledger.FinishItemsReply]) {
 	if len(req.Ends) == 0 {
-		return w
+		return reply
 	}
-	r, ok := s.step(ctx, s.slotOf(req.Ends[0].Ref.Job), func(o *ledger.Owner, id ledger.CallID) {
+	r, ok := s.runLocal(ctx, s.slotOf(req.Ends[0].Ref.Job), func(o *ledger.Owner, id ledger.CallID) {
 		o.FinishItems(s.nowMs(), id, req)
 	})
 	if !ok {
-		w.NotOwner = true
-		return w
+		reply.NotOwner = true
+		return reply
 	}
-	w.Refusal = r.Ends.Refusal
-	return w
+	reply.Refusal = r.Ends.Refusal
+	return reply
 }
 
-// ownPull serves a steward from all shards held here. The shards with the most
-// urgent work go first; every fairPull-th pull begins with another shard in
-// turn, so that a large urgent job on one shard doesn't starve the others.
-func (s *Shards) ownPull(_ context.Context, req ledger.PullRequest) (w Word[ledger.PullReply]) {
+// localPull serves a batch dispatcher (steward) from all shards held on this daemon. The
+// shards with the most urgent items come first. Every fairPullEvery-th pull begins with
+// another shard in turn, so that a large urgent job on one shard does not starve the others.
+func (s *Shards) localPull(_ context.Context, req ledger.PullRequest) (reply Word[ledger.PullReply]) {
 	running := make([][]ledger.ItemRef, len(s.slots))
 	for _, ref := range req.Running {
 		id := shard.Of(ref.Job, len(s.slots))
 		running[id] = append(running[id], ref)
 	}
-	w.Value.LeaseMs = s.opt.Lease.Milliseconds()
-	w.Value.Terms = map[int]uint64{}
-	order := s.pullOrder(&req, running, &w.Value)
+	reply.Value.LeaseMs = s.opt.Lease.Milliseconds()
+	reply.Value.Terms = map[int]uint64{}
+	order := s.pullOrder(&req, running, &reply.Value)
 	for _, sl := range order {
 		part := req
 		part.Running, part.HeldWhole = nil, false
-		part.Max = req.Max - len(w.Value.Items)
-		for _, it := range w.Value.Items {
+		part.Max = req.Max - len(reply.Value.Items)
+		for _, it := range reply.Value.Items {
 			part.MaxBytes -= len(it.Item.Body)
 		}
 		if part.Max <= 0 || part.MaxBytes <= 0 {
 			break
 		}
-		s.look(sl, func(o *ledger.Owner) {
-			w.Value.Items = append(w.Value.Items, o.Pull(s.nowMs(), part).Items...)
+		s.withOwner(sl, func(o *ledger.Owner) {
+			reply.Value.Items = append(reply.Value.Items, o.Pull(s.nowMs(), part).Items...)
 		})
 	}
-	w.Value.Backlog = max(0, w.Value.Backlog-len(w.Value.Items))
-	return w
+	reply.Value.Backlog = max(0, reply.Value.Backlog-len(reply.Value.Items))
+	return reply
 }
 
-// fairPull is how often a pull goes by turn instead of by due time.
-const fairPull = 4
+// fairPullEvery is the number of pulls of which one begins with a shard in turn instead of
+// the one with the earliest due time.
+const fairPullEvery = 4
 
-// pullOrder renews the steward's leases and returns the shards that have waiting
-// items of its group, in the order they should be asked.
+// pullOrder renews the leases of the batch dispatcher and returns the shards that have
+// waiting items of its group, in the order in which to pull from them. It adds what the
+// shards report to sum.
 func (s *Shards) pullOrder(req *ledger.PullRequest, running [][]ledger.ItemRef, sum *ledger.PullReply) []*slot {
 	var order []*slot
 	due := map[*slot]int64{}
 	for _, sl := range s.slots {
-		ask := *req
-		ask.Max, ask.Running = 0, running[sl.id]
-		s.look(sl, func(o *ledger.Owner) {
-			r := o.Pull(s.nowMs(), ask)
+		query := *req
+		query.Max, query.Running = 0, running[sl.id]
+		s.withOwner(sl, func(o *ledger.Owner) {
+			r := o.Pull(s.nowMs(), query)
 			if req.HeldWhole {
 				sum.Terms[sl.id] = o.Term()
 			}
@@ -231,11 +235,11 @@
 			}
 		})
 	}
-	s.arrange(order, due)
+	s.sortByDue(order, due)
 	return order
 }
 
-// fanOut runs f for each index at once and waits for all.
+// fanOut runs f for each index concurrently and waits for all.
 func fanOut(n int, f func(i int)) {
 	var wg sync.WaitGroup
 	for i := 0; i < n; i++ {
--- a/daemon/shards/relay.go
+++ b/daemon/shards/relay.go
@@ -12,110 +12,111 @@
 )
 
 const (
-	// firstRelayPeriod is how long calls are relayed after a daemon could not be reached;
-	// each direct call that fails after a period doubles it, up to longestRelayPeriod.
+	// firstRelayPeriod is how long calls are relayed after a daemon could not be reached.
+	// Each direct call that fails after a period doubles it, up to longestRelayPeriod.
 	firstRelayPeriod   = time.Second
 	longestRelayPeriod = 30 * time.Second
-	// directRetryTimeout bounds a direct call after a period; its success ends relaying.
+	// directRetryTimeout limits a direct call after a period; its success ends relaying.
 	directRetryTimeout = 500 * time.Millisecond
-	// relayTimeout bounds a call that a daemon makes for another one.
+	// relayTimeout limits a call that a daemon makes for another one.
 	relayTimeout = waitTimeout
 )
 
-// relaying remembers which daemons could not be reached from here lately. Calls about batch
-// items are relayed to these by another daemon.
+// relaying tracks which daemons could not be reached from this one lately. Calls about
+// batch items are relayed to these by another daemon.
 //
-// A connection that fails between two daemons kills neither of them, so each keeps its role.
-// One may own a job whose targets have the other as steward: unless calls are relayed, nobody
-// runs the job's items until the connection is back.
+// If the connection between two daemons fails, both are alive and keep their roles. One of
+// them may own a job whose targets have the other as their batch dispatcher (steward).
+// Unless calls are relayed, no daemon runs the job's items until the connection is back.
 type relaying struct {
 	mu sync.Mutex
-	// lost are the daemons that could not be reached, by peer address.
-	lost map[string]*relayPeriod
-	// turn is the number of relayed calls.
-	turn int
+	// unreachable holds the daemons that could not be reached, by peer address.
+	unreachable map[string]*relayPeriod
+	// relayed is the number of relayed calls.
+	relayed int
 }
 
 // relayPeriod is a time in which calls to a daemon are relayed.
 type relayPeriod struct {
 	until time.Time
-	// next is the length of the period after this one.
-	next time.Duration
+	// nextLength is the length of the period after this one.
+	nextLength time.Duration
 }
 
-// active tells whether calls to the address are relayed now, or else whether the daemon
-// there is tried directly again.
+// active reports whether calls to the address are relayed now, or else whether the next
+// call retries the direct connection.
 func (r *relaying) active(now time.Time, address string) (relayed, retried bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.lost[address]
-	if lost == nil {
+	period := r.unreachable[address]
+	if period == nil {
 		return false, false
 	}
-	relayed = now.Before(lost.until)
+	relayed = now.Before(period.until)
 	return relayed, !relayed
 }
 
-// note takes the outcome of a direct call. It tells whether relaying begins.
-func (r *relaying) note(now time.Time, address string, reached bool) (begins bool) {
+// record records whether a direct call reached the daemon. It reports whether relaying to
+// the daemon starts.
+func (r *relaying) record(now time.Time, address string, reached bool) (started bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lost := r.lost[address]
+	period := r.unreachable[address]
 	switch {
 	case reached:
-		delete(r.lost, address)
+		delete(r.unreachable, address)
 		return false
-	case lost == nil:
-		if r.lost == nil {
-			r.lost = make(map[string]*relayPeriod)
+	case period == nil:
+		if r.unreachable == nil {
+			r.unreachable = make(map[string]*relayPeriod)
 		}
-		r.lost[address] = &relayPeriod{until: now.Add(firstRelayPeriod), next: 2 * firstRelayPeriod}
+		r.unreachable[address] = &relayPeriod{until: now.Add(firstRelayPeriod), nextLength: 2 * firstRelayPeriod}
 		return true
-	case now.Before(lost.until):
-		return false // the call began before the period
+	case now.Before(period.until):
+		return false // the call started before the period
 	}
-	lost.until = now.Add(lost.next)
-	lost.next = min(2*lost.next, longestRelayPeriod)
+	period.until = now.Add(period.nextLength)
+	period.nextLength = min(2*period.nextLength, longestRelayPeriod)
 	return false
 }
 
-// pick returns one of the daemons that may relay a call, each in turn, "" for none.
+// pick returns one of the daemons that may relay a call, in rotation, "" if there is none.
 func (r *relaying) pick(addresses []string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(addresses) == 0 {
 		return ""
 	}
-	r.turn++
-	return addresses[r.turn%len(addresses)]
+	r.relayed++
+	return addresses[r.relayed%len(addresses)]
 }
 
-// forget drops what is known of daemons that are no members any more.
+// forget deletes the entries of daemons that are no longer members.
 func (r *relaying) forget(member func(address string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for address := range r.lost {
+	for address := range r.unreachable {
 		if !member(address) {
-			delete(r.lost, address)
+			delete(r.unreachable, address)
 		}
 	}
 }
 
-// RelayPullRequest asks a daemon to relay a pull to the member at a peer address.
+// RelayPullRequest requests a daemon to relay a pull to the member at a peer address.
 type RelayPullRequest struct {
 	To      string
 	Request ledger.PullRequest
 }
 
-// RelayFinishItemsRequest asks a daemon to relay ends of items to the member at a peer
+// RelayFinishItemsRequest requests a daemon to relay ends of items to the member at a peer
 // address.
 type RelayFinishItemsRequest struct {
 	To      string
 	Request ledger.FinishItemsRequest
 }
 
-// relayCall returns the call that has another daemon relay req, false for one that is not
-// relayed.
+// relayCall returns the call that makes another daemon relay req, and false if calls like
+// req are not relayed.
 func relayCall(to string, req any) (method string, args any, ok bool) {
 	switch r := req.(type) {
 	case ledger.PullRequest:
@@ -126,17 +127,17 @@
 	return "", nil, false
 }
 
-// call calls the daemon at a peer address, or has another one relay the call while that
-// daemon can't be reached from here.
+// call calls the daemon at a peer address. While that daemon can't be reached from this
+// one, another daemon relays the call.
 func (s *Shards) call(ctx context.Context, address, method string, req, reply any) error {
-	relay, args, may := relayCall(address, req)
+	relay, args, relayable := relayCall(address, req)
 	relayed, retried := s.relaying.active(s.opt.Clock(), address)
-	if may && relayed {
-		if through := s.relaying.pick(s.relays(address)); through != "" {
-			return s.callDirectly(ctx, through, relay, args, reply)
+	if relayable && relayed {
+		if via := s.relaying.pick(s.relays(address)); via != "" {
+			return s.callDirectly(ctx, via, relay, args, reply)
 		}
 	}
-	if may && retried {
+	if relayable && retried {
 		bounded, cancel := context.WithTimeout(ctx, directRetryTimeout)
 		defer cancel()
 		ctx = bounded
@@ -144,26 +145,26 @@
 	return s.callDirectly(ctx, address, method, req, reply)
 }
 
-// callDirectly makes one call and notes whether the daemon was reached.
+// callDirectly makes one call and records whether the daemon was reached.
 func (s *Shards) callDirectly(ctx context.Context, address, method string, req, reply any) error {
 	err := s.opt.Peer.Call(ctx, address, method, req, reply)
-	if s.relaying.note(s.opt.Clock(), address, err == nil || peer.IsRemoteError(err)) {
+	if s.relaying.record(s.opt.Clock(), address, err == nil || peer.IsRemoteError(err)) {
 		s.opt.Logger.Info("calls_relayed", zap.String("peer", address), zap.Error(err))
 		s.relaying.forget(s.isMember)
 	}
 	if err != nil {
-		s.doubt(address, err)
+		s.reportFailed(address, err)
 	}
 	return err
 }
 
-// relays lists the members that can relay a call to the address.
+// relays returns the peer addresses of the members that can relay a call to the address.
 func (s *Shards) relays(to string) []string {
 	var addresses []string
 	now, self := s.opt.Clock(), s.opt.View.Self().PeerAddress
 	for _, m := range s.opt.View.Members() {
-		lost, _ := s.relaying.active(now, m.PeerAddress)
-		if m.PeerAddress != to && m.PeerAddress != self && !lost {
+		unreachable, _ := s.relaying.active(now, m.PeerAddress)
+		if m.PeerAddress != to && m.PeerAddress != self && !unreachable {
 			addresses = append(addresses, m.PeerAddress)
 		}
 	}
@@ -179,10 +180,11 @@
 	return false
 }
 
-// relay makes a direct call for another daemon.
+// relay makes a direct call for another daemon. It fails with errNoMember if the peer
+// address to is not that of a member.
 func (s *Shards) relay(to, method string, req, reply any) error {
 	if !s.isMember(to) {
-		return errNoMember.New("%s is no member here", to)
+		return errNoMember.New("%s is no member in this daemon's view", to)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 	defer cancel()
--- a/daemon/shards/relay_test.go
+++ b/daemon/shards/relay_test.go
@@ -13,9 +13,9 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// brokenLine fails the direct calls to one address, none at first, and records the methods
+// failingCaller fails the calls to one address, to none at first, and records the methods
 // of all calls.
-type brokenLine struct {
+type failingCaller struct {
 	peer.Caller
 
 	mu    sync.Mutex
@@ -23,30 +23,30 @@
 	calls []string
 }
 
-func (b *brokenLine) Call(ctx context.Context, address, method string, args, reply any) error {
-	if b.cut(address, method) {
-		return peer.Unreachable.New("the line to %s is cut", address)
+func (c *failingCaller) Call(ctx context.Context, address, method string, args, reply any) error {
+	if c.cut(address, method) {
+		return peer.Unreachable.New("the connection to %s is cut", address)
 	}
-	return b.Caller.Call(ctx, address, method, args, reply)
+	return c.Caller.Call(ctx, address, method, args, reply)
 }
 
-func (b *brokenLine) cut(address, method string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.calls = append(b.calls, method)
-	return address == b.to
+func (c *failingCaller) cut(address, method string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.calls = append(c.calls, method)
+	return address == c.to
 }
 
-func (b *brokenLine) breakTo(address string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.to = address
+func (c *failingCaller) failCallsTo(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.to = address
 }
 
-func (b *brokenLine) called() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.calls)
+func (c *failingCaller) called() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.calls)
 }
 
 var _ = Describe("Relaying", func() {
@@ -56,41 +56,41 @@
 		return relayed
 	}
 
-	It("lasts longer with each direct call that fails after it, and ends with the first that succeeds", func() {
+	It("doubles its period with each direct call that fails after it, and ends with the first that succeeds", func() {
 		r := &relaying{}
 		Expect(active(r)).To(BeFalse())
-		Expect(r.note(now, "b", false)).To(BeTrue())
+		Expect(r.record(now, "b", false)).To(BeTrue())
 		for _, length := range []time.Duration{firstRelayPeriod, 2 * firstRelayPeriod, 4 * firstRelayPeriod} {
 			Expect(active(r)).To(BeTrue())
-			Expect(r.note(now, "b", false)).To(BeFalse()) // a call that was under way
+			Expect(r.record(now, "b", false)).To(BeFalse()) // a call that was in flight
 			now = now.Add(length - 1)
 			Expect(active(r)).To(BeTrue())
 			now = now.Add(1)
 			Expect(active(r)).To(BeFalse())
-			Expect(r.note(now, "b", false)).To(BeFalse())
+			Expect(r.record(now, "b", false)).To(BeFalse())
 		}
 		now = now.Add(8 * firstRelayPeriod)
-		r.note(now, "b", true)
-		Expect(r.note(now, "b", false)).To(BeTrue())
+		r.record(now, "b", true)
+		Expect(r.record(now, "b", false)).To(BeTrue())
 		now = now.Add(firstRelayPeriod)
 		Expect(active(r)).To(BeFalse())
 	})
 
-	It("forgets daemons that left", func() {
+	It("forgets daemons that are no longer members", func() {
 		r := &relaying{}
-		r.note(now, "b", false)
+		r.record(now, "b", false)
 		r.forget(func(string) bool { return false })
 		Expect(active(r)).To(BeFalse())
 	})
 
-	// Guards against items without anybody to run them: the daemon of their targets cannot
-	// reach their owner.
-	It("carries pulls and ends of items to an owner that can't be reached", func() {
+	// Guards against items that no daemon runs, because the batch dispatcher of their
+	// targets can't reach their owner.
+	It("delivers pulls and ends of items to an owner that can't be reached directly", func() {
 		f := newFleet()
-		lines := map[string]*brokenLine{}
+		lines := map[string]*failingCaller{}
 		for _, host := range []string{"a", "b", "c"} {
 			f.tune = func(o *Options) {
-				lines[host] = &brokenLine{Caller: o.Peer}
+				lines[host] = &failingCaller{Caller: o.Peer}
 				o.Peer = lines[host]
 			}
 			f.start(host)
@@ -100,7 +100,7 @@
 		_, err := submit(owner, "job", "upload", 2)
 		Expect(err).NotTo(HaveOccurred())
 		line := lines[steward.self.Host]
-		line.breakTo(owner.self.PeerAddress)
+		line.failCallsTo(owner.self.PeerAddress)
 
 		var items []ledger.LeasedItem
 		Eventually(func() []ledger.LeasedItem {
@@ -115,7 +115,7 @@
 		Expect(line.called()).To(ContainElement(methodRelayFinishItems))
 	})
 
-	It("leads to members only", func() {
+	It("calls members only", func() {
 		f := newFleet("a", "b")
 		err := f.nodes["a"].shards.relay("127.0.0.1:1", methodPull, ledger.PullRequest{}, &Word[ledger.PullReply]{})
 		Expect(err).To(MatchError(ContainSubstring("is no member")))
--- a/daemon/shards/revoke.go
+++ b/daemon/shards/revoke.go
@@ -8,23 +8,23 @@
 	"go.uber.org/zap"
 )
 
-// revokeMethod is served by every daemon's steward. It answers once no item of
-// the job will start or run there.
+// revokeMethod is served by every daemon's batch dispatcher (steward). It replies once no
+// item of the job runs or will start there.
 const revokeMethod = "Steward.Revoke"
 
-// revokeTimeout bounds how long stewards are asked; those that don't answer are
-// waited out by their leases.
+// revokeTimeout limits the calls to the batch dispatchers. The owner waits until the leases
+// of those that do not reply have expired.
 const revokeTimeout = 10 * time.Second
 
-// revokeRequest and revokeReply have the shape of the steward's messages; gob
+// revokeRequest and revokeReply have the fields of the messages of Steward.Revoke; gob
 // matches fields by name.
 type revokeRequest struct{ Job string }
 
 type revokeReply struct{ Queued, Running int }
 
-// revoke tells every member to drop the job's items and reports to the owner
-// which have. A member that joined since can't hold a lease of the job, because
-// none is given any more.
+// revoke calls every member to drop the job's items, and reports to the owner which
+// members have done so. A member that joins later can't hold a lease of the job, because
+// the owner grants no more.
 func (s *Shards) revoke(ctx context.Context, sl *slot, job string) {
 	ctx, cancel := context.WithTimeout(ctx, revokeTimeout)
 	defer cancel()
--- a/daemon/shards/shards.go
+++ b/daemon/shards/shards.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// tickEvery is how often owners look at their clocks and claims are weighed.
-	tickEvery = 50 * time.Millisecond
-	// budgetBurst is how many appends may be made at once within the budget.
+	// tickInterval is how often owners handle their timeouts and claims are considered.
+	tickInterval = 50 * time.Millisecond
+	// budgetBurst is the largest burst of appends within the budget.
 	budgetBurst = 8
-	// claimBudget lets a daemon without shards append its claims.
+	// claimBudget is the rate, in appends per second, at which a daemon without shards can
+	// append its claims.
 	claimBudget = 1
-	// grantedKept is how many granted runs are remembered until their end; a
-	// daemon has at most half as many requests in flight.
+	// grantedKept is the number of granted runs that are kept until their end. A daemon
+	// has at most half as many requests in flight.
 	grantedKept = 1 << 13
 )
 
-// Shards is this daemon's part in the ledger.
+// Shards is this daemon's part of the ledger.
 type Shards struct {
 	opt      Options
 	slots    []*slot
@@ -40,41 +41,42 @@
 	draining atomic.Bool
 	logOK    atomic.Bool
 	pulls    atomic.Uint64
-	// granted remembers by nonce what runs of this daemon were granted on.
+	// granted holds, by nonce, the requests on which runs of this daemon were granted.
 	granted *lru.Cache[string, ledger.BeginRequest]
-	// looks joins calls of OnLog, looking bounds the readings.
-	looks   singleflight.Group
-	looking chan struct{}
-	// relaying knows the daemons that could not be reached lately.
+	// logReads merges concurrent calls of OnLog for one shard, logReadSlots limits the
+	// number of concurrent reads.
+	logReads     singleflight.Group
+	logReadSlots chan struct{}
+	// relaying tracks the daemons that could not be reached lately.
 	relaying relaying
-	// lastMove is when a shard was last released for balance, or was without a
-	// holder; claimLoop's own.
-	lastMove time.Time
+	// lastRebalance is when a shard was last released for balance, or last had no usable
+	// holder. Only claimLoop uses it.
+	lastRebalance time.Time
 }
 
 var _ ledger.Client = (*Shards)(nil)
 
-// slot is one shard as seen from here: its owner while this daemon holds it or
-// claims it, and the calls that wait for the owner's word.
+// slot is this daemon's state of one shard: its owner while this daemon holds or claims the
+// shard, and the calls that wait for the owner's reply.
 type slot struct {
 	id     int
 	stream string
 	wake   chan struct{}
 
-	mu     sync.Mutex
-	owner  *ledger.Owner // nil unless claiming or holding
-	busy   bool          // a hold duty runs
-	named  bool          // the last holder named this daemon
-	unheld time.Time     // since when no usable holder is known
-	pace   time.Duration // how much longer it waits as others are unheld too
-	cause  string        // why it is unheld, for the log
-	// known is the highest term that others are known to have claimed, standsUntil
-	// until when the last of them that came as news is let stand; see standTime.
-	known       uint64
-	standsUntil time.Time
-	calls       map[ledger.CallID]chan ledger.Reply
-	lastCall    ledger.CallID
-	figures     ledger.Figures // of earlier owners
+	mu          sync.Mutex
+	owner       *ledger.Owner // nil unless claiming or holding
+	busy        bool          // hold runs
+	isSuccessor bool          // the last holder named this daemon its successor
+	unheldSince time.Time     // when the last usable holder was lost, zero if there is one
+	stagger     time.Duration // additional delay of the claim, see claimStagger
+	cause       string        // why the shard has no usable holder, for the log
+	// knownTerm is the highest term known to be claimed by other daemons. graceUntil is the
+	// end of the grace time of the last claim that was new to this daemon; see claimGrace.
+	knownTerm  uint64
+	graceUntil time.Time
+	calls      map[ledger.CallID]chan ledger.Reply
+	lastCall   ledger.CallID
+	figures    ledger.Figures // of earlier owners
 }
 
 // New validates the options and registers the rpc service.
@@ -84,7 +86,7 @@
 	}
 	s := &Shards{opt: opt, budget: rate.NewLimiter(rate.Limit(opt.AppendBudget), budgetBurst)}
 	s.granted, _ = lru.New[string, ledger.BeginRequest](grantedKept) // fails for a size below 1 only
-	s.looking = make(chan struct{}, looksAtOnce)
+	s.logReadSlots = make(chan struct{}, maxLogReads)
 	s.logOK.Store(true)
 	for i := 0; i < opt.Shards; i++ {
 		s.slots = append(s.slots, &slot{
@@ -99,7 +101,7 @@
 	return s, nil
 }
 
-// Run starts the duties.
+// Run starts the background loops in g.
 func (s *Shards) Run(g *duty.Group) {
 	s.group = g
 	s.started = s.opt.Clock()
@@ -108,7 +110,7 @@
 	g.Go(s.probeLoop)
 }
 
-// Holds lists the shards this daemon holds, for the facts it tells about itself.
+// Holds returns the shards that this daemon holds, for its entry in the membership.
 func (s *Shards) Holds() []membership.ShardHold {
 	var holds []membership.ShardHold
 	for _, sl := range s.slots {
@@ -121,20 +123,21 @@
 	return holds
 }
 
-// LogOK tells whether the log has answered lately.
+// LogOK reports whether the log has responded lately.
 func (s *Shards) LogOK() bool { return s.logOK.Load() }
 
-// holding tells whether the owner decides; the lock is held.
+// holding reports whether this daemon holds the shard. The caller holds sl.mu.
 func (sl *slot) holding() bool { return sl.owner != nil && sl.owner.Holding() }
 
-func (sl *slot) poke() { duty.Wake(sl.wake) }
+func (sl *slot) notify() { duty.Wake(sl.wake) }
 
 func (s *Shards) nowMs() int64 { return s.opt.Clock().UnixMilli() }
 
 func (s *Shards) slotOf(name string) *slot { return s.slots[shard.Of(name, len(s.slots))] }
 
-// deliver hands replies to the calls that wait and takes up what the owner wants
-// done; the lock is held. Reply channels have room for their one reply.
+// deliver sends the owner's replies to the waiting calls and starts the revocations that
+// the owner requests. The caller holds sl.mu. Reply channels have a buffer for their one
+// reply.
 func (s *Shards) deliver(sl *slot) {
 	for _, r := range sl.owner.Replies() {
 		if ch := sl.calls[r.Call]; ch != nil {
@@ -147,11 +150,11 @@
 	}
 }
 
-// tickLoop lets the owners end waits and leases, and keeps this daemon's part of
-// the append budget in step with the shards it holds. A part by daemons would
-// starve the owners of a large fleet, most of which hold no shard.
+// tickLoop makes the owners expire waits and leases, and keeps this daemon's part of the
+// append budget in proportion to the shards that it holds. An equal part per daemon would
+// starve the owners of a large fleet, in which most daemons hold no shard.
 func (s *Shards) tickLoop(ctx context.Context) {
-	every(ctx, tickEvery, func() {
+	every(ctx, tickInterval, func() {
 		part := s.opt.AppendBudget * float64(len(s.Holds())) / float64(len(s.slots))
 		s.budget.SetLimit(rate.Limit(part + claimBudget))
 		for _, sl := range s.slots {
@@ -168,7 +171,7 @@
 	}
 	sl.owner.Tick(s.nowMs())
 	s.deliver(sl)
-	sl.poke()
+	sl.notify()
 }
 
 func every(ctx context.Context, period time.Duration, do func()) {
@@ -184,7 +187,7 @@
 	}
 }
 
-// ownerConfig is what an owner on this daemon is told.
+// ownerConfig returns the configuration of an owner on this daemon.
 func (s *Shards) ownerConfig(id int) ledger.OwnerConfig {
 	return ledger.OwnerConfig{
 		Shard: id, Self: s.opt.View.Self().ID(),
--- a/daemon/shards/shards_test.go
+++ b/daemon/shards/shards_test.go
@@ -14,10 +14,10 @@
 )
 
 var _ = Describe("Shards", func() {
-	// A guest's order is placed through one daemon; the daemon that owns its
-	// key dies, and the tablet sends the order again through a third. It must
-	// get the kept answer and not run again.
-	It("keeps an order's answer through the death of its owner", func() {
+	// A non-repeatable request is sent through one daemon. The daemon that owns its key
+	// dies, and the caller retries through a third daemon. It must get the kept answer, and
+	// the request must not run again.
+	It("keeps a request's answer when its owner dies", func() {
 		f := newFleet("a", "b", "c")
 		owner := f.ownerOf("c/k")
 		entry := f.other(owner)
@@ -36,9 +36,9 @@
 		Expect(string(again.Answer.Body)).To(Equal("tray"))
 	})
 
-	// A night's job is half done when its owner dies. Its successor must hand
-	// out the rest, and every item must have exactly one result.
-	It("finishes a job after the death of its owner", func() {
+	// A job is half done when its owner dies. The next owner must hand out the remaining
+	// items, and every item must have exactly one result.
+	It("finishes a job after its owner died", func() {
 		f := newFleet("a", "b", "c")
 		owner := f.ownerOf("c/job")
 		steward := f.other(owner)
@@ -65,9 +65,9 @@
 		}
 	})
 
-	// A client's network stalls and it sends the same bundle three times, to
-	// two daemons at once. It must become one job.
-	It("takes a job sent several times at once as one", func() {
+	// A client's network stalls, and the client sends the same job three times, to two
+	// daemons concurrently. Only one job must be created.
+	It("creates one job from concurrent uploads of the same job", func() {
 		f := newFleet("a", "b")
 		f.ownerOf("c/job")
 		replies := make([]ledger.JobCommitReply, 3)
@@ -90,10 +90,10 @@
 		Expect(created).To(Equal(1))
 	})
 
-	// The platform's log goes out. An order must be refused as not run, a
-	// repeatable request must run, and its answer must be kept once the log is
+	// During an outage of the platform's log, a non-repeatable request must be refused as
+	// not run. A repeatable request must run, and its answer must be kept once the log is
 	// back.
-	It("refuses orders and goes on with repeatable work while the log is out", func() {
+	It("refuses non-repeatable requests and runs repeatable ones during a log outage", func() {
 		f := newFleet("a", "b")
 		f.ownerOf("c/k")
 		f.ownerOf("c/order")
@@ -118,11 +118,11 @@
 		}).WithTimeout(10 * time.Second).Should(BeTrue())
 	})
 
-	// One daemon alone is cut off from the log. Others take its shard over, and
-	// an order placed at the very host that is cut off is granted by the new
-	// owner instead of being refused; back on the log, the old owner learns that
-	// it lost.
-	It("takes over from a holder that is cut off from the log", func() {
+	// Only one daemon can't reach the log. Others take its shard over, and a non-repeatable
+	// request sent to the host that is cut off must be granted by the new owner instead of
+	// being refused. When the old owner reaches the log again, it must read that it lost
+	// the shard.
+	It("takes over from a holder that can't reach the log", func() {
 		f := newFleet("a", "b", "c")
 		old := f.ownerOf("c/k")
 		term := old.term("c/k")
@@ -136,9 +136,10 @@
 		Eventually(func() uint64 { return old.term("c/k") }).WithTimeout(20 * time.Second).ShouldNot(Equal(term))
 	})
 
-	// A steward asks an owner whose process has just died. The failed call is the
-	// first sign of it; the membership must hear of it and not wait for its probe.
-	It("has an owner looked at whose call failed", func() {
+	// A batch dispatcher (steward) calls an owner whose process has just died. The failed
+	// call is the first sign of that, so the membership must be notified and probe the
+	// member at once instead of at its next regular probe.
+	It("reports an owner to the membership when a call to it fails", func() {
 		n := newFleet("a").nodes["a"]
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -146,13 +147,13 @@
 		Expect(listener.Close()).To(Succeed())
 		_, err = n.shards.Pull(context.Background(), gone, ledger.PullRequest{Steward: n.self.ID(), Group: "g"})
 		Expect(err).To(HaveOccurred())
-		Expect(n.doubted).To(ConsistOf(gone))
+		Expect(n.probed).To(ConsistOf(gone))
 	})
 
-	// A shard has just changed hands, and word of its new holder has not come to
-	// the host at which an order is placed. The order must find the holder all the
-	// same, since it is clear who was to claim the shard.
-	It("finds a holder it has not heard of", func() {
+	// A shard has just changed holders, and the announcement of the new holder has not
+	// reached the host to which a non-repeatable request is sent. The request must still
+	// find the holder, since the members that should claim the shard are known.
+	It("finds a holder that was not announced to it", func() {
 		f := newFleet("a", "b", "c", "d")
 		owner := f.ownerOf("c/k")
 		term := owner.term("c/k")
@@ -164,9 +165,9 @@
 		Expect(owner.term("c/k")).To(Equal(term), "the holder granted it, not a later one")
 	})
 
-	// The log loses answers, and whole appends, in the middle of an evening's
-	// orders. Each is found again or appended again, and every order is granted.
-	It("finds lost appends again by reading back", func() {
+	// The log loses responses, and whole appends, during a series of non-repeatable
+	// requests. Each append must be found or repeated, and every request granted.
+	It("recovers lost appends by reading back", func() {
 		f := newFleet("a", "b")
 		f.ownerOf("c/k")
 		for i := 0; i < 4; i++ {
@@ -182,9 +183,9 @@
 		}
 	})
 
-	// A cancel races the stewards. It returns only when each of them has
-	// dropped the job; afterwards nothing of it is handed out.
-	It("cancels a job at every steward before it answers", func() {
+	// A cancellation races with the batch dispatchers (stewards). It must return only when
+	// each of them has dropped the job, and no item of the job may be handed out afterwards.
+	It("cancels a job at every batch dispatcher before it replies", func() {
 		f := newFleet("a", "b")
 		owner := f.ownerOf("c/job")
 		_, err := submit(owner, "c/job", "u1", 10)
@@ -206,9 +207,9 @@
 		Expect(pull(f.nodes["b"], owner, 3, nil).Items).To(BeEmpty())
 	})
 
-	// A host is replaced while the platform's log is out. Its daemon can hand
-	// nothing over; it must not stay until its whole drain time is over.
-	It("gives up handing over when the log is out", func() {
+	// A host is replaced during an outage of the platform's log. Its daemon can't hand off
+	// its shards, and must not wait for its whole drain time.
+	It("gives up the hand-off when the log is unreachable", func() {
 		f := newFleet("a", "b")
 		for id := 0; id < testShards; id++ {
 			Eventually(func() *node { return f.holder(id) }).WithTimeout(10 * time.Second).ShouldNot(BeNil())
@@ -223,9 +224,9 @@
 		Expect(ctx.Err()).NotTo(HaveOccurred())
 	})
 
-	// A daemon is stopped on purpose: all its shards go to others, and calls
-	// made meanwhile find the new owners.
-	It("hands its shards over when it drains", func() {
+	// When a daemon is stopped by an operator, all its shards must move to others, and
+	// calls in the meantime must find the new owners.
+	It("hands off its shards when it drains", func() {
 		f := newFleet("a", "b")
 		for id := 0; id < testShards; id++ {
 			Eventually(func() *node { return f.holder(id) }).WithTimeout(10 * time.Second).ShouldNot(BeNil())
