--- a/daemon/orders/leadership.go
+++ b/daemon/orders/leadership.go
@@ -13,87 +13,88 @@
 	"tarragonhollow.example/tarragonhollow/extern"
 )
 
-// Tenure is the time in which this daemon gives the orders to a shard's models.
+// Tenure is a period in which this daemon issues the orders for the models of a shard.
 type Tenure struct {
 	// Term is the ledger's term of the shard.
 	Term uint64
-	// Offset is the latest tenure record's place on the orders stream; fencing
-	// numbers come from it.
+	// Offset is the offset of the latest tenure record on the orders stream. Fencing
+	// numbers are derived from it.
 	Offset int64
-	// From is when a predecessor's time has certainly run out: before it,
-	// targets that ignore the fencing number get no order.
+	// From is when the tenure of a predecessor has certainly expired. Before it, targets
+	// that ignore the fencing number get no order.
 	From time.Time
-	// Until is when this daemon must have renewed.
+	// Until is when the tenure expires unless it is renewed.
 	Until time.Time
 }
 
-// Leadership tells for which shards this daemon gives the orders.
+// Leadership determines for which shards this daemon issues the orders.
 type Leadership interface {
-	// Held tells whether this daemon holds the shard as far as it has read. It
-	// says who should try, and protects nothing.
+	// Held reports whether this daemon holds the shard according to the records that it
+	// has read. The result only determines which daemon should try; it is no protection
+	// against two issuers.
 	Held(shard int) bool
-	// Tenure returns a tenure that has a good part of its time left. renew asks
-	// for a new record, and thus a higher fencing number, in any case. Errors
-	// are NotIssuer and Unproven.
+	// Tenure returns a tenure that has a good part of its time left. renew requests a new
+	// record, and thus a higher fencing number, in any case. Errors are of type NotIssuer
+	// or Unproven.
 	Tenure(ctx context.Context, shard int, renew bool) (Tenure, error)
 }
 
 const (
 	// Stream is the log stream of tenure records.
 	Stream = "orders"
-	// DefaultLease is how long one record allows orders.
+	// DefaultLease is how long one tenure record permits orders.
 	DefaultLease = 10 * time.Second
-	// marginShare is the part of the lease that a successor waits longer, for
-	// clocks that run at different rates: they may differ by a fifth.
-	marginShare = 5
-	// renewShare is the part of the lease after which it is renewed.
-	renewShare = 2
-	readBytes  = 256 << 10
-	readWait   = 200 * time.Millisecond
+	// marginDivisor sets the margin for which a successor waits in addition to the lease:
+	// a fifth of the lease, since clock rates may differ by up to a fifth.
+	marginDivisor = 5
+	// renewDivisor sets when a tenure is renewed: after half of the lease.
+	renewDivisor = 2
+	readBytes    = 256 << 10
+	readWait     = 200 * time.Millisecond
 )
 
 // LogLeadership proves tenures by records on the orders stream.
 //
-// Why two issuers cannot act at once, for a target that ignores fencing
-// numbers: an issuer acts until sent+lease, where sent is when it BEGAN to
-// append a record that it has read back as valid. A successor's first record has
-// a higher term, so every record that the old issuer appends behind it is void.
-// The records on which the old issuer may act therefore landed before the
-// successor's, and were begun before that; so they end before landed+lease. The
-// successor waits from when it READ its record, after it landed, for a lease and
-// the margin. No two clocks are compared; only their rates have to agree, to
-// within marginShare.
+// Two issuers never act at the same time, even for a target that ignores fencing numbers,
+// for these reasons. An issuer acts until sent+lease, where sent is the time at which it
+// STARTED to append a record that it has read back as valid. A successor's first record has
+// a higher term, so every record that the old issuer appends after it is void. The records
+// on which the old issuer may act were therefore appended to the log before the successor's
+// record, and sent before that, so they expire less than a lease after the successor's
+// record was appended. The successor waits for a lease and the margin from the time at which
+// it READ its record, which is after the append. No two clocks are compared; only their
+// rates have to agree, within the fifth that marginDivisor allows.
 //
-// The remaining window: the process is paused, or the host's network holds the
-// bytes, between the last look at the clock and the arrival at the target. An
-// order sent within the tenure can thus take effect after it. The connection's
-// deadline is the tenure's end, which closes the window for everything that the
-// process itself still does; what lasts longer is logged as
-// order_outlived_tenure. A target that checks fencing numbers has no window once
-// it has seen the successor's.
+// One window remains: between the last check of the clock and the arrival at the target the
+// process may be paused, or the host's network may delay the bytes. An order sent within the
+// tenure can thus take effect after it. The connection's deadline is the end of the tenure,
+// which closes the window for everything that the process itself still does. An order that
+// takes longer is logged as order_outlived_tenure. A target that checks fencing numbers has
+// no window once it has received the successor's number.
 type LogLeadership struct {
-	opt    LeadershipOptions
-	lease  time.Duration
-	mu     sync.Mutex
-	claims *orders.Claims
-	held   map[int]Tenure
+	opt     LeadershipOptions
+	lease   time.Duration
+	mu      sync.Mutex
+	claims  *orders.Claims
+	tenures map[int]Tenure
 }
 
 // LeadershipOptions configure a LogLeadership.
 type LeadershipOptions struct {
-	// Holds lists the ledger shards that this daemon holds; required.
+	// Holds returns the ledger shards that this daemon holds; required.
 	Holds func() []membership.ShardHold
 	// Self is this daemon's incarnation id; required.
 	Self string
 	// Log is the platform's log; required.
 	Log extern.Log
-	// Lease is how long one record allows orders; default DefaultLease.
+	// Lease is how long one tenure record permits orders; default DefaultLease.
 	Lease time.Duration
 	// Clock returns the time with a monotonic reading; default time.Now.
 	Clock func() time.Time
 }
 
-// NewLogLeadership validates the options.
+// NewLogLeadership returns a LogLeadership. It fails with BadOptions if a required option
+// is missing.
 func NewLogLeadership(o LeadershipOptions) (*LogLeadership, error) {
 	if o.Holds == nil || o.Self == "" || o.Log == nil {
 		return nil, BadOptions.New("Holds, Self and Log are required")
@@ -104,7 +105,7 @@
 	if o.Clock == nil {
 		o.Clock = time.Now
 	}
-	return &LogLeadership{opt: o, lease: o.Lease, claims: orders.NewClaims(), held: make(map[int]Tenure)}, nil
+	return &LogLeadership{opt: o, lease: o.Lease, claims: orders.NewClaims(), tenures: make(map[int]Tenure)}, nil
 }
 
 // Held implements Leadership.
@@ -129,23 +130,23 @@
 	defer l.mu.Unlock()
 	term, ok := l.term(shard)
 	if !ok {
-		delete(l.held, shard)
-		return Tenure{}, NotIssuer.New("shard %d is not held here", shard)
+		delete(l.tenures, shard)
+		return Tenure{}, NotIssuer.New("this daemon does not hold shard %d", shard)
 	}
-	now, known := l.held[shard]
-	fresh := l.opt.Clock().Add(l.lease / renewShare).Before(now.Until)
-	if known && now.Term == term && fresh && !renew {
-		return now, nil
+	current, known := l.tenures[shard]
+	fresh := l.opt.Clock().Add(l.lease / renewDivisor).Before(current.Until)
+	if known && current.Term == term && fresh && !renew {
+		return current, nil
 	}
 	return l.renew(ctx, shard, term)
 }
 
-// renew appends a record and reads it back.
+// renew appends a tenure record and reads it back.
 func (l *LogLeadership) renew(ctx context.Context, shard int, term uint64) (Tenure, error) {
 	claim := orders.Claim{Shard: shard, Term: term, Holder: l.opt.Self, ID: uuid.NewString()}
 	data, err := json.Marshal(claim)
 	if err != nil {
-		return Tenure{}, Unproven.Wrap(err, "tenure record")
+		return Tenure{}, Unproven.Wrap(err, "encode tenure record")
 	}
 	sent := l.opt.Clock()
 	_, err = l.opt.Log.Append(ctx, Stream, data)
@@ -157,30 +158,30 @@
 		return Tenure{}, err
 	}
 	if !valid {
-		delete(l.held, shard)
+		delete(l.tenures, shard)
 		return Tenure{}, NotIssuer.New("shard %d has an issuer in a later term than %d", shard, term)
 	}
-	t := Tenure{Term: term, Offset: offset, From: l.from(shard, term), Until: sent.Add(l.lease)}
-	l.held[shard] = t
+	t := Tenure{Term: term, Offset: offset, From: l.validFrom(shard, term), Until: sent.Add(l.lease)}
+	l.tenures[shard] = t
 	return t, nil
 }
 
-// from returns when orders to targets that ignore fencing numbers may begin.
-// Once in a term it is worked out, after its first record was read.
-func (l *LogLeadership) from(shard int, term uint64) time.Time {
-	if now, ok := l.held[shard]; ok && now.Term == term {
-		return now.From
+// validFrom returns when orders to targets that ignore fencing numbers may begin. It is
+// determined once per term, after the term's first record was read.
+func (l *LogLeadership) validFrom(shard int, term uint64) time.Time {
+	if current, ok := l.tenures[shard]; ok && current.Term == term {
+		return current.From
 	}
 	read := l.opt.Clock()
 	if !l.claims.Replaced(shard) {
 		return read
 	}
-	return read.Add(l.lease + l.lease/marginShare)
+	return read.Add(l.lease + l.lease/marginDivisor)
 }
 
-// readBack folds the stream up to the record named id. A record whose answer
-// was lost and that is not there by the stream's end of now may still land
-// later; nothing rests on it then.
+// readBack applies the stream's records up to the one with the given id. If the response to
+// an append was lost and the record is not found before the current end of the stream, the
+// record may still be appended later; no tenure is based on it then.
 func (l *LogLeadership) readBack(ctx context.Context, id string) (offset int64, valid bool, err error) {
 	_, end, err := l.opt.Log.Bounds(ctx, Stream)
 	if err != nil {
@@ -210,5 +211,5 @@
 			return offset, valid, nil
 		}
 	}
-	return 0, false, Unproven.New("the record is not on %s", Stream)
+	return 0, false, Unproven.New("the tenure record was not found on %s", Stream)
 }
--- a/daemon/orders/meter.go
+++ b/daemon/orders/meter.go
@@ -2,7 +2,7 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-// meter counts what became of orders.
+// meter counts orders by their result.
 type meter struct {
 	accepted, failed, notSent, outlived *metrics.Counter
 }
--- a/daemon/orders/observe.go
+++ b/daemon/orders/observe.go
@@ -11,11 +11,11 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// probeText is the prompt of the request that tells whether a target serves.
+// probeText is the prompt of the request that checks whether a target serves.
 const probeText = "ready?"
 
-// observe asks every target of the group for its load report, and, while the
-// group is changing, those that report the model whether they serve it.
+// observe fetches the load report of every target of the group. While the group is changing,
+// it also probes whether the targets that report the model serve it.
 func (s *Orders) observe(ctx context.Context, a assignment, r *rollout) orders.Goal {
 	goal := orders.Goal{Model: a.model.Name, Version: a.model.Version}
 	goal.Targets = make([]orders.Observation, len(a.group.Targets))
@@ -35,8 +35,8 @@
 	return goal
 }
 
-// probeAll fills in the states. What a target answered counts for a while, so
-// that a change of version costs a target one token every confirmedFor.
+// probeAll probes the targets and sets their states in goal. A successful probe is valid for
+// confirmationTTL, so that a change of version costs a target one token in that time.
 func (s *Orders) probeAll(ctx context.Context, a assignment, r *rollout, goal *orders.Goal) {
 	now := s.opt.Clock()
 	s.each(len(goal.Targets), func(i int) {
@@ -52,16 +52,16 @@
 		}
 		o.State = s.probe(ctx, o.Address, a.model.Name)
 		if o.State == orders.Serving {
-			r.confirm(o.Address, confirmation{model: o.Model, version: o.Version, until: now.Add(confirmedFor)})
+			r.confirm(o.Address, confirmation{model: o.Model, version: o.Version, until: now.Add(confirmationTTL)})
 			return
 		}
 		r.confirm(o.Address, confirmation{})
 	})
 }
 
-// probe asks for one token. The load report names a model from the moment its
-// load begins, and the health check is fine all the while, so only a request
-// tells whether callers would be served. A target whose queue is full serves.
+// probe requests one token. The load report names a model from the start of its loading, and
+// the health check passes all the time, so only a request shows whether callers would be
+// served. A target that responds that its queue is full counts as serving.
 func (s *Orders) probe(ctx context.Context, address, model string) orders.State {
 	call, cancel := context.WithTimeout(target.WithUrgency(ctx, target.UrgencyBatch), probeTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 	return orders.Unknown
 }
 
-// each runs f for each index, some at once, and waits for all.
+// each runs f for each index, at most observeParallel concurrently, and waits for all.
 func (s *Orders) each(n int, f func(i int)) {
 	var group errgroup.Group
 	group.SetLimit(observeParallel)
--- a/daemon/orders/options.go
+++ b/daemon/orders/options.go
@@ -1,5 +1,5 @@
-// Package orders tells the engines which model version to load. One daemon at a
-// time gives the orders for a model; docs/design/0007-orders.md argues why.
+// Package orders sends engines the orders to load a model version. One daemon at a time
+// issues the orders for a model; docs/design/0007-orders.md gives the reasons.
 package orders
 
 import (
@@ -18,48 +18,49 @@
 
 var (
 	namespace = errorx.NewNamespace("orders")
-	// BadOptions is the type of errors for options that can't work.
+	// BadOptions is the type of errors for invalid options.
 	BadOptions = namespace.NewType("options")
-	// NotIssuer says that this daemon is not the issuer, or is one no longer.
+	// NotIssuer is the type of errors for a daemon that is not, or no longer, the issuer.
 	NotIssuer = namespace.NewType("not_issuer")
-	// Unproven says that the tenure could not be read back from the log.
+	// Unproven is the type of errors for a tenure that could not be read back from the
+	// log.
 	Unproven = namespace.NewType("unproven", errorx.Temporary())
 )
 
 const (
-	// DefaultEvery is the time between two looks at the targets of a model.
+	// DefaultInterval is the time between two checks of the targets of a model.
 	DefaultEvery = 2 * time.Second
-	// observeTimeout bounds a load report, probeTimeout the one-token request
-	// that tells whether a target serves.
+	// observeTimeout limits the fetch of a load report, probeTimeout the one-token
+	// request that checks whether a target serves.
 	observeTimeout = time.Second
 	probeTimeout   = 3 * time.Second
-	// storeTimeout bounds a question to the weight store.
+	// storeTimeout limits a query to the weight store.
 	storeTimeout = 3 * time.Second
-	// observeParallel bounds the targets asked at once by one daemon.
+	// observeParallel is the number of targets of a group that are queried concurrently.
 	observeParallel = 8
-	// confirmedFor is how long a target that answered a request counts as
-	// serving, while its report stays the same. It is asked during a change of
-	// version only.
-	confirmedFor = 10 * time.Second
+	// confirmationTTL is how long a target that answered a probe counts as serving while
+	// its load report names the same model and version. Targets are probed only during a
+	// change of version.
+	confirmationTTL = 10 * time.Second
 )
 
 // Options configure Orders.
 type Options struct {
-	// Config returns the configuration in force; required.
+	// Config returns the current configuration; required.
 	Config func() *config.Config
-	// View tells which targets are leaving; required.
+	// View reports which targets are leaving; required.
 	View membership.View
-	// Leadership tells for which shards this daemon gives the orders; required.
+	// Leadership determines for which shards this daemon issues the orders; required.
 	Leadership Leadership
-	// Engine speaks to the targets; required.
+	// Engine is the client of the targets; required.
 	Engine target.Engine
-	// Weights is the weight store; nil is none, then no model is ever ordered.
+	// Weights is the weight store. If it is nil, no orders are sent.
 	Weights extern.WeightStore
 	// Shards is the number of the ledger's shards; required.
 	Shards int
-	// Every is the time between two looks; default DefaultEvery.
+	// Interval is the time between two checks of the targets; default DefaultInterval.
 	Every time.Duration
-	// Bounds are those of the decision; the zero value takes the defaults.
+	// Bounds are the options of the rollout planner; default orders.DefaultOptions.
 	Bounds orders.Options
 	// Logger gets one line for each order; may be nil.
 	Logger *zap.Logger
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -15,31 +15,32 @@
 	"tarragonhollow.example/tarragonhollow/daemon/duty"
 )
 
-// modelKey is hashed to the shard whose holder gives a model's orders.
+// modelKey, followed by a model's name, is hashed to the shard whose holder issues the
+// model's orders.
 const modelKey = "model/"
 
-// Orders gives the orders for the models of the shards held here.
+// Orders issues the orders for the models of the shards that this daemon holds.
 type Orders struct {
 	opt   Options
 	meter *meter
 
-	// rollouts is keyed by target group; the loop's own.
+	// rollouts is keyed by target group. Only orderLoop uses it.
 	rollouts map[string]*rollout
 
 	mu sync.Mutex
-	// seqs counts the orders of each shard's tenure record.
+	// seqs holds, by shard, the sequence of the orders under the current tenure record.
 	seqs map[int]sequence
 }
 
 type sequence struct {
 	offset int64
 	next   uint32
-	// stale tells that a target has seen a higher fencing number: the tenure is
-	// renewed before the next order.
+	// stale reports that the tenure must be renewed before the next order, because a
+	// target has received a higher fencing number or the record's numbers are used up.
 	stale bool
 }
 
-// rollout is one target group's way to the wanted version, seen from here.
+// rollout is this daemon's state of the change of one target group to the wanted version.
 type rollout struct {
 	term     uint64
 	planner  *orders.Planner
@@ -66,13 +67,13 @@
 	r.confirmed[address] = c
 }
 
-// confirmation remembers that a target answered a request.
+// confirmation records that a target answered a probe, and until when that is valid.
 type confirmation struct {
 	model, version string
 	until          time.Time
 }
 
-// New validates the options.
+// New returns an Orders. It fails with BadOptions if a required option is missing.
 func New(o Options) (*Orders, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -85,7 +86,7 @@
 	}, nil
 }
 
-// Run starts the duty; without a weight store there is none.
+// Run starts the order loop, unless there is no weight store.
 func (s *Orders) Run(g *duty.Group) {
 	if s.opt.Weights == nil {
 		s.opt.Logger.Info("orders_off", zap.String("cause", "no weight store is set"))
@@ -94,7 +95,7 @@
 	g.Go(s.orderLoop)
 }
 
-// orderLoop looks at every model whose orders are given here.
+// orderLoop periodically checks every model whose orders this daemon issues.
 func (s *Orders) orderLoop(ctx context.Context) {
 	ticker := time.NewTicker(s.opt.Every)
 	defer ticker.Stop()
@@ -115,11 +116,11 @@
 	shard int
 }
 
-// round makes one step for each assigned group. Groups are looked at side by
-// side, so that a silent target holds up its own group only.
+// round runs one step for each assigned group. Groups are handled concurrently, so that a
+// target that does not respond delays its own group only.
 func (s *Orders) round(ctx context.Context) {
 	assigned := s.assignments()
-	s.forget(assigned)
+	s.dropUnassigned(assigned)
 	var groups errgroup.Group
 	for _, a := range assigned {
 		r := s.rollouts[a.group.Name]
@@ -135,7 +136,7 @@
 	_ = groups.Wait()
 }
 
-// assignments lists the groups whose models' shards are held here.
+// assignments returns the groups whose models' shards this daemon holds.
 func (s *Orders) assignments() []assignment {
 	c := s.opt.Config()
 	if c == nil || c.Version == 0 {
@@ -156,9 +157,9 @@
 	return out
 }
 
-// forget drops the rollouts that are not this daemon's any more: what it knew
-// of them is old when it comes back to them.
-func (s *Orders) forget(assigned []assignment) {
+// dropUnassigned deletes the rollouts that are no longer assigned to this daemon, since
+// their state would be outdated if they were assigned to it again.
+func (s *Orders) dropUnassigned(assigned []assignment) {
 	mine := make(map[string]bool, len(assigned))
 	for _, a := range assigned {
 		mine[a.group.Name] = true
@@ -170,16 +171,16 @@
 	}
 }
 
-// step observes one group, decides, and sends what was decided. The tenure is
-// proven last: a version that the store does not have costs the log nothing.
+// step observes one group, decides, and sends the orders. The tenure is proven last, so that
+// a version that the weight store does not have costs no append to the log.
 func (s *Orders) step(ctx context.Context, a assignment, r *rollout) {
 	goal := s.observe(ctx, a, r)
 	if !goal.Changing() && !r.planner.Busy() {
-		r.note(s, a, orders.Plan{})
+		r.logWithheld(s, a, orders.Plan{})
 		return
 	}
 	if !s.storeReady(ctx, a, r, goal) {
-		r.note(s, a, orders.Plan{Withheld: orders.WithheldWeights})
+		r.logWithheld(s, a, orders.Plan{Withheld: orders.WithheldWeights})
 		return
 	}
 	tenure, err := s.tenure(ctx, a.shard)
@@ -188,29 +189,30 @@
 			zap.String("group", a.group.Name), zap.Error(err))
 		return
 	}
-	r.enter(s.opt.Bounds, tenure.Term)
+	r.enterTerm(s.opt.Bounds, tenure.Term)
 	if !a.group.ChecksOrders && s.opt.Clock().Before(tenure.From) {
-		r.note(s, a, orders.Plan{Withheld: "the last issuer's time may not have run out"})
+		r.logWithheld(s, a, orders.Plan{Withheld: "the previous issuer's tenure may not have expired"})
 		return
 	}
 	plan := r.planner.Step(s.nowMs(), goal)
-	r.note(s, a, plan)
+	r.logWithheld(s, a, plan)
 	for _, order := range plan.Orders {
 		out := s.send(ctx, a, tenure, order)
 		r.planner.Sent(s.nowMs(), order.Address, out)
 	}
 }
 
-// enter begins anew in another term: others have given orders meanwhile.
-func (r *rollout) enter(bounds orders.Options, term uint64) {
+// enterTerm starts with a new planner in another term, since other daemons may have issued
+// orders in the meantime.
+func (r *rollout) enterTerm(bounds orders.Options, term uint64) {
 	if r.term != 0 && r.term != term {
 		r.planner = orders.NewPlanner(bounds)
 	}
 	r.term = term
 }
 
-// note logs a changed reason for withholding orders, once.
-func (r *rollout) note(s *Orders, a assignment, plan orders.Plan) {
+// logWithheld logs the reason for withholding orders when it changes.
+func (r *rollout) logWithheld(s *Orders, a assignment, plan orders.Plan) {
 	if plan.Withheld == r.withheld {
 		return
 	}
@@ -224,7 +226,7 @@
 		zap.String("cause", plan.Withheld))
 }
 
-// tenure returns the proof that this daemon is the issuer, renewed after a
+// tenure returns a tenure that proves that this daemon is the issuer. It is renewed after a
 // target refused its fencing number.
 func (s *Orders) tenure(ctx context.Context, id int) (Tenure, error) {
 	s.mu.Lock()
@@ -242,13 +244,14 @@
 	return t, nil
 }
 
-// fence returns the next fencing number of a tenure.
+// fence returns the next fencing number of a tenure, and false if the tenure must be renewed
+// first.
 func (s *Orders) fence(id int, t Tenure) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seq := s.seqs[id]
 	if seq.offset != t.Offset {
-		return 0, false // renewed meanwhile for another group of the shard
+		return 0, false // the tenure was renewed for another group of the shard
 	}
 	fence, ok := orders.Fence(t.Offset, seq.next)
 	seq.next++
--- a/daemon/orders/orders_test.go
+++ b/daemon/orders/orders_test.go
@@ -52,54 +52,54 @@
 	return extern.Weights{Bytes: 1}, nil
 }
 
-// loaded is one engine of the bench.
-type loaded struct {
+// fakeEngine is one engine of a testGroup.
+type fakeEngine struct {
 	version string
 	fence   uint64
-	loads   bool
+	loading bool
 	applied []string
 }
 
-// bench is a group of engines with the daemons that order them. Time is set by
-// the test; the daemons share a clock, as all that matters is its rate. Rounds
-// run one after the other, or one inside another's call, so nothing is locked.
-type bench struct {
-	log    *fakelog.Log
-	checks bool
-	now    time.Time
-	fleet  map[string]*loaded
-	// sent tells who gave the orders that were obeyed.
+// testGroup is a group of engines with the daemons that send them orders. The test sets the
+// time. The daemons share a clock, since only its rate matters. Rounds run one after the
+// other, or one inside a call of another, so no lock is needed.
+type testGroup struct {
+	log     *fakelog.Log
+	checks  bool
+	now     time.Time
+	engines map[string]*fakeEngine
+	// sent lists the issuers of the orders that were applied, in their sequence.
 	sent []string
 }
 
-func newBench(checks bool, n int) *bench {
-	b := &bench{log: fakelog.New(fakelog.Options{}), checks: checks, now: time.Unix(1_800_000_000, 0), fleet: map[string]*loaded{}}
+func newTestGroup(checks bool, n int) *testGroup {
+	b := &testGroup{log: fakelog.New(fakelog.Options{}), checks: checks, now: time.Unix(1_800_000_000, 0), engines: map[string]*fakeEngine{}}
 	for i := range n {
-		b.fleet[fmt.Sprint("10.0.0.", i, ":1")] = &loaded{version: "1"}
+		b.engines[fmt.Sprint("10.0.0.", i, ":1")] = &fakeEngine{version: "1"}
 	}
 	return b
 }
 
-func (b *bench) clock() time.Time { return b.now }
+func (b *testGroup) clock() time.Time { return b.now }
 
-func (b *bench) loadingEnds() {
-	for _, e := range b.fleet {
-		e.loads = false
+func (b *testGroup) loadingEnds() {
+	for _, e := range b.engines {
+		e.loading = false
 	}
 }
 
-func (b *bench) loading() (n int) {
-	for _, e := range b.fleet {
-		if e.loads {
+func (b *testGroup) loading() (n int) {
+	for _, e := range b.engines {
+		if e.loading {
 			n++
 		}
 	}
 	return n
 }
 
-func (b *bench) config(version string) func() *config.Config {
+func (b *testGroup) config(version string) func() *config.Config {
 	g := &config.TargetGroup{Name: "menu-engines", Kind: config.KindEngine, Model: "menu", ChecksOrders: b.checks}
-	for address := range b.fleet {
+	for address := range b.engines {
 		g.Targets = append(g.Targets, config.Target{Address: address})
 	}
 	c := &config.Config{
@@ -109,13 +109,13 @@
 	return func() *config.Config { return c }
 }
 
-// daemon is one issuer. Its ledger tells it for ever that it holds the shard.
+// daemon is one issuer. Its ledger always reports that it holds the shard.
 type daemon struct {
 	*Orders
 	pause func()
 }
 
-func (b *bench) daemon(name string, term uint64, version string) *daemon {
+func (b *testGroup) daemon(name string, term uint64, version string) *daemon {
 	d := &daemon{}
 	lead, err := NewLogLeadership(LeadershipOptions{
 		Holds: func() []membership.ShardHold { return []membership.ShardHold{{Shard: menuShard, Term: term}} },
@@ -128,43 +128,43 @@
 			if d.pause != nil {
 				d.pause()
 			}
-			return b.obey(name, address, o)
+			return b.applyOrder(name, address, o)
 		}},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	return d
 }
 
-func (b *bench) report(address string) (target.LoadReport, error) {
-	return target.LoadReport{Model: "menu", Version: b.fleet[address].version}, nil
+func (b *testGroup) report(address string) (target.LoadReport, error) {
+	return target.LoadReport{Model: "menu", Version: b.engines[address].version}, nil
 }
 
-func (b *bench) generate(address string, _ target.GenerateRequest) faketarget.Generation {
-	if b.fleet[address].loads {
+func (b *testGroup) generate(address string, _ target.GenerateRequest) faketarget.Generation {
+	if b.engines[address].loading {
 		return faketarget.Generation{Err: &target.Failure{Busy: true, Status: http.StatusServiceUnavailable}}
 	}
 	return faketarget.Generation{Tokens: []string{"t"}}
 }
 
-func (b *bench) obey(from, address string, o target.Order) error {
-	e := b.fleet[address]
+func (b *testGroup) applyOrder(from, address string, o target.Order) error {
+	e := b.engines[address]
 	if b.checks && o.Fence < e.fence {
 		return &target.Failure{Reached: true, Rejected: true, Status: http.StatusConflict}
 	}
-	e.fence, e.version, e.loads = o.Fence, o.Version, true
+	e.fence, e.version, e.loading = o.Fence, o.Version, true
 	e.applied = append(e.applied, from)
 	b.sent = append(b.sent, from)
 	return nil
 }
 
-// A planner would see its drawing model go back to an old version: the daemon
-// that gave the orders is paused, another one takes the shard over and loads
-// the new version, and the old one wakes with its decision still in hand.
-// Here the pauses fall between two looks, in any order and as often as you like.
+// Guards against a model that goes back to an old version: the issuing daemon is paused,
+// another daemon takes the shard over and loads the new version, and the old one resumes and
+// sends what it had decided before. In this test the pauses fall between two rounds, in any
+// sequence and any number.
 func TestOldIssuerNeverOrdersAfterTheNewOne(t *testing.T) {
 	RegisterTestingT(t)
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench(rapid.Bool().Draw(t, "the targets check"), rapid.IntRange(2, 8).Draw(t, "targets"))
+		b := newTestGroup(rapid.Bool().Draw(t, "the targets check"), rapid.IntRange(2, 8).Draw(t, "targets"))
 		issuers := []*daemon{b.daemon("old#1", 3, "1b"), b.daemon("new#1", 4, "2")}
 		for range rapid.IntRange(50, 150).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -178,13 +178,13 @@
 				issuers[1].round(context.Background())
 			}
 		}
-		for _, e := range b.fleet {
+		for _, e := range b.engines {
 			checkOrder(t, e.applied)
 		}
 		if !b.checks {
 			checkOrder(t, b.sent)
-			if n := b.loading(); n > max(1, len(b.fleet)/4) {
-				t.Fatalf("%d of %d targets load", n, len(b.fleet))
+			if n := b.loading(); n > max(1, len(b.engines)/4) {
+				t.Fatalf("%d of %d targets load", n, len(b.engines))
 			}
 		}
 	})
@@ -201,10 +201,10 @@
 var _ = Describe("orders", func() {
 	ctx := context.Background()
 
-	rollOut := func(b *bench, d *daemon) {
+	rollOut := func(b *testGroup, d *daemon) {
 		for range 80 {
 			d.round(ctx)
-			Expect(b.loading()).To(BeNumerically("<=", max(1, len(b.fleet)/4)))
+			Expect(b.loading()).To(BeNumerically("<=", max(1, len(b.engines)/4)))
 			b.now = b.now.Add(2 * time.Second)
 			if b.loading() > 0 && b.now.Unix()%6 == 0 {
 				b.loadingEnds()
@@ -212,38 +212,38 @@
 		}
 	}
 
-	It("brings a whole group to the version without taking it away", func() {
-		b := newBench(false, 6)
+	It("changes a whole group to the new version while most of its targets keep serving", func() {
+		b := newTestGroup(false, 6)
 		rollOut(b, b.daemon("a#1", 1, "2"))
-		for _, e := range b.fleet {
+		for _, e := range b.engines {
 			Expect(e.version).To(Equal("2"))
 			Expect(e.applied).To(HaveLen(1))
 		}
 	})
 
-	// An engine is moved from one model to another whose issuer's tenure record
-	// is older on the stream. It refuses the first order as stale; the rightful
-	// issuer must not stay locked out.
-	It("renews its fencing number when a target has seen a higher one", func() {
-		b := newBench(true, 2)
+	// An engine is moved to another model, whose issuer has an older tenure record on the
+	// stream. The engine refuses the first order as stale. The issuer must get a higher
+	// fencing number, or it would never be able to send the engine an order.
+	It("renews its fencing number when a target has received a higher one", func() {
+		b := newTestGroup(true, 2)
 		Expect(b.log.Append(ctx, Stream, []byte("not a claim"))).To(BeZero())
-		for _, e := range b.fleet {
+		for _, e := range b.engines {
 			e.fence = 2<<20 + 5
 		}
 		d := b.daemon("a#1", 1, "2")
 		rollOut(b, d)
-		for _, e := range b.fleet {
+		for _, e := range b.engines {
 			Expect(e.version).To(Equal("2"))
 		}
 		Expect(d.meter.failed.Get()).To(BeEquivalentTo(1))
 	})
 
-	// The remaining window: the issuer is paused after its last look at the
-	// clock, in the middle of the call. The order arrives when another daemon has
-	// given its own. A target that checks refuses it; one that ignores the
-	// fencing number obeys, and the old issuer tells so when it wakes.
+	// The remaining window: the issuer is paused during the call, after its last check of
+	// the clock. Its order arrives after another daemon has sent one. A target that checks
+	// fencing numbers refuses the order. A target that ignores them applies it, and the old
+	// issuer logs this when it resumes.
 	DescribeTable("a pause between the check and the send", func(checks bool, version string) {
-		b := newBench(checks, 1)
+		b := newTestGroup(checks, 1)
 		old, successor := b.daemon("old#1", 3, "1b"), b.daemon("new#1", 4, "2")
 		old.pause = func() {
 			for range 10 {
@@ -254,15 +254,15 @@
 			b.loadingEnds()
 		}
 		old.round(ctx)
-		Expect(b.fleet["10.0.0.0:1"].version).To(Equal(version))
+		Expect(b.engines["10.0.0.0:1"].version).To(Equal(version))
 		Expect(old.meter.outlived.Get()).To(BeEquivalentTo(1))
 	},
-		Entry("is closed where targets check", true, "2"),
-		Entry("is open and logged where they do not", false, "1b"),
+		Entry("has no effect if targets check fencing numbers", true, "2"),
+		Entry("takes effect and is logged if they do not", false, "1b"),
 	)
 
-	It("gives no order without weights, nor while the log cannot prove the tenure", func() {
-		b := newBench(true, 3)
+	It("sends no order without weights, nor while the log can't prove the tenure", func() {
+		b := newTestGroup(true, 3)
 		b.log.SetOutage(true)
 		d := b.daemon("a#1", 1, "2")
 		rollOut(b, d)
--- a/daemon/orders/send.go
+++ b/daemon/orders/send.go
@@ -14,12 +14,12 @@
 // actionLoadModel is the order's action in the targets' contract.
 const actionLoadModel = "load_model"
 
-// send gives one order within the tenure.
+// send sends one order within the tenure.
 //
-// Failure guarded against: a daemon decides, is paused, and wakes when another
-// one gives the orders: the target would go back to an old version. The last
-// look at the clock stands right before the call, and the call's own deadline
-// is the tenure's end; see LogLeadership for the window that remains.
+// Failure guarded against: a daemon decides, is paused, and resumes when another daemon
+// issues the orders, so that the target would go back to an old version. The clock is
+// checked right before the call, and the call's deadline is the end of the tenure; see
+// LogLeadership for the window that remains.
 func (s *Orders) send(ctx context.Context, a assignment, t Tenure, order orders.Order) orders.Outcome {
 	fence, ok := s.fence(a.shard, t)
 	left := t.Until.Sub(s.opt.Clock())
@@ -61,8 +61,8 @@
 	s.opt.Logger.Warn("order_failed", append(fields, zap.Bool("may_load", out == orders.Lost), zap.Error(err))...)
 }
 
-// outcomeOf tells what is known of an order from its error. Only an answer that
-// says so, or no connection at all, proves that the target does not load.
+// outcomeOf returns the outcome of an order from its error. Only a response that rejects the
+// order, or a failure to connect, proves that the target does not load the model.
 func outcomeOf(err error) orders.Outcome {
 	if err == nil {
 		return orders.Accepted
@@ -74,7 +74,8 @@
 	return orders.Lost
 }
 
-// storeReady asks the weight store for the wanted version, until it has it.
+// storeReady reports whether the weight store has the wanted version. It queries the store
+// until it does.
 func (s *Orders) storeReady(ctx context.Context, a assignment, r *rollout, goal orders.Goal) bool {
 	if !r.planner.NeedsStore(s.nowMs(), goal) {
 		return r.planner.StoreReady()
