--- a/daemon/burnlog/append.go
+++ b/daemon/burnlog/append.go
@@ -12,14 +12,14 @@
 	"tarragonhollow.example/tarragonhollow/core/burn"
 )
 
-// appendLoop writes what changed to the log at a low pace. A daemon that
-// counted nothing appends nothing.
+// appendLoop periodically appends the changed counts to the log. If nothing was counted, it
+// appends nothing.
 //
-// Failure guarded against: a host that is lost takes its counts with it, and
-// the window that would show why it was lost looks clean. What was appended
-// stays; at most the last period is missing.
+// Failure guarded against: the counts of a lost host are lost with it, so that the window
+// that should show why it was lost shows no errors. Appended counts remain on the log; at
+// most those of the last period are missing.
 func (c *Collector) appendLoop(ctx context.Context) {
-	// A random start spreads the appends of a fleet that starts at once.
+	// A random first wait spreads the appends of daemons that start at the same time.
 	wait := time.Duration(rand.Int64N(int64(c.period())))
 	for {
 		timer := time.NewTimer(wait)
@@ -36,12 +36,13 @@
 	}
 }
 
-// period is the time between two appends of this daemon.
+// period returns the time between two appends of this daemon.
 func (c *Collector) period() time.Duration {
-	return max(minPeriod, time.Duration(len(c.opt.View.Members()))*perDaemon)
+	return max(minPeriod, time.Duration(len(c.opt.View.Members()))*periodPerDaemon)
 }
 
-// Drain writes the rest of the counts, for a graceful stop.
+// Drain appends the remaining counts to the log, for a graceful stop. The error is a
+// DrainFailed.
 func (c *Collector) Drain(ctx context.Context) error {
 	for {
 		more, err := c.appendNext(ctx)
@@ -54,18 +55,18 @@
 	}
 }
 
-// appendNext appends one record and tells whether there is more. Counts of an
-// append that failed, or whose end is not known, stay unsent: a cell that is
+// appendNext appends one record and reports whether there are more counts to append. The
+// counts stay unsent if the append failed or its outcome is unknown, because a cell that is
 // appended twice counts once.
 func (c *Collector) appendNext(ctx context.Context) (more bool, err error) {
-	c.restate(ctx)
-	record, more := c.take()
+	c.rewrite(ctx)
+	record, more := c.nextRecord()
 	if len(record) == 0 {
 		return false, nil
 	}
 	data, err := msgpack.Marshal(record)
 	if err != nil {
-		c.putBack(record...)
+		c.requeue(record...)
 		return false, errLog.Wrap(err, "encode")
 	}
 	call, cancel := context.WithTimeout(ctx, appendTimeout)
@@ -74,25 +75,26 @@
 	c.meter.appends.Inc()
 	if err != nil {
 		c.meter.appendErrors.Inc()
-		c.putBack(record...)
+		c.requeue(record...)
 		return false, errLog.Wrap(err, "append to %s", Stream)
 	}
 	c.meter.appendBytes.Add(len(data))
 	return more, nil
 }
 
-// take removes a record's worth from the unsent counts.
-func (c *Collector) take() (record []burn.Summary, more bool) {
+// nextRecord removes the counts for one record from the unsent counts. more reports whether
+// unsent counts remain.
+func (c *Collector) nextRecord() (record []burn.Summary, more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unsent.Merge(c.recorder.Changes().Coarse())
 	c.unsent.Prune(c.nowMs())
 	all := c.unsent.Summaries()
 	c.unsent = burn.NewSet()
-	room := maxCells
+	remaining := maxCells
 	for _, s := range all {
-		first, rest, used := split(s, room)
-		room -= used
+		first, rest, used := split(s, remaining)
+		remaining -= used
 		if used > 0 {
 			record = append(record, first)
 		}
@@ -102,20 +104,20 @@
 	return record, more
 }
 
-// restate writes forward, every so often, what would expire on the log: this
-// daemon's own counts, and the hours of hosts that are gone.
+// rewrite periodically appends the counts again that would expire on the log: this daemon's
+// counts, and the hourly cells of lost hosts.
 //
-// Failure guarded against: the log keeps records for a day and the error budget
-// reaches back for three. Once a lost host's records have expired, its errors
-// would drop out and the budget would look fuller than it is. The first
-// successor of a fixed key writes them again several times before that; that
-// two daemons both take themselves for the first costs records and no more.
-func (c *Collector) restate(ctx context.Context) {
+// Failure guarded against: the log keeps records for a day and the error budget covers three
+// days. Once a lost host's records have expired, its errors would be missing, and the report
+// would show a larger remaining budget than there is. The first successor of a fixed key
+// rewrites them several times before they expire. If two daemons both consider themselves the
+// first, this only costs additional records.
+func (c *Collector) rewrite(ctx context.Context) {
 	now := c.opt.Clock()
 	c.mu.Lock()
-	due := now.Sub(c.restated) >= c.opt.Retention/restateShare
+	due := now.Sub(c.lastRewrite) >= c.opt.Retention/rewriteDivisor
 	if due {
-		c.restated = now
+		c.lastRewrite = now
 		c.unsent.Merge(c.recorder.All().Coarse())
 	}
 	c.mu.Unlock()
@@ -126,14 +128,14 @@
 	logged, _ := c.readLog(ctx)
 	for _, s := range logged {
 		if !c.opt.View.LiveID(s.Source) {
-			c.putBack(hours(s))
+			c.requeue(hourCells(s))
 		}
 	}
 }
 
-// hours returns the cells that outlive the log's retention: the windows of
-// minutes are shorter than it.
-func hours(s burn.Summary) burn.Summary {
+// hourCells returns the hourly cells of a summary. Only these are needed for longer than the
+// log's retention; the windows that use cells of minutes are shorter.
+func hourCells(s burn.Summary) burn.Summary {
 	out := burn.Summary{Source: s.Source}
 	for _, series := range s.Series {
 		cells := slices.DeleteFunc(slices.Clone(series.Cells), func(c burn.Cell) bool { return c.Scale != burn.Hour })
@@ -142,7 +144,7 @@
 	return out
 }
 
-func (c *Collector) putBack(summaries ...burn.Summary) {
+func (c *Collector) requeue(summaries ...burn.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range summaries {
@@ -150,11 +152,11 @@
 	}
 }
 
-// split cuts a summary after a number of cells and tells how many it took.
-func split(s burn.Summary, room int) (first, rest burn.Summary, used int) {
+// split cuts a summary after at most limit cells and returns the number of cells in first.
+func split(s burn.Summary, limit int) (first, rest burn.Summary, used int) {
 	first.Source, rest.Source = s.Source, s.Source
 	for _, series := range s.Series {
-		n := min(room-used, len(series.Cells))
+		n := min(limit-used, len(series.Cells))
 		used += n
 		first.Series = appendCells(first.Series, series, series.Cells[:n])
 		rest.Series = appendCells(rest.Series, series, series.Cells[n:])
--- a/daemon/burnlog/burnlog_test.go
+++ b/daemon/burnlog/burnlog_test.go
@@ -39,12 +39,12 @@
 
 // fleet is a set of daemons that call each other directly.
 type fleet struct {
-	log      *fakelog.Log
-	written  int64
-	now      time.Time
-	services map[string]*service
-	silent   map[string]bool
-	members  []membership.Member
+	log          *fakelog.Log
+	written      int64
+	now          time.Time
+	services     map[string]*service
+	notAnswering map[string]bool
+	members      []membership.Member
 }
 
 type peerView struct {
@@ -66,7 +66,7 @@
 func (v peerView) Self() membership.Member      { return v.self }
 func (v peerView) Members() []membership.Member { return v.f.members }
 
-// Register and Call make a daemon's view its peer server and client as well.
+// Register and Call let a daemon's view also serve as its peer server and client.
 func (v peerView) Register(_ string, receiver any) error {
 	v.f.services[v.self.Host] = receiver.(*service)
 	return nil
@@ -75,7 +75,7 @@
 func (v peerView) Notify(string, string, any) {}
 
 func (v peerView) Call(ctx context.Context, address, _ string, _, reply any) error {
-	if v.f.silent[address] {
+	if v.f.notAnswering[address] {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -94,7 +94,7 @@
 	return c
 }
 
-// kill takes a daemon out of everybody's view.
+// kill removes a daemon from the view of all daemons.
 func (f *fleet) kill(host string) {
 	for i, m := range f.members {
 		if m.Host == host {
@@ -110,7 +110,7 @@
 	}
 }
 
-// drainRing counts what was observed, as recordLoop does.
+// drainRing counts the queued events, as recordLoop does.
 func drainRing(c *Collector) {
 	for c.events.Len() > 0 {
 		c.record(<-c.events.C())
@@ -147,15 +147,15 @@
 
 	BeforeEach(func() {
 		f = &fleet{log: fakelog.New(fakelog.Options{}), now: time.Unix(1_800_000_000, 0),
-			services: map[string]*service{}, silent: map[string]bool{}}
+			services: map[string]*service{}, notAnswering: map[string]bool{}}
 		a, b, c = f.add("a"), f.add("b"), f.add("c")
 	})
 
-	// Operators would look at the report after a host was lost and see a clean
-	// hour: the failed requests were all at that host. It had written them to the
-	// log before, and the answers to two of its appends were lost, so that the
-	// same counts stand there three times.
-	It("still has what a killed daemon counted, once", func() {
+	// Guards against a report without errors after the loss of the host at which all
+	// failed requests were. The host had appended its counts to the log before. The
+	// responses to two of its appends were lost, so the log has the same counts three
+	// times.
+	It("includes the counts of a killed daemon once", func() {
 		count(a, 5, burn.OK)
 		count(b, 3, burn.Failed)
 		f.log.LoseAnswers(2)
@@ -175,24 +175,24 @@
 		Expect(r.LogComplete).To(BeTrue())
 	})
 
-	// A host is paused while an operator asks: the report comes in time, names
-	// it, and has what it wrote before.
-	It("names a silent daemon, and says when the log is out", func() {
+	// A host is paused when an operator requests the report. The report must come in time,
+	// list the host, and include the counts that the host appended before.
+	It("lists a daemon that does not respond, and shows that the log is unreachable", func() {
 		count(c, 2, burn.OK)
 		Expect(c.Drain(ctx)).To(Succeed())
 		count(c, 7, burn.OK)
-		f.silent["c"] = true
+		f.notAnswering["c"] = true
 		r := report()
 		Expect(r.NotAnswering).To(Equal([]string{"c"}))
 		Expect(totals(r, "desk", "availability")).To(Equal([2]uint64{2, 0}))
-		f.silent["c"] = false
+		f.notAnswering["c"] = false
 		f.log.SetOutage(true)
 		r = report()
 		Expect(r.LogComplete).To(BeFalse())
 		Expect(totals(r, "desk", "availability")).To(Equal([2]uint64{9, 0}))
 	})
 
-	It("keeps counts through an outage of the log, and splits what has grown", func() {
+	It("keeps counts during an outage of the log, and splits a large backlog into records", func() {
 		f.log.SetOutage(true)
 		for i := range maxCells {
 			b.record(burn.Event{AtMs: b.nowMs(), Profile: "desk", Group: fmt.Sprint("g", i), Outcome: burn.OK})
@@ -202,15 +202,15 @@
 		}
 		f.log.SetOutage(false)
 		Expect(b.Drain(ctx)).To(Succeed())
-		Expect(f.log.Records(Stream)).To(HaveLen(2)) // a minute and an hour a group
+		Expect(f.log.Records(Stream)).To(HaveLen(2)) // a cell for the minute and one for the hour per group
 		f.kill("b")
 		Expect(totals(report(), "desk", "availability")).To(Equal([2]uint64{maxCells, 0}))
 	})
 
-	// The error budget reaches back for three days, the log for one. What a
-	// daemon counted would drop out of it a day after its end, or while it still
-	// runs, and operators would see a budget that has come back by itself.
-	It("writes counts forward before they expire, its own and those of the dead", func() {
+	// The error budget covers three days, the log one day. Without rewrites, the counts of
+	// a daemon would be missing a day after its end, or even while it runs, and operators
+	// would see a budget that recovers without reason.
+	It("rewrites its counts and those of dead daemons before they expire", func() {
 		count(b, 4, burn.Failed)
 		Expect(b.Drain(ctx)).To(Succeed())
 		for i, d := range []*Collector{b, a, a} {
@@ -223,12 +223,12 @@
 			if i == 0 {
 				f.kill("b")
 			}
-			a.next, a.logSet = 0, burn.NewSet() // as a fresh daemon reads it
+			a.nextOffset, a.logSet = 0, burn.NewSet() // as a fresh daemon reads it
 		}
 		Expect(find(report(), "desk", "availability").BudgetLeft).To(BeNumerically("<", 0))
 	})
 
-	DescribeTable("stays below two appends a second", func(hosts int) {
+	DescribeTable("stays below two appends per second", func(hosts int) {
 		for len(f.members) < hosts {
 			f.members = append(f.members, membership.Member{})
 		}
@@ -261,7 +261,7 @@
 		Expect(find(r, "desk", "availability").TopReasons).To(HaveLen(1))
 	})
 
-	It("counts the ends of batch items by their owner's word", func() {
+	It("counts the ends of batch items that their owner reports as final", func() {
 		owner := &fakeOwner{state: map[string]ledger.ItemState{"1": ledger.ItemFailed, "2": ledger.ItemWaiting}}
 		client := a.Items(owner)
 		for i, id := range []string{"0", "1", "2", "3"} {
@@ -274,7 +274,7 @@
 		ends := []ledger.ItemEnd{
 			{Ref: owner.items[0].Ref, Answer: &ledger.Answer{Status: 200}}, // late
 			{Ref: owner.items[1].Ref, Refusal: failed},                     // failed for good
-			{Ref: owner.items[2].Ref, Refusal: failed},                     // waits for its next attempt
+			{Ref: owner.items[2].Ref, Refusal: failed},                     // waiting for its next attempt
 			{Ref: owner.items[3].Ref, Answer: &ledger.Answer{Status: 200}}, // in time
 		}
 		owner.err = errors.New("no owner")
--- a/daemon/burnlog/collector.go
+++ b/daemon/burnlog/collector.go
@@ -12,26 +12,26 @@
 	"tarragonhollow.example/tarragonhollow/daemon/duty"
 )
 
-// Collector counts events and reports the fleet's burn. It is safe for
-// concurrent use; Observe never waits.
+// Collector counts events and reports the fleet's error budget burn. It is safe for
+// concurrent use; Observe never blocks.
 type Collector struct {
 	opt    Options
 	meter  *meter
 	events *duty.Ring[burn.Event]
-	items  *duty.Ring[doubtfulEnd]
+	items  *duty.Ring[unresolvedEnd]
 	leases *lru.Cache[itemKey, lease]
 
-	// mu guards what this daemon counted.
+	// mu guards the counts of this daemon.
 	mu       sync.Mutex
 	recorder *burn.Recorder
 	// unsent are counts that the log may not have yet.
-	unsent   *burn.Set
-	restated time.Time
+	unsent      *burn.Set
+	lastRewrite time.Time
 
-	// logMu guards what the log told.
-	logMu  sync.Mutex
-	logSet *burn.Set
-	next   int64
+	// logMu guards the counts read from the log, and the offset to read next.
+	logMu      sync.Mutex
+	logSet     *burn.Set
+	nextOffset int64
 }
 
 type meter struct {
@@ -39,25 +39,26 @@
 	appends, appendBytes, appendErrors *metrics.Counter
 }
 
-// New validates the options and registers the rpc service.
+// New returns a Collector and registers its net/rpc service. It fails with BadOptions if a
+// required option is missing.
 func New(o Options) (*Collector, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	leases, err := lru.New[itemKey, lease](leasesKept)
+	leases, err := lru.New[itemKey, lease](maxLeases)
 	if err != nil {
 		return nil, BadOptions.Wrap(err, "leases")
 	}
 	set := o.Metrics
 	c := &Collector{
-		opt:      o,
-		events:   duty.NewRing[burn.Event](eventRing),
-		items:    duty.NewRing[doubtfulEnd](itemRing),
-		leases:   leases,
-		recorder: burn.NewRecorder(o.View.Self().ID()),
-		unsent:   burn.NewSet(),
-		restated: o.Clock(),
-		logSet:   burn.NewSet(),
+		opt:         o,
+		events:      duty.NewRing[burn.Event](eventRingSize),
+		items:       duty.NewRing[unresolvedEnd](itemRingSize),
+		leases:      leases,
+		recorder:    burn.NewRecorder(o.View.Self().ID()),
+		unsent:      burn.NewSet(),
+		lastRewrite: o.Clock(),
+		logSet:      burn.NewSet(),
 		meter: &meter{
 			events:       set.GetOrCreateCounter("tarragonhollow_burn_events_total"),
 			dropped:      set.GetOrCreateCounter("tarragonhollow_burn_events_dropped_total"),
@@ -70,15 +71,15 @@
 	return c, o.Registrar.Register(ServiceName, &service{c})
 }
 
-// Run starts the duties.
+// Run starts the background loops in g.
 func (c *Collector) Run(g *duty.Group) {
 	g.Go(c.recordLoop)
 	g.Go(c.itemLoop)
 	g.Go(c.appendLoop)
 }
 
-// Observe counts one event. A full ring drops it and says so in a metric: a
-// caller never waits for the reporting.
+// Observe counts one event. If the queue is full, it drops the event and increments a metric,
+// so that the reporting never blocks a request.
 func (c *Collector) Observe(e burn.Event) {
 	if e.AtMs == 0 {
 		e.AtMs = c.nowMs()
@@ -88,9 +89,9 @@
 	}
 }
 
-// recordLoop counts what Observe was given.
+// recordLoop counts the events that Observe has queued.
 func (c *Collector) recordLoop(ctx context.Context) {
-	prune := time.NewTicker(pruneEvery)
+	prune := time.NewTicker(pruneInterval)
 	defer prune.Stop()
 	for {
 		select {
@@ -106,8 +107,8 @@
 	}
 }
 
-// record counts an event by the objectives in force now. An event of a profile
-// that is not configured any more has no objective.
+// record counts an event against the currently configured objectives. An event of a profile
+// that is no longer configured has no objective and is only counted in a metric.
 func (c *Collector) record(e burn.Event) {
 	cfg := c.opt.Config()
 	if cfg == nil || cfg.Profiles[e.Profile] == nil {
@@ -122,10 +123,10 @@
 
 func (c *Collector) nowMs() int64 { return c.opt.Clock().UnixMilli() }
 
-// SummariesRequest asks a daemon for what it counted.
+// SummariesRequest requests the counts of a daemon.
 type SummariesRequest struct{}
 
-// SummariesReply is the whole of it.
+// SummariesReply has all counts of a daemon.
 type SummariesReply struct{ Summary burn.Summary }
 
 // service is the net/rpc receiver.
--- a/daemon/burnlog/items.go
+++ b/daemon/burnlog/items.go
@@ -7,30 +7,31 @@
 	"tarragonhollow.example/tarragonhollow/core/ledger"
 )
 
-// itemKey names an item whatever its attempt.
+// itemKey identifies an item, independent of the attempt.
 type itemKey struct {
 	job   string
 	index int
 }
 
-// lease is what the end of an item is judged by.
+// lease holds the properties of a pulled item that are needed to count its end. dueMs is a
+// time in milliseconds, 0 for none.
 type lease struct {
 	profile, group, customID string
 	dueMs                    int64
 }
 
-// doubtfulEnd is a failed attempt of which only the item's owner knows whether
-// it was the last.
-type doubtfulEnd struct {
-	// ledger is where to ask.
+// unresolvedEnd is a failed attempt of an item. Only the item's owner knows whether it was
+// the last attempt.
+type unresolvedEnd struct {
+	// ledger is the client that queries the owner.
 	ledger ledger.Client
 	key    itemKey
 	lease  lease
 	atMs   int64
 }
 
-// Items returns a ledger client for the steward that counts the ends of the
-// items that pass through it. All else goes to next untouched.
+// Items returns a ledger client for the batch dispatcher (steward) that counts the ends of
+// the items that pass through it. It passes all calls on to next unchanged.
 func (c *Collector) Items(next ledger.Client) ledger.Client { return &itemClient{Client: next, c: c} }
 
 type itemClient struct {
@@ -49,9 +50,9 @@
 	return reply, err
 }
 
-// FinishItems implements ledger.Client. An end counts once its owner has taken
-// it over, which is after its read-back; a report that is sent again finds the
-// lease gone and counts no more.
+// FinishItems implements ledger.Client. An end is counted once its owner has accepted it,
+// which is after the owner has read it back from the log. An end that is reported again is
+// not counted again, because its lease has been removed.
 func (i *itemClient) FinishItems(ctx context.Context, req ledger.FinishItemsRequest) ([]ledger.ItemEnd, error) {
 	undelivered, err := i.Client.FinishItems(ctx, req)
 	if err != nil && len(undelivered) == 0 {
@@ -77,9 +78,9 @@
 	}
 	i.c.leases.Remove(key)
 	if e.Answer == nil && e.Refusal == nil {
-		return // handed back, it goes on elsewhere
+		return // handed back, another dispatcher runs it
 	}
-	end := doubtfulEnd{ledger: i.Client, key: key, lease: l, atMs: i.c.nowMs()}
+	end := unresolvedEnd{ledger: i.Client, key: key, lease: l, atMs: i.c.nowMs()}
 	if e.Answer != nil {
 		outcome, reason := burn.ClassifyStatus(e.Answer.Status)
 		i.c.observeItem(end, outcome, reason)
@@ -90,7 +91,7 @@
 	}
 }
 
-func (c *Collector) observeItem(end doubtfulEnd, outcome burn.Outcome, reason string) {
+func (c *Collector) observeItem(end unresolvedEnd, outcome burn.Outcome, reason string) {
 	c.Observe(burn.Event{
 		AtMs: end.atMs, Profile: end.lease.profile, Group: end.lease.group,
 		Outcome: outcome, Reason: reason,
@@ -98,20 +99,20 @@
 	})
 }
 
-// itemLoop asks the owners what became of items after a failed attempt: whether
-// an item has failed for good is the owner's rule, and stands only there.
+// itemLoop queries the owners for the state of items after a failed attempt. Only the owner
+// decides whether an item has finally failed.
 func (c *Collector) itemLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case end := <-c.items.C():
-			c.settle(ctx, end)
+			c.resolve(ctx, end)
 		}
 	}
 }
 
-func (c *Collector) settle(ctx context.Context, end doubtfulEnd) {
+func (c *Collector) resolve(ctx context.Context, end unresolvedEnd) {
 	call, cancel := context.WithTimeout(ctx, itemTimeout)
 	defer cancel()
 	result, err := end.ledger.Item(call, end.key.job, end.lease.customID)
--- a/daemon/burnlog/online.go
+++ b/daemon/burnlog/online.go
@@ -17,25 +17,25 @@
 // ServiceFunc runs a call of a plain service, as online.Online.Service does.
 type ServiceFunc func(ctx context.Context, call api.ServiceCall) (target.ServiceResponse, error)
 
-// Chat runs a chat completion by run and counts its end.
+// Chat runs a chat completion by calling run, and counts its outcome and latencies.
 func (c *Collector) Chat(ctx context.Context, call api.ChatCall, sink func(target.Token) error, run ChatFunc) (api.ChatResult, error) {
-	w := &watch{clock: c.opt.Clock, began: c.opt.Clock()}
+	timer := &streamTimer{clock: c.opt.Clock, began: c.opt.Clock()}
 	watched := sink
 	if sink != nil {
 		watched = func(t target.Token) error {
-			w.token()
+			timer.token()
 			return sink(t)
 		}
 	}
 	result, err := run(ctx, call, watched)
 	e := burn.Event{Profile: call.Profile.Name, Group: c.groupOf(call.Request.Model)}
 	e.Outcome, e.Reason = classify(err)
-	e.FirstTokenMs, e.BetweenTokensMs = w.times()
+	e.FirstTokenMs, e.BetweenTokensMs = timer.times()
 	c.Observe(e)
 	return result, err
 }
 
-// Service runs a call of a plain service by run and counts its end.
+// Service runs a call of a plain service by calling run, and counts its outcome and latency.
 func (c *Collector) Service(ctx context.Context, call api.ServiceCall, run ServiceFunc) (target.ServiceResponse, error) {
 	began := c.opt.Clock()
 	response, err := run(ctx, call)
@@ -49,8 +49,8 @@
 	return response, err
 }
 
-// Refused counts a request that the HTTP face turned away before it reached
-// Chat or Service. The profile may be unknown: then nothing is counted.
+// Refused counts a request that the HTTP handler refused before it reached Chat or Service.
+// If the profile is unknown, the request counts for no objective.
 func (c *Collector) Refused(profile string, code outcome.Code) {
 	e := burn.Event{Profile: profile}
 	e.Outcome, e.Reason = burn.Classify(&outcome.Refusal{Code: code})
@@ -68,8 +68,8 @@
 	return ""
 }
 
-// classify returns how an error counts. Whatever is not a refusal is a fault
-// of this system.
+// classify returns the outcome and reason as which an error counts. An error that is not a
+// refusal counts as an internal failure.
 func classify(err error) (burn.Outcome, string) {
 	if err == nil {
 		return burn.OK, ""
@@ -81,36 +81,36 @@
 	return burn.Failed, "internal"
 }
 
-// watch takes the times of a stream. Tokens come from one goroutine.
-type watch struct {
+// streamTimer measures the latencies of a stream. It is not safe for concurrent use.
+type streamTimer struct {
 	clock        func() time.Time
 	began, last  time.Time
 	first, worst time.Duration
 }
 
-func (w *watch) token() {
-	now := w.clock()
-	if w.last.IsZero() {
-		w.first = now.Sub(w.began)
+func (t *streamTimer) token() {
+	now := t.clock()
+	if t.last.IsZero() {
+		t.first = now.Sub(t.began)
 	} else {
-		w.worst = max(w.worst, now.Sub(w.last))
+		t.worst = max(t.worst, now.Sub(t.last))
 	}
-	w.last = now
+	t.last = now
 }
 
-// times returns the time to the first token, or to the whole answer where none
-// was streamed, and the longest time between two.
-func (w *watch) times() (firstMs, betweenMs int64) {
-	if w.last.IsZero() {
-		return roundUp(w.clock().Sub(w.began)), 0
+// times returns the time to the first token, or to the whole answer if no token was
+// streamed, and the longest time between two tokens, 0 if there were not two.
+func (t *streamTimer) times() (firstMs, betweenMs int64) {
+	if t.last.IsZero() {
+		return roundUp(t.clock().Sub(t.began)), 0
 	}
-	if w.worst == 0 {
-		return roundUp(w.first), 0
+	if t.worst == 0 {
+		return roundUp(t.first), 0
 	}
-	return roundUp(w.first), roundUp(w.worst)
+	return roundUp(t.first), roundUp(t.worst)
 }
 
-// roundUp returns whole milliseconds, at least 1: 0 is "not measured".
+// roundUp returns d in milliseconds, rounded up and at least 1, since 0 means "not measured".
 func roundUp(d time.Duration) int64 {
 	return max(1, int64((d+time.Millisecond-1)/time.Millisecond))
 }
--- a/daemon/burnlog/options.go
+++ b/daemon/burnlog/options.go
@@ -1,6 +1,6 @@
-// Package burnlog counts what this daemon's requests and batch items cost of
-// their objectives, and reports the service-level burn of the whole fleet. What
-// live daemons counted is asked for; what lost ones counted is on the log.
+// Package burnlog counts how this daemon's requests and batch items use up the error budgets
+// of their service-level objectives, and reports the burn of the whole fleet. The counts of
+// live daemons are fetched from them; those of lost daemons are read from the log.
 package burnlog
 
 import (
@@ -18,9 +18,10 @@
 
 var (
 	namespace = errorx.NewNamespace("burnlog")
-	// BadOptions is the type of errors for options that can't work.
+	// BadOptions is the type of errors for invalid options.
 	BadOptions = namespace.NewType("options")
-	// DrainFailed says that the last counts did not reach the log.
+	// DrainFailed is the type of errors for last counts that could not be appended to the
+	// log.
 	DrainFailed = namespace.NewType("drain", errorx.Temporary())
 	errLog      = namespace.NewType("log", errorx.Temporary())
 )
@@ -31,11 +32,11 @@
 	// ServiceName is the net/rpc name of this package's service.
 	ServiceName      = "Burn"
 	summariesMethod  = ServiceName + ".Summaries"
-	eventRing        = 8192
-	itemRing         = 4096
+	eventRingSize    = 8192
+	itemRingSize     = 4096
 	itemTimeout      = 5 * time.Second
 	appendTimeout    = 3 * time.Second
-	pruneEvery       = 5 * time.Minute
+	pruneInterval    = 5 * time.Minute
 	defaultPeerWait  = 2 * time.Second
 	defaultLogWait   = 4 * time.Second
 	peersParallel    = 16
@@ -44,36 +45,36 @@
 )
 
 const (
-	// minPeriod is the least time between two appends of a daemon. It is what a
-	// lost host may take with it, and sets how much there is to read back.
+	// minPeriod is the minimum time between two appends of a daemon. The counts of one
+	// period may be lost with a host. A shorter period means more records to read back.
 	minPeriod = 30 * time.Second
-	// perDaemon stretches the period with the fleet, so that all daemons
-	// together stay at 1.7 appends a second, below the 2 that burn may use.
-	perDaemon = 600 * time.Millisecond
-	// maxCells bounds the cells of one record, at some 60 bytes each.
+	// periodPerDaemon increases the period with the number of daemons, so that all daemons
+	// together stay at 1.7 appends a second, below the limit of 2 for this stream.
+	periodPerDaemon = 600 * time.Millisecond
+	// maxCells limits the cells of one record, at some 60 bytes each.
 	maxCells = 2000
-	// restateShare is the part of the log's retention after which a daemon
-	// writes all its cells again, for old records expire.
-	restateShare = 4
-	// leasesKept bounds the batch items remembered between pull and end.
-	leasesKept = 1 << 15
+	// rewriteDivisor sets when a daemon appends all its cells again, because old records
+	// expire: after a quarter of the log's retention.
+	rewriteDivisor = 4
+	// maxLeases limits the batch items that are tracked between pull and end.
+	maxLeases = 1 << 15
 )
 
 // Options configure a Collector.
 type Options struct {
 	// Log is the platform's log; required.
 	Log extern.Log
-	// View names the daemons; required.
+	// View lists the daemons; required.
 	View membership.View
-	// Peer and Registrar carry the summaries; required.
+	// Peer and Registrar exchange the summaries with other daemons; required.
 	Peer      peer.Caller
 	Registrar peer.Registrar
-	// Config returns the configuration in force; required.
+	// Config returns the current configuration; required.
 	Config func() *config.Config
 	// Retention is how long the log keeps a record; default 24 h.
 	Retention time.Duration
-	// PeerWait bounds the wait for the other daemons' counts, LogWait that for
-	// the log; defaults 2 s and 4 s.
+	// PeerWait limits the wait for the other daemons' counts, LogWait that for reading
+	// the log; the defaults are 2 s and 4 s.
 	PeerWait, LogWait time.Duration
 	// Logger and Metrics may be nil.
 	Logger  *zap.Logger
--- a/daemon/burnlog/report.go
+++ b/daemon/burnlog/report.go
@@ -13,43 +13,43 @@
 	"tarragonhollow.example/tarragonhollow/core/membership"
 )
 
-// FleetReport is the answer of GET /admin/burn.
+// FleetReport is the response to GET /admin/burn.
 type FleetReport struct {
 	burn.Report
-	// NotAnswering names the live hosts whose counts of the last minutes are
-	// missing; what they wrote to the log is in.
+	// NotAnswering lists the live hosts whose counts of the last minutes are missing
+	// because they did not respond. Their counts on the log are included.
 	NotAnswering []string `json:"not_answering"`
-	// LogComplete tells that the log was read to its end: otherwise counts of
-	// lost hosts may be missing.
+	// LogComplete reports whether the log was read to its end. If not, counts of lost
+	// hosts may be missing.
 	LogComplete bool `json:"log_complete"`
 }
 
-// Report merges what the live daemons and the log tell. A cell that comes from
-// both counts once. The wait is bounded by PeerWait and LogWait; nothing that
-// is missing fails the report, it is named in it.
+// Report merges the counts of the live daemons with those on the log. A cell that comes from
+// both counts once. The wait is limited by PeerWait and LogWait. Missing counts do not fail
+// the report; NotAnswering and LogComplete show them.
 func (c *Collector) Report(ctx context.Context) (FleetReport, error) {
-	var own SummariesReply
-	_ = (&service{c}).Summaries(SummariesRequest{}, &own)
+	var local SummariesReply
+	_ = (&service{c}).Summaries(SummariesRequest{}, &local)
 	set := burn.NewSet()
-	set.Merge(own.Summary)
+	set.Merge(local.Summary)
 	var logged []burn.Summary
 	var complete bool
-	var told []burn.Summary
-	var silent []string
+	var fetched []burn.Summary
+	var notAnswering []string
 	var sources errgroup.Group
 	sources.Go(func() error {
 		logged, complete = c.readLog(ctx)
 		return nil
 	})
 	sources.Go(func() error {
-		told, silent = c.askPeers(ctx)
+		fetched, notAnswering = c.fetchSummaries(ctx)
 		return nil
 	})
 	_ = sources.Wait()
-	for _, s := range append(logged, told...) {
+	for _, s := range append(logged, fetched...) {
 		set.Merge(s)
 	}
-	r := FleetReport{NotAnswering: silent, LogComplete: complete}
+	r := FleetReport{NotAnswering: notAnswering, LogComplete: complete}
 	cfg := c.opt.Config()
 	if cfg == nil {
 		r.Report = set.Report(c.nowMs(), nil)
@@ -59,12 +59,13 @@
 	return r, nil
 }
 
-// askPeers asks all other daemons at once, some calls at a time.
-func (c *Collector) askPeers(ctx context.Context) (told []burn.Summary, silent []string) {
+// fetchSummaries fetches the counts of all other daemons, with at most peersParallel
+// concurrent calls. It also returns the hosts that did not respond.
+func (c *Collector) fetchSummaries(ctx context.Context) (fetched []burn.Summary, notAnswering []string) {
 	ctx, cancel := context.WithTimeout(ctx, c.opt.PeerWait)
 	defer cancel()
 	self := c.opt.View.Self().ID()
-	silent = []string{}
+	notAnswering = []string{}
 	var mu sync.Mutex
 	var calls errgroup.Group
 	calls.SetLimit(peersParallel)
@@ -73,23 +74,23 @@
 			continue
 		}
 		calls.Go(func() error {
-			summary, err := c.ask(ctx, m)
+			summary, err := c.fetchSummary(ctx, m)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				silent = append(silent, m.Host)
+				notAnswering = append(notAnswering, m.Host)
 				return nil
 			}
-			told = append(told, summary)
+			fetched = append(fetched, summary)
 			return nil
 		})
 	}
 	_ = calls.Wait()
-	sort.Strings(silent)
-	return told, silent
+	sort.Strings(notAnswering)
+	return fetched, notAnswering
 }
 
-func (c *Collector) ask(ctx context.Context, m membership.Member) (burn.Summary, error) {
+func (c *Collector) fetchSummary(ctx context.Context, m membership.Member) (burn.Summary, error) {
 	var reply SummariesReply
 	err := c.opt.Peer.Call(ctx, m.PeerAddress, summariesMethod, &SummariesRequest{}, &reply)
 	if err != nil {
@@ -98,9 +99,9 @@
 	return reply.Summary, err
 }
 
-// readLog reads on from where the last report ended and returns all that the
-// log told so far, and whether its end was reached. It is read for reports only:
-// a daemon that is not asked spends nothing on it.
+// readLog continues reading the log where the last call stopped. It returns all counts read
+// so far, and whether the end of the log was reached. The log is read only for reports and
+// rewrites, so that other daemons spend nothing on it.
 func (c *Collector) readLog(ctx context.Context) ([]burn.Summary, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.opt.LogWait)
 	defer cancel()
@@ -119,20 +120,20 @@
 	if err != nil {
 		return errLog.Wrap(err, "bounds of %s", Stream)
 	}
-	for c.next < end {
-		page, err := c.opt.Log.Read(ctx, Stream, c.next, readBytes, 0)
+	for c.nextOffset < end {
+		page, err := c.opt.Log.Read(ctx, Stream, c.nextOffset, readBytes, 0)
 		if err != nil {
 			return errLog.Wrap(err, "read %s", Stream)
 		}
 		if len(page.Records) == 0 {
-			c.next = end // all of it has expired
+			c.nextOffset = end // all of it has expired
 			return nil
 		}
 		for _, r := range page.Records {
-			c.next = r.Offset + 1
+			c.nextOffset = r.Offset + 1
 			var record []burn.Summary
 			if msgpack.Unmarshal(r.Data, &record) != nil {
-				continue // not a record of ours
+				continue // not a record of this package
 			}
 			for _, s := range record {
 				c.logSet.Merge(s)
