--- a/daemon/backend.go
+++ b/daemon/backend.go
@@ -12,11 +12,11 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// notReadyRetryMs tells callers of a daemon without a configuration when to
-// come back.
+// notReadyRetryMs is the retry-after time for callers of a daemon that has no
+// configuration yet.
 const notReadyRetryMs = 500
 
-// backend implements api.Backend by the daemon's parts.
+// backend implements api.Backend with the daemon's components.
 type backend struct {
 	*Daemon
 }
@@ -26,9 +26,9 @@
 // Config implements api.Backend.
 func (b *backend) Config() *config.Config { return b.config.Current() }
 
-// Ready implements api.Backend. A daemon that starts while the log is out and
-// no peer answers stays unready: it would serve by a configuration that may be
-// older than one its operators were told is in force.
+// Ready implements api.Backend. A daemon that starts while the log is unreachable and no
+// peer responds stays unready. Its configuration may be older than the one that was
+// reported to operators as applied.
 func (b *backend) Ready() error {
 	if !b.config.Ready() {
 		return outcome.Refuse(outcome.NotReady, "no configuration as new as the other daemons' yet").After(notReadyRetryMs)
@@ -89,8 +89,8 @@
 	if err != nil {
 		return api.ConfigInfo{}, err
 	}
-	// The change is accepted whatever the wait says: hosts that have not told
-	// yet are simply missing from the answer's list.
+	// The change is accepted whatever the result of the wait. Hosts that have not
+	// reported the version yet are missing from the list in the response.
 	_ = b.config.WaitApplied(ctx, version)
 	return api.ConfigInfo{Version: version, Text: text, Applied: b.config.Applied()}, nil
 }
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -47,8 +47,8 @@
 	d.peerServer = peer.NewServer(peer.ServerOptions{Logger: d.logger, Metrics: d.metrics})
 	d.peerClient = peer.NewClient(peer.ClientOptions{
 		LocalIP: d.peerIP(),
-		// Neither probes nor the news of online requests wait behind a chunk of
-		// a job on the same connection.
+		// These have a connection of their own, so that neither probes nor signals of
+		// online requests wait behind a chunk of a job.
 		ControlServices: []string{members.ServiceName, signal.ServiceName},
 		Logger:          d.logger,
 		Metrics:         d.metrics,
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// peerIP is the IP that this daemon dials others from: its own peer address,
-// so that they and what stands between can tell hosts apart.
+// peerIP returns the local IP of connections to other daemons. It is the IP of this daemon's
+// peer address, so that other daemons and network devices can distinguish hosts.
 func (d *Daemon) peerIP() string {
 	ip, _, _ := net.SplitHostPort(d.PeerAddress())
 	return ip
@@ -99,7 +99,8 @@
 	return err
 }
 
-// setConfigVersion tells the other daemons which version is in force here.
+// setConfigVersion announces to the other daemons which configuration version this daemon
+// applies.
 func (d *Daemon) setConfigVersion(version uint64) {
 	d.members.SetFacts(func(m *membership.Member) { m.ConfigVersion = version })
 }
@@ -124,10 +125,10 @@
 	return err
 }
 
-// buildOrders lets this daemon give orders to engines for the models whose
-// shards it holds. Without a weight store nothing is ordered.
+// buildOrders builds the component that sends orders to engines for the models whose shards
+// this daemon holds. Without a weight store it sends none.
 func (d *Daemon) buildOrders() error {
-	lead, err := orders.NewLogLeadership(orders.LeadershipOptions{
+	leadership, err := orders.NewLogLeadership(orders.LeadershipOptions{
 		Holds: d.shards.Holds,
 		Self:  d.members.Self().ID(),
 		Log:   d.log,
@@ -146,7 +147,7 @@
 	d.orders, err = orders.New(orders.Options{
 		Config:     d.config.Current,
 		View:       d.members,
-		Leadership: lead,
+		Leadership: leadership,
 		Engine:     d.engine,
 		Weights:    weights,
 		Shards:     d.settings.Ledger.Shards,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon puts one daemon together: the membership, the configuration,
-// the shards, the online path, the stewards and the HTTP face, each a package
-// of its own below this one. A program embeds it by New and Run.
+// Package daemon assembles one daemon from its components: the membership, the
+// configuration, the shards, the online path, the batch dispatchers (stewards) and the HTTP
+// API. Most are packages below this one. A program embeds a daemon by New and Run.
 package daemon
 
 import (
@@ -30,11 +30,11 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Options is what a daemon needs besides its settings.
+// Options are the dependencies of a daemon besides its settings.
 type Options struct {
-	// Logger gets one line per event.
+	// Logger receives one line per event.
 	Logger *zap.Logger
-	// Level changes the logger's level at run time.
+	// Level is the logger's level, which operators can change at run time.
 	Level zap.AtomicLevel
 }
 
@@ -43,7 +43,7 @@
 	settings *settings.Settings
 	logger   *zap.Logger
 	level    zap.AtomicLevel
-	trail    *trail.Trail
+	history  *trail.Trail
 	metrics  *metrics.Set
 	started  time.Time
 
@@ -67,20 +67,20 @@
 	steward  *steward.Steward
 	api      *api.Server
 
-	// stop ends the duties; drain asks Run to stop gracefully.
+	// stop ends the background loops; drain requests Run to stop gracefully.
 	stop  context.CancelFunc
 	drain chan struct{}
 	// killed is closed by Kill.
 	killed chan struct{}
 }
 
-// New opens the listeners and puts the parts together; nothing runs before Run.
+// New opens the listeners and builds the components. It starts none of them; Run does.
 func New(s *settings.Settings, o Options) (*Daemon, error) {
-	kept := trail.New()
+	history := trail.New()
 	d := &Daemon{
 		settings: s,
-		logger:   kept.Wrap(o.Logger).With(zap.String("host", s.Host.Name)),
-		trail:    kept,
+		logger:   history.Wrap(o.Logger).With(zap.String("host", s.Host.Name)),
+		history:  history,
 		level:    o.Level,
 		metrics:  metrics.NewSet(),
 		started:  time.Now(),
@@ -94,8 +94,8 @@
 	return d, nil
 }
 
-// build makes the parts from the outside in: sockets and clients first, then
-// what uses them.
+// build builds the components in the order of their dependencies: listeners and clients
+// first, then what uses them.
 func (d *Daemon) build() error {
 	steps := []func() error{
 		d.listen,
@@ -117,15 +117,15 @@
 	return nil
 }
 
-// HTTPAddress returns the IP:PORT that serves callers and operators.
+// HTTPAddress returns the IP:PORT on which callers and operators are served.
 func (d *Daemon) HTTPAddress() string { return d.httpListener.Addr().String() }
 
-// PeerAddress returns the IP:PORT that serves other daemons.
+// PeerAddress returns the IP:PORT on which other daemons are served.
 func (d *Daemon) PeerAddress() string { return d.peerListener.Addr().String() }
 
-// Run runs the daemon until ctx is done or an operator drains it, then stops
-// gracefully: no request is interrupted, and shards and stewardship are handed
-// over. It returns nil after a complete stop.
+// Run runs the daemon until ctx is done or an operator drains it, then stops gracefully: no
+// request is interrupted, and shards and batch items are handed off. It returns nil after a
+// complete stop.
 func (d *Daemon) Run(ctx context.Context) error {
 	dutyCtx, stop := context.WithCancel(context.Background())
 	d.stop = stop
@@ -150,7 +150,7 @@
 	return d.finish(group)
 }
 
-// startDuties starts every part's duties.
+// startDuties starts the background loops of all components.
 func (d *Daemon) startDuties(group *duty.Group) {
 	d.members.Run(group)
 	d.config.Run(group)
@@ -165,7 +165,8 @@
 	group.Go(d.watchLoop)
 }
 
-// serve starts both listeners; the channel tells a failure of the HTTP one.
+// serve starts serving on both listeners. The channel returns the error if serving HTTP
+// fails.
 func (d *Daemon) serve(group *duty.Group) <-chan error {
 	failed := make(chan error, 1)
 	group.Go(func(context.Context) { _ = d.peerServer.Serve(d.peerListener) })
@@ -177,7 +178,7 @@
 	return failed
 }
 
-// finish ends the duties and closes what is open.
+// finish ends the background loops and closes all listeners and connections.
 func (d *Daemon) finish(group *duty.Group) error {
 	d.stop()
 	d.closeAll()
@@ -186,15 +187,15 @@
 	return nil
 }
 
-// Kill ends the daemon abruptly, as a lost host would: nothing is handed over
-// and every connection is cut. It serves the try command and tests.
+// Kill stops the daemon abruptly, like the loss of its host: nothing is handed off, and all
+// connections are closed. It is for the try command and tests.
 func (d *Daemon) Kill() {
 	close(d.killed)
 	d.stop()
 	d.closeAll()
 }
 
-// closeAll closes listeners and connections; it may be called twice.
+// closeAll closes all listeners and connections. It may be called more than once.
 func (d *Daemon) closeAll() {
 	if d.api != nil {
 		d.api.Abort()
--- a/daemon/errors.go
+++ b/daemon/errors.go
@@ -4,9 +4,11 @@
 
 var (
 	namespace = errorx.NewNamespace("daemon")
-	// errListener: a listener could not be opened or failed.
+	// errListener is the type of errors for a listener that could not be opened or that
+	// failed.
 	errListener = namespace.NewType("listener")
-	// errBuild: the settings or the platform's clients do not fit together.
+	// errBuild is the type of errors for settings from which a platform client can't be
+	// built.
 	errBuild  = namespace.NewType("build")
 	errKilled = namespace.NewType("killed").New("killed")
 )
--- a/daemon/facts.go
+++ b/daemon/facts.go
@@ -7,26 +7,26 @@
 	"tarragonhollow.example/tarragonhollow/core/membership"
 )
 
-// factsEvery is how often this daemon compares what it tells about itself with
-// what is so. An unchanged entry costs no message.
-const factsEvery = 100 * time.Millisecond
+// factsInterval is how often this daemon updates its entry in the membership. An unchanged
+// entry costs no message.
+const factsInterval = 100 * time.Millisecond
 
-// factsLoop tells the other daemons which shards this one holds and whether it
-// is ready and reaches the log.
+// factsLoop announces to the other daemons which shards this one holds and whether it is
+// ready and reaches the log.
 func (d *Daemon) factsLoop(ctx context.Context) {
-	ticker := time.NewTicker(factsEvery)
+	ticker := time.NewTicker(factsInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			d.tellFacts()
+			d.publishFacts()
 		}
 	}
 }
 
-func (d *Daemon) tellFacts() {
+func (d *Daemon) publishFacts() {
 	holds := d.shards.Holds()
 	logOK := d.shards.LogOK()
 	ready := d.config.Ready()
--- a/daemon/policy.go
+++ b/daemon/policy.go
@@ -6,7 +6,7 @@
 	"tarragonhollow.example/tarragonhollow/core/shard"
 )
 
-// policyOf returns the batch policy that the operators configured for a group.
+// policyOf returns the batch admission policy that is configured for a group.
 func policyOf(g *config.TargetGroup) admission.Policy {
 	switch g.Batch.Policy {
 	case config.PolicyNaive:
--- a/daemon/serve.go
+++ b/daemon/serve.go
@@ -8,8 +8,8 @@
 	"tarragonhollow.example/tarragonhollow/settings"
 )
 
-// Serve runs one daemon by its settings until ctx is done or an operator drains
-// it, with its log on standard error.
+// Serve runs one daemon with the given settings until ctx is done or an operator drains it.
+// It logs to standard error.
 func Serve(ctx context.Context, s *settings.Settings) error {
 	logger, level := logging.New(os.Stderr, s.Log.Level)
 	defer func() { _ = logger.Sync() }()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -12,7 +12,7 @@
 	"tarragonhollow.example/tarragonhollow/daemon/trail"
 )
 
-// Status is what GET /admin/status shows: this daemon's own view of the fleet.
+// Status is the response to GET /admin/status: this daemon's view of the fleet.
 type Status struct {
 	Host          string         `json:"host"`
 	Zone          string         `json:"zone"`
@@ -24,13 +24,13 @@
 	Shards        shards.Status  `json:"shards"`
 	Online        online.Status  `json:"online"`
 	Batch         steward.Status `json:"batch"`
-	// Refusals are what this daemon refused in the last ten minutes.
+	// Refusals counts the requests that this daemon refused in the last ten minutes.
 	Refusals []api.RefusalCount `json:"refusals"`
-	// Events are this daemon's last decisions, oldest first.
+	// Events are this daemon's latest decisions, oldest first.
 	Events []trail.Event `json:"events"`
 }
 
-// HostStatus is one daemon as this one sees it.
+// HostStatus is the state of one daemon in this daemon's view.
 type HostStatus struct {
 	Host          string `json:"host"`
 	Zone          string `json:"zone"`
@@ -58,7 +58,7 @@
 		Online:        d.online.Status(),
 		Batch:         d.steward.Status(),
 		Refusals:      d.api.Refusals(),
-		Events:        d.trail.Events(),
+		Events:        d.history.Events(),
 	}, nil
 }
 
--- a/daemon/stop.go
+++ b/daemon/stop.go
@@ -7,20 +7,20 @@
 	"go.uber.org/zap"
 )
 
-// leaveWait bounds the telling of the other daemons that this one leaves.
-const leaveWait = time.Second
+// leaveTimeout limits the announcement to the other daemons that this one leaves.
+const leaveTimeout = time.Second
 
-// stopGracefully interrupts no request. The order matters: first callers and
-// the other daemons learn that this one leaves, while it still works; then
-// batch goes back to the owners; then the running requests end; and only then
-// are the shards handed over, because ending requests still writes to them.
+// stopGracefully stops the daemon without interrupting requests. The order of the steps
+// matters. First, callers and the other daemons are notified that this one leaves, while it
+// still serves. Then batch items are handed back to their owners, and running requests end.
+// Only then are the shards handed off, because ending requests still write to them.
 func (d *Daemon) stopGracefully() {
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain.Timeout)
 	defer cancel()
 	d.logger.Info("draining", zap.Int("in_flight", d.online.InFlight()))
 	d.api.StartDrain()
-	leaveCtx, cancelLeave := context.WithTimeout(ctx, leaveWait)
+	leaveCtx, cancelLeave := context.WithTimeout(ctx, leaveTimeout)
 	d.members.Leave(leaveCtx)
 	cancelLeave()
 	if err := d.steward.Drain(ctx); err != nil {
--- a/daemon/upload.go
+++ b/daemon/upload.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// chunkBytes bounds one chunk of an upload, so that a large job is never
-	// whole in this daemon's memory.
+	// chunkBytes limits one chunk of an upload, so that this daemon never has a whole large
+	// job in memory.
 	chunkBytes = 192 << 10
-	// chunkItems bounds the items of a chunk, for jobs of tiny items.
+	// chunkItems limits the items of a chunk, for jobs with very small items.
 	chunkItems = 1000
-	// abandonTimeout bounds the word that an upload has failed.
+	// abandonTimeout limits the notification of the owner that an upload has failed.
 	abandonTimeout = 2 * time.Second
 )
 
-// uploader sends one job to its shard's owner, chunk by chunk.
+// uploader sends one job to its shard's owner in chunks.
 type uploader struct {
 	ledger ledger.Client
 	open   ledger.JobOpenRequest
@@ -33,34 +33,34 @@
 	items  int
 }
 
-// PutJob implements api.Backend. The job counts only once its last record is
-// read back from the log; until then nothing of it is visible.
-func (b *backend) PutJob(ctx context.Context, up api.JobUpload) (ledger.JobStatus, bool, error) {
+// PutJob implements api.Backend. The job takes effect once its last record is read back
+// from the log; until then nothing of it is visible.
+func (b *backend) PutJob(ctx context.Context, upload api.JobUpload) (ledger.JobStatus, bool, error) {
 	if err := b.Ready(); err != nil {
 		return ledger.JobStatus{}, false, err
 	}
 	u := uploader{ledger: b.shards, open: ledger.JobOpenRequest{
-		Job:         up.Job,
-		Profile:     up.Profile.Name,
+		Job:         upload.Job,
+		Profile:     upload.Profile.Name,
 		Upload:      uuid.NewString(),
-		DueMs:       time.Now().Add(up.Profile.Due).UnixMilli(),
-		Repeatable:  up.Profile.Repeatable,
-		MaxAttempts: up.Profile.Retries + 1,
+		DueMs:       time.Now().Add(upload.Profile.Due).UnixMilli(),
+		Repeatable:  upload.Profile.Repeatable,
+		MaxAttempts: upload.Profile.Retries + 1,
 	}}
-	reply, err := u.run(ctx, up)
+	reply, err := u.run(ctx, upload)
 	if err != nil {
-		// The caller's refusal does not wait for it.
+		// In the background, so that the refusal to the caller is not delayed.
 		go u.abandon(context.WithoutCancel(ctx))
 	}
 	return reply.Status, reply.Created, err
 }
 
-func (u *uploader) run(ctx context.Context, up api.JobUpload) (ledger.JobCommitReply, error) {
+func (u *uploader) run(ctx context.Context, upload api.JobUpload) (ledger.JobCommitReply, error) {
 	if err := u.ledger.OpenJob(ctx, u.open); err != nil {
 		return ledger.JobCommitReply{}, err
 	}
 	for {
-		item, err := up.Next()
+		item, err := upload.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -82,12 +82,12 @@
 		Upload:      u.open.Upload,
 		Chunks:      u.chunks,
 		Items:       u.items,
-		Fingerprint: up.Sum(),
+		Fingerprint: upload.Sum(),
 	})
 }
 
-// abandon tells the owner to drop what it has of a failed upload. A lost word is
-// made up for by the owner, which drops an upload that rests.
+// abandon notifies the owner to discard what it has of a failed upload. If the notification
+// is lost, the owner discards the upload later because it makes no progress.
 func (u *uploader) abandon(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, abandonTimeout)
 	defer cancel()
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -10,46 +10,48 @@
 	"tarragonhollow.example/tarragonhollow/daemon/duty"
 )
 
-// watchEvery is how often the picture of the fleet is compared with the last one.
-const watchEvery = 500 * time.Millisecond
+// watchInterval is how often the view of the fleet is compared with the previous one.
+const watchInterval = 500 * time.Millisecond
 
-// watchLoop tells in the log, and so in the status, how the fleet changed, and
-// drains a daemon whose host has started another one.
+// watchLoop logs changes of the fleet, which the status shows too. It drains this daemon if
+// another one was started on its host.
 //
-// Two incarnations of one host share its name: the host list and operators take
-// them for one daemon, and the older one would go on holding shards unseen. It
-// shows as member_superseded_by_later_incarnation; the older one leaves.
+// Two incarnations on one host share its name. The host list and operators consider them one
+// daemon, and the older one would continue to hold shards unnoticed. The case is logged as
+// member_superseded_by_later_incarnation, and the older incarnation leaves.
 func (d *Daemon) watchLoop(ctx context.Context) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	last := map[string]watched{}
+	last := map[string]observed{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		last = d.tellChanges(last, d.members.Members())
+		last = d.logChanges(last, d.members.Members())
 		if d.members.Superseded() {
 			d.requestDrain()
 		}
 	}
 }
 
-// watched is a member as last seen. One that left is not a loss, also when the
-// others take its silence for a death afterwards.
-type watched struct {
+// observed is a member in the previous view. leaving reports that it announced that it
+// leaves. Its removal is then not logged as a death, even if other daemons considered it
+// dead afterwards because it no longer responded.
+type observed struct {
 	membership.Member
 	leaving bool
 }
 
-// tellChanges logs what differs between two pictures and returns the new one.
-func (d *Daemon) tellChanges(last map[string]watched, members []membership.Member) map[string]watched {
-	now := make(map[string]watched, len(members))
+// logChanges logs the differences between the last view and members, and returns the new
+// view.
+func (d *Daemon) logChanges(last map[string]observed, members []membership.Member) map[string]observed {
+	now := make(map[string]observed, len(members))
 	for _, m := range members {
 		before, known := last[m.Host]
 		same := known && before.Incarnation == m.Incarnation
-		now[m.Host] = watched{m, m.State == membership.Leaving || (same && before.leaving)}
+		now[m.Host] = observed{m, m.State == membership.Leaving || (same && before.leaving)}
 		switch {
 		case !same:
 			d.logger.Info("member_joined", memberFields(m)...)
@@ -59,13 +61,13 @@
 	}
 	for host, m := range last {
 		if _, still := now[host]; !still {
-			d.tellGone(m)
+			d.logRemoved(m)
 		}
 	}
 	return now
 }
 
-func (d *Daemon) tellGone(m watched) {
+func (d *Daemon) logRemoved(m observed) {
 	if m.leaving {
 		d.logger.Info("member_left", memberFields(m.Member)...)
 		return
@@ -81,5 +83,5 @@
 	}
 }
 
-// requestDrain asks Run to stop gracefully; asking again does nothing.
+// requestDrain requests Run to stop gracefully. Further requests have no effect.
 func (d *Daemon) requestDrain() { duty.Wake(d.drain) }
