--- a/target/client.go
+++ b/target/client.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// ClientOptions sets up the HTTP clients. DefaultClientOptions fills all fields.
+// ClientOptions configures the HTTP clients. DefaultClientOptions sets all fields.
 type ClientOptions struct {
-	// OnlineConnections and BatchConnections bound the connections to one
-	// target, for each urgency on its own: batch can never make an online
+	// OnlineConnections and BatchConnections are the maximum connections to one
+	// target. The limits are separate, so that batch can never make an online
 	// request wait for a connection.
 	OnlineConnections int
 	BatchConnections  int
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout is the maximum time to open a connection.
 	DialTimeout time.Duration
 	// IdleTimeout is how long an unused connection stays open.
 	IdleTimeout time.Duration
-	// ControlTimeout bounds calls that run nothing: cancel, load, events,
-	// orders and health.
+	// ControlTimeout is the maximum duration of a control call: cancel, load,
+	// events, orders and health.
 	ControlTimeout time.Duration
-	// MaxAnswerBytes bounds a whole answer in memory.
+	// MaxAnswerBytes is the maximum size of an answer that is held in memory.
 	MaxAnswerBytes int64
 }
 
@@ -44,15 +44,15 @@
 }
 
 const (
-	// controlConnections bounds the connections to one target for control calls:
-	// a cancel must get through while all others are busy.
+	// controlConnections is the maximum connections to one target for control calls.
+	// They are separate so that a cancel gets through while all others are busy.
 	controlConnections = 4
-	// drainTimeout bounds the wait for the end of an answer that is already
-	// whole; when it is over the connection is closed instead of reused.
+	// drainTimeout is the maximum wait for the end of the body after the content is
+	// complete; after it the connection is closed instead of reused.
 	drainTimeout = 100 * time.Millisecond
-	// maxRefusalBytes is how much of a refusal's body is read.
+	// maxRefusalBytes is the maximum that is read of a refusal's body.
 	maxRefusalBytes = 4 << 10
-	// maxAnswerHeaderBytes bounds a target's response header.
+	// maxAnswerHeaderBytes is the maximum size of a target's response header.
 	maxAnswerHeaderBytes = 64 << 10
 )
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// byUrgency returns the pool for the context's urgency; unstated is online.
+// byUrgency returns the pool for the context's urgency, the online one if none is set.
 func (p *pools) byUrgency(ctx context.Context) *http.Transport {
 	if UrgencyFrom(ctx) == UrgencyBatch {
 		return p.batch
@@ -110,8 +110,8 @@
 	body   []byte
 }
 
-// send makes exactly one attempt at the call and returns the response, whose
-// body the caller closes, or a *Failure.
+// send makes exactly one attempt at the call. It returns the response, whose body
+// the caller must close, or a *Failure.
 //
 // It uses the transport's RoundTrip, not http.Client, because a client would
 // follow a redirect with a second request.
@@ -127,7 +127,7 @@
 	r := (&http.Request{
 		Method: c.method, URL: u, Host: c.address, Header: c.header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		Body: &onceBody{reader: bytes.NewReader(c.body)}, ContentLength: int64(len(c.body)),
+		Body: &singleUseBody{reader: bytes.NewReader(c.body)}, ContentLength: int64(len(c.body)),
 	}).WithContext(traced)
 	if r.Header == nil {
 		r.Header = http.Header{}
@@ -140,24 +140,24 @@
 	return resp, nil
 }
 
-// onceBody is a request body that can be sent once only.
+// singleUseBody is a request body that can be sent only once.
 //
-// It guards against a doubled execution: when a pooled connection dies before
-// the first response byte, Go's transport sends the request again by itself if
-// it holds it for repeatable, that is if the body is empty or has a GetBody and
-// the method is GET, HEAD, OPTIONS or TRACE or the request carries an
-// Idempotency-Key header. The target may have executed the first one. It shows
-// as two executions for one call, at a target that was restarted or cut the
-// connection late. A request with a body of this type, unknown to the
-// transport, and without GetBody is never held for repeatable, even when the
-// body is empty (an empty body must not be http.NoBody or nil for this).
-type onceBody struct{ reader *bytes.Reader }
-
-func (b *onceBody) Read(p []byte) (int, error) { return b.reader.Read(p) }
-
-func (b *onceBody) Close() error { return nil }
-
-// readAll reads a whole answer of at most limit bytes.
+// It guards against double execution. When a pooled connection fails before the
+// first response byte, Go's transport resends a request that it considers
+// replayable: the body is empty or has a GetBody, and the method is GET, HEAD,
+// OPTIONS or TRACE or the request carries an Idempotency-Key header. The target
+// may already have executed the first one, so one call is executed twice, at a
+// target that was restarted or that closed the connection late. The transport
+// never considers a request replayable that has a body of this type, which it
+// doesn't know, and no GetBody, even if the body is empty. For this an empty body
+// must not be http.NoBody or nil.
+type singleUseBody struct{ reader *bytes.Reader }
+
+func (b *singleUseBody) Read(p []byte) (int, error) { return b.reader.Read(p) }
+
+func (b *singleUseBody) Close() error { return nil }
+
+// readAll reads a complete answer of at most limit bytes.
 func readAll(ctx context.Context, address string, body io.Reader, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(body, limit+1))
 	if err != nil {
@@ -169,13 +169,15 @@
 	return b, nil
 }
 
-// refusalOf reads a status that is not 2xx into a failure.
+// refusalOf returns the failure for a response whose status is not 2xx. refused
+// means that the target is known not to have executed the request.
 func refusalOf(address string, resp *http.Response, refused bool) *Failure {
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	return statusFailure(address, resp.StatusCode, refused, body)
 }
 
-func saysNotRun(resp *http.Response) bool {
+// markedNotRun reports whether the response states that the request was not run.
+func markedNotRun(resp *http.Response) bool {
 	return resp.Header.Get(HeaderRun) == RunNotRun
 }
 
--- a/target/engineclient_test.go
+++ b/target/engineclient_test.go
@@ -13,7 +13,8 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// slow makes steps so long that a spec steps in before a stream ends.
+// slow is a control body that makes each step so slow that a spec can act before the
+// stream ends.
 const slow = `{"slow_ms":1500}`
 
 var _ = Describe("EngineClient", func() {
@@ -22,9 +23,9 @@
 		return target.GenerateRequest{StreamID: id, Model: "ordering", Messages: prompt(text)}
 	}
 
-	// A batch item is cancelled for an online burst and goes on at another
-	// engine. The reader of its result must find each token once: not the last
-	// one before the cancel again, nor the first one after it missing.
+	// Guards against duplicated and lost tokens: a batch item is cancelled because of
+	// an online burst and resumed at another engine. The last token before the cancel
+	// must not be repeated and the first one after it must not be missing.
 	It("joins a cancelled stream and its resumption into the expected answer", func() {
 		first, firstAddress := startEngine(fastEngine())
 		_, secondAddress := startEngine(fastEngine())
@@ -46,10 +47,10 @@
 		Expect(append(part.tokens, rest.tokens...)).To(Equal(engine.ExpectedTokens("ordering", req.Messages, 0)))
 	})
 
-	// One guest's request kills the engine. All who had a request there see
-	// their connection cut; each must be told that it may have run, and callers
-	// that come while it is away that theirs did not.
-	It("tells a crash from a refused connection", func() {
+	// One request crashes the engine. All other requests running there lose their
+	// connection; each must be reported as possibly run. A request sent while the engine
+	// is down must be reported as not run.
+	It("distinguishes a crash from a refused connection", func() {
 		o := fastEngine()
 		o.RestartMs = 10_000
 		s, address := startEngine(o)
@@ -94,7 +95,7 @@
 		Expect(s.Stats().ReceivedLeaving).To(Equal(1))
 	})
 
-	// A frozen engine takes the request and stays silent until the deadline. It
+	// A frozen engine accepts the request and doesn't answer before the deadline. It
 	// must not be counted as crashed, or the request would become a suspect.
 	It("reports a frozen engine as reached, neither crashed nor refusing", func() {
 		s, address := startEngine(fastEngine())
@@ -110,9 +111,8 @@
 		Expect([]bool{target.FailureOf(err).Reached, target.FailureOf(err).Crashed}).To(Equal([]bool{true, false}))
 	})
 
-	// All connections for batch are busy and a guest asks: the guest's request
-	// must find a connection of its own.
-	It("keeps online connections apart from batch ones", func() {
+	// An online request must get a connection while all connections for batch are busy.
+	It("separates online connections from batch ones", func() {
 		_, address := startEngine(fastEngine())
 		opts := target.DefaultClientOptions()
 		opts.BatchConnections = 1
@@ -143,8 +143,9 @@
 		Eventually(func() string { return s.Records()[0].Ended }, bound).Should(Equal(engine.EndedCancelled))
 	})
 
-	// Two holders of the same duty give orders; the old one was paused. An
-	// engine that checks must refuse it, and one that does not obeys it.
+	// Two holders of the same duty send orders, because the old one was paused and has
+	// resumed. An engine that checks the fence must refuse the old one's order; an engine
+	// that doesn't check obeys it.
 	DescribeTable("a stale order", func(checks bool, rejected bool) {
 		o := fastEngine()
 		o.ChecksOrders = checks
@@ -175,9 +176,9 @@
 	},
 		Entry("without a finish is a crash", "data: {\"index\":0,\"text\":\"a\"}\n\n", true),
 		Entry("with only the end mark is a crash", "data: [DONE]\n\n", true),
-		Entry("with a doubled token", "data: {\"index\":0,\"text\":\"a\"}\n\ndata: {\"index\":0,\"text\":\"a\"}\n\n", false),
+		Entry("with a duplicated token", "data: {\"index\":0,\"text\":\"a\"}\n\ndata: {\"index\":0,\"text\":\"a\"}\n\n", false),
 		Entry("with a missing token", "data: {\"index\":1,\"text\":\"a\"}\n\n", false),
-		Entry("with a line that is no JSON", "data: {\"index\":\n\n", false),
+		Entry("with a line that is not JSON", "data: {\"index\":\n\n", false),
 		Entry("with an unknown finish", "data: {\"finish\":{\"reason\":\"?\"}}\n\n", false),
 	)
 })
--- a/target/failure.go
+++ b/target/failure.go
@@ -11,15 +11,15 @@
 
 var (
 	namespace = errorx.NewNamespace("target")
-	// TransportError is the type of causes that come from the connection.
+	// TransportError is the type of causes in the connection.
 	TransportError = namespace.NewType("transport")
-	// ProtocolError is the type of causes where a target broke its contract.
+	// ProtocolError is the type of causes in which a target violated the protocol.
 	ProtocolError = namespace.NewType("protocol")
 )
 
-// ErrStreamCancelled is the cause of a Generate failure when the engine ended
-// the stream because somebody cancelled it: the tokens so far are a part of the
-// answer, never the whole.
+// ErrStreamCancelled is the cause of a Generate failure when the engine ended the
+// stream because it was cancelled. The tokens received so far are never the complete
+// answer.
 var ErrStreamCancelled = errors.New("stream was cancelled at the engine")
 
 // FailureOf returns the *Failure in err's chain, or nil.
@@ -31,14 +31,14 @@
 	return nil
 }
 
-// transportFailure classifies an error of the connection. connected tells
-// whether a connection had been handed to the request: before that not one byte
-// can have left this process, so only then is Reached false.
+// transportFailure classifies an error of the connection. connected is whether the
+// request had been given a connection. Without one no byte can have left this
+// process, so Reached is false only in that case.
 func transportFailure(ctx context.Context, address string, connected bool, err error) *Failure {
 	f := &Failure{Reached: connected, Address: address, Err: err}
 	if cause := ctx.Err(); cause != nil {
-		// The caller gave up: the target did not break the connection, and must
-		// not be counted as crashed.
+		// The caller cancelled the call: the target did not break the connection and
+		// must not be counted as crashed.
 		f.Err = context.Cause(ctx)
 		if !errors.Is(f.Err, cause) {
 			f.Err = errors.Join(f.Err, cause)
@@ -56,7 +56,8 @@
 	return f
 }
 
-// isTimeout tells a target that is silent for too long from one that died.
+// isTimeout reports whether err is a timeout: the target did not answer in time,
+// which doesn't mean that it crashed.
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
@@ -67,8 +68,8 @@
 	return &Failure{Reached: true, Address: address, Detail: "the target broke the protocol", Err: err}
 }
 
-// statusFailure classifies an HTTP status other than 2xx. refused tells that
-// the target is known not to have executed the request.
+// statusFailure classifies an HTTP status other than 2xx. refused means that the
+// target is known not to have executed the request.
 func statusFailure(address string, status int, refused bool, body []byte) *Failure {
 	f := &Failure{Reached: !refused, Status: status, Address: address}
 	f.Detail = fmt.Sprintf("the target answered %d: %s", status, excerpt(body))
--- a/target/faketarget/engine.go
+++ b/target/faketarget/engine.go
@@ -1,5 +1,5 @@
-// Package faketarget holds in-memory engines and services for the tests of
-// other packages: answers are scripted and every call is recorded.
+// Package faketarget provides in-memory engines and services for the tests of other
+// packages. Their answers are scripted and every call is recorded.
 package faketarget
 
 import (
@@ -10,18 +10,18 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// DefaultTokens is the length of an unscripted answer.
+// DefaultTokens is the number of tokens in an answer that is not scripted.
 const DefaultTokens = 4
 
 // Generation scripts one generation.
 type Generation struct {
-	// Tokens is the whole answer, resumed tokens included; those that the
-	// request resumes are not sent again.
+	// Tokens is the whole answer including the resumed tokens, which are not sent
+	// again.
 	Tokens []string
-	// Gate, when set, is received from once before each token and once before
-	// the finish; closing it lets everything through.
+	// Gate, if not nil, is received from once before each token and once before the
+	// finish. Closing it unblocks the rest of the generation.
 	Gate <-chan struct{}
-	// Err ends the generation in place of a finish.
+	// Err, if not nil, ends the generation instead of a finish.
 	Err error
 }
 
@@ -31,7 +31,7 @@
 	Request target.GenerateRequest
 	Key     string
 	Urgency string
-	// Sent counts the tokens delivered to the sink.
+	// Sent is the number of tokens delivered to the sink.
 	Sent int
 	// Ended is "" while the call runs, then "finished", "cancelled" or "failed".
 	Ended string
@@ -40,11 +40,11 @@
 // Engine implements target.Engine. The zero value is ready to use; set the
 // fields before the first call.
 type Engine struct {
-	// OnGenerate scripts the answers; nil answers "t0 ", "t1 ", ... bounded by
-	// the smaller of DefaultTokens and the request's MaxTokens.
+	// OnGenerate scripts the answers. If nil, the answer is "t0 ", "t1 ", ... with
+	// the smaller of DefaultTokens and the request's MaxTokens as its length.
 	OnGenerate func(address string, req target.GenerateRequest) Generation
-	// OnLoad, OnEvents, OnOrder and OnHealth script the other calls; nil
-	// answers with an idle engine and no error.
+	// OnLoad, OnEvents, OnOrder and OnHealth script the other calls. If nil, the call
+	// answers as an idle engine without an error.
 	OnLoad   func(address string) (target.LoadReport, error)
 	OnEvents func(address string, after int64) ([]target.CacheEvent, error)
 	OnOrder  func(address string, o target.Order) error
@@ -64,7 +64,7 @@
 	run, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	call := e.begin(ctx, address, req, cancel)
-	sent, finish, err := play(run, e.script(address, req), len(req.ResumeTokens), sink)
+	sent, finish, err := streamScript(run, e.script(address, req), len(req.ResumeTokens), sink)
 	e.end(call, sent, run, err)
 	return finish, err
 }
@@ -84,10 +84,12 @@
 	return g
 }
 
-func play(ctx context.Context, g Generation, from int, sink func(target.Token) error) (int, target.Finish, error) {
+// streamScript sends the tokens of g from index from to sink. It returns the number
+// of tokens sent.
+func streamScript(ctx context.Context, g Generation, from int, sink func(target.Token) error) (int, target.Finish, error) {
 	sent := 0
 	for i := from; i < len(g.Tokens); i++ {
-		if err := pass(ctx, g.Gate); err != nil {
+		if err := awaitGate(ctx, g.Gate); err != nil {
 			return sent, target.Finish{}, err
 		}
 		if err := sink(target.Token{Index: i, Text: g.Tokens[i]}); err != nil {
@@ -95,7 +97,7 @@
 		}
 		sent++
 	}
-	if err := pass(ctx, g.Gate); err != nil {
+	if err := awaitGate(ctx, g.Gate); err != nil {
 		return sent, target.Finish{}, err
 	}
 	if g.Err != nil {
@@ -104,7 +106,9 @@
 	return sent, target.Finish{Reason: "stop", Usage: target.Usage{CompletionTokens: sent}}, nil
 }
 
-func pass(ctx context.Context, gate <-chan struct{}) error {
+// awaitGate waits for the gate, if there is one, and returns a *target.Failure if ctx
+// has ended.
+func awaitGate(ctx context.Context, gate <-chan struct{}) error {
 	if gate != nil {
 		select {
 		case <-gate:
@@ -202,7 +206,7 @@
 	return calls
 }
 
-// Cancels returns the ids of all streams that were asked to be cancelled.
+// Cancels returns the ids of all streams for which Cancel was called.
 func (e *Engine) Cancels() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/target/faketarget/service.go
+++ b/target/faketarget/service.go
@@ -8,7 +8,7 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// ServiceCall records one Call.
+// ServiceCall records one call of Service.Call.
 type ServiceCall struct {
 	Address string
 	Request target.ServiceRequest
@@ -16,7 +16,8 @@
 	Urgency string
 }
 
-// Service implements target.Service. The zero value echoes the body with 200.
+// Service implements target.Service. The zero value answers 200 with the request's
+// body.
 type Service struct {
 	// OnCall scripts the answers; it may block until ctx is done.
 	OnCall func(ctx context.Context, address string, req target.ServiceRequest) (target.ServiceResponse, error)
--- a/target/h1/exchange.go
+++ b/target/h1/exchange.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// maxStrays bounds the answers of other requests that are passed over in
-	// front of the own one.
-	maxStrays = 2
-	// maxStrayBytes bounds the body of such an answer.
-	maxStrayBytes = 1 << 20
-	// writeAside is the body size from which the request is written while the
-	// answer is awaited: a target may answer before it has read a long body.
-	writeAside = 16 << 10
-	// maxInformational bounds the 1xx answers in front of the final one.
+	// maxUnmatched is the maximum number of answers to other requests that are
+	// skipped before the request's own answer.
+	maxUnmatched = 2
+	// maxUnmatchedBytes is the maximum size of the body of such an answer.
+	maxUnmatchedBytes = 1 << 20
+	// asyncWriteBytes is the size above which a request is written while its answer is
+	// awaited: a target may answer before it has read a long body.
+	asyncWriteBytes = 16 << 10
+	// maxInformational is the maximum number of 1xx answers before the final one.
 	maxInformational = 5
 )
 
-// Request is one request, sent as it stands.
+// Request is one request. It is sent unchanged.
 type Request struct {
 	Method string
 	// URI is the request target: path and query, byte for byte.
@@ -37,21 +37,21 @@
 	Body   []byte
 }
 
-// Options bound an exchange.
+// Options are the limits of an exchange.
 type Options struct {
-	// MaxIdle is the longest a kept connection may have been idle; 0 demands a
-	// new one.
+	// MaxIdle is the maximum time that a reused connection may have been idle; 0
+	// requires a new connection.
 	MaxIdle time.Duration
 	// Deadline ends the whole exchange.
 	Deadline time.Time
-	// Patience bounds the wait for the answer's head; 0 leaves it to Deadline.
+	// MaxWait is the maximum wait for the answer's head; with 0 only Deadline applies.
 	Patience time.Duration
-	// Mine tells whether an answer's head belongs to this request. Answers that
-	// don't are passed over.
+	// Matches reports whether an answer with this status and header belongs to this
+	// request. Answers that don't are skipped; nil accepts every answer.
 	Mine func(status int, header http.Header) bool
 }
 
-// Answer is an answer whose body is being read. Close must be called.
+// Answer is an answer whose body is still to be read. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -62,14 +62,15 @@
 	deadline time.Time
 	release  func() bool
 	written  <-chan error
-	whole    bool
+	complete bool
 	reusable bool
 }
 
-// Do sends the request once and returns the head of its answer. Errors are of
-// types NotSent, Broken and Silent. The end of ctx closes the connection.
+// Do sends the request once and returns its answer after the head has been read.
+// Errors are of the types NotSent, Broken and Silent. When ctx ends, the connection
+// is closed.
 func (p *Pool) Do(ctx context.Context, address string, r *Request, o Options) (*Answer, error) {
-	c, _, err := p.take(ctx, address, o.MaxIdle)
+	c, _, err := p.get(ctx, address, o.MaxIdle)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +81,7 @@
 		return nil, NotSent.Wrap(err, "%s", address)
 	}
 	written := p.write(c, r)
-	if err := setPatience(c, o.Deadline, o.Patience); err != nil {
+	if err := setReadTimeout(c, o.Deadline, o.Patience); err != nil {
 		return nil, abandon(c, release, err)
 	}
 	response, err := readHead(c, r, o)
@@ -100,7 +101,7 @@
 	return classify(c.address, err)
 }
 
-// classify tells silence from a broken connection.
+// classify returns err as Silent if it is a timeout, else as Broken.
 func classify(address string, err error) error {
 	var timeout net.Error
 	if errors.Is(err, os.ErrDeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout() && !isReset(err) {
@@ -109,19 +110,19 @@
 	return Broken.Wrap(err, "%s", address)
 }
 
-// isReset tells a connection that the kernel gave up from one whose deadline
-// has passed; both call themselves a timeout.
+// isReset reports whether the kernel ended the connection. Its error reports itself
+// as a timeout, as does that of an exceeded deadline.
 func isReset(err error) bool {
 	var call *os.SyscallError
 	return errors.As(err, &call)
 }
 
-// write sends the request: a short one at once, a long one beside the wait for
-// the answer. The channel gives the result.
+// write sends the request: a short one before it returns, a long one in a goroutine
+// while the answer is awaited. The channel receives the result.
 func (p *Pool) write(c *conn, r *Request) <-chan error {
 	done := make(chan error, 1)
 	data := encode(r)
-	if len(data) <= writeAside {
+	if len(data) <= asyncWriteBytes {
 		_, err := c.Write(data)
 		done <- err
 		return done
@@ -133,8 +134,8 @@
 	return done
 }
 
-// encode writes the head and the body. Headers go out in one order, so that
-// equal requests are equal bytes.
+// encode returns the request's head and body. Headers are sorted, so that equal
+// requests are encoded to equal bytes.
 func encode(r *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(r.Body))
@@ -157,15 +158,16 @@
 	return b.Bytes()
 }
 
-// readHead reads heads until one is the request's own.
+// readHead returns the first answer that belongs to the request. It skips
+// informational answers and a few answers to other requests.
 func readHead(c *conn, r *Request, o Options) (*http.Response, error) {
-	for strays, early := 0, 0; ; {
+	for unmatched, informational := 0, 0; ; {
 		response, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
 		if response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
-			if early++; early > maxInformational {
+			if informational++; informational > maxInformational {
 				return nil, errors.New("too many informational answers")
 			}
 			continue
@@ -173,8 +175,8 @@
 		if o.Mine == nil || o.Mine(response.StatusCode, response.Header) {
 			return response, nil
 		}
-		if strays++; strays > maxStrays {
-			return nil, errors.New("only answers of other requests")
+		if unmatched++; unmatched > maxUnmatched {
+			return nil, errors.New("received only answers to other requests")
 		}
 		if err := discard(response); err != nil {
 			return nil, err
@@ -183,37 +185,37 @@
 }
 
 func discard(response *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes+1))
-	if err == nil && n > maxStrayBytes {
-		return errors.New("the answer of another request is too long")
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxUnmatchedBytes+1))
+	if err == nil && n > maxUnmatchedBytes {
+		return errors.New("the answer to another request is too long")
 	}
 	if err == nil && response.Close {
-		return errors.New("the connection ended after the answer of another request")
+		return errors.New("the connection ended after the answer to another request")
 	}
 	return err
 }
 
-func setPatience(c *conn, deadline time.Time, patience time.Duration) error {
-	if patience <= 0 {
+func setReadTimeout(c *conn, deadline time.Time, maxWait time.Duration) error {
+	if maxWait <= 0 {
 		return nil
 	}
-	until := time.Now().Add(patience)
-	if until.After(deadline) {
-		until = deadline
+	limit := time.Now().Add(maxWait)
+	if limit.After(deadline) {
+		limit = deadline
 	}
-	return c.SetReadDeadline(until)
+	return c.SetReadDeadline(limit)
 }
 
-// Read reads the body, waiting at most patience for the next bytes. io.EOF
-// means that the answer is whole as its framing tells; a body without any
-// framing ends with its connection, and one that was reset is Broken.
-func (a *Answer) Read(into []byte, patience time.Duration) (int, error) {
-	if err := setPatience(a.conn, a.deadline, patience); err != nil {
+// Read reads the body, waiting at most maxWait for the next bytes. io.EOF means that
+// the answer is complete according to its framing. A body without framing ends with
+// its connection; if that was reset, the error is Broken.
+func (a *Answer) Read(buffer []byte, maxWait time.Duration) (int, error) {
+	if err := setReadTimeout(a.conn, a.deadline, maxWait); err != nil {
 		return 0, classify(a.conn.address, err)
 	}
-	n, err := a.body.Read(into)
+	n, err := a.body.Read(buffer)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
@@ -222,35 +224,35 @@
 	return n, err
 }
 
-// drainSize is the most that Drain reads at once.
+// drainSize is the size of Drain's read buffer, in bytes.
 const drainSize = 4 << 10
 
-// Drain reads the short body of a refusal to its end, so that the connection can
-// be kept.
-func (a *Answer) Drain(patience time.Duration) {
+// Drain reads the short body of a refusal to its end, so that the connection can be
+// reused. It waits at most maxWait for the next bytes.
+func (a *Answer) Drain(maxWait time.Duration) {
 	buffer := make([]byte, drainSize)
 	for {
-		if _, err := a.Read(buffer, patience); err != nil {
+		if _, err := a.Read(buffer, maxWait); err != nil {
 			return
 		}
 	}
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its end, the request was sent to its end and nothing lies behind the
-// answer: bytes there belong to no request. Otherwise it is closed, which ends
-// the target's work.
+// Close ends the exchange. The connection is kept only if the answer was read to its
+// end, the request was sent completely and no bytes follow the answer, since those
+// would belong to no request. Otherwise the connection is closed, which makes the
+// target stop its work.
 func (a *Answer) Close() {
 	inTime := a.release()
-	if !inTime || !a.whole || !a.reusable || !a.sent() || a.conn.reader.Buffered() > 0 {
+	if !inTime || !a.complete || !a.reusable || !a.sent() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	a.conn.keep = keepTime(a.Header)
+	a.conn.keepAlive = keepAliveTimeout(a.Header)
 	a.pool.put(a.conn)
 }
 
-// sent tells whether the whole request was written without an error.
+// sent reports whether the whole request was written without an error.
 func (a *Answer) sent() bool {
 	select {
 	case err := <-a.written:
@@ -260,14 +262,15 @@
 	}
 }
 
-// keepTime reads "Keep-Alive: timeout=N", in whole seconds.
-func keepTime(header http.Header) time.Duration {
+// keepAliveTimeout returns how long a connection may stay idle: N seconds from
+// "Keep-Alive: timeout=N" less keepAliveMargin, or defaultKeepAlive.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		seconds, err := strconv.Atoi(value)
 		if strings.EqualFold(name, "timeout") && err == nil {
-			return time.Duration(seconds)*time.Second - keepMargin
+			return time.Duration(seconds)*time.Second - keepAliveMargin
 		}
 	}
-	return defaultKeep
+	return defaultKeepAlive
 }
--- a/target/h1/h1_test.go
+++ b/target/h1/h1_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "h1")
 }
 
-// limit bounds what is expected to come.
+// limit is the maximum wait for an expected event.
 const limit = 5 * time.Second
 
 var _ = Describe("An exchange", func() {
@@ -90,11 +90,8 @@
 		Expect(opened.Load()).To(BeEquivalentTo(1))
 	})
 
-	// A target sends a second answer to a request it has answered. It waits on
-	// the kept connection and would be read as the answer to the next request:
-	// a caller would get another caller's answer.
-	// Guards against descriptors that are held for targets which are not used again.
-	It("closes kept connections that are too old to be used, and no others", func() {
+	// Guards against file descriptors that are held for targets that are not used again.
+	It("closes idle connections that are too old to be reused, and no others", func() {
 		exchange := func(headers ...string) {
 			t := start(func(_ *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, rawtarget.Whole(200, "x", append(headers, "Id: r")...))
@@ -114,10 +111,13 @@
 		}).WithTimeout(limit).Should(Equal(1))
 	})
 
-	It("does not keep a connection behind whose answer more bytes lie", func() {
+	// Guards against a caller getting another caller's answer: a target sends a second
+	// answer to a request that it has already answered. If the connection were kept, the
+	// second answer would be read as the answer to the next request.
+	It("does not keep a connection on which more bytes follow the answer", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
 			id := r.Header.Get("Id")
-			// In one write: behind the answer, not late.
+			// In one write, so that the second answer directly follows the first.
 			rawtarget.Write(c, rawtarget.Whole(200, "for "+id, "Id: "+id)+rawtarget.Whole(200, "stray", "Id: "+id))
 		})
 		Expect(exchange(t, "1")).To(Equal("for 1"))
@@ -125,9 +125,9 @@
 		Expect(t.Requests()[1].Conn).NotTo(Equal(t.Requests()[0].Conn))
 	})
 
-	// The same second answer comes late, when the next request is under way on
-	// that connection already. Only its mark tells that it is not the answer.
-	It("passes over the late answer of another request", func() {
+	// The second answer arrives late, when the next request has already been sent on that
+	// connection. Only the id in its header shows that it belongs to another request.
+	It("skips the late answer to another request", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
 			if r.Turn == 1 {
 				rawtarget.Write(c, rawtarget.Whole(200, "stray", "Id: 1"))
@@ -139,8 +139,8 @@
 		Expect(opened.Load()).To(BeEquivalentTo(1))
 	})
 
-	// A kept connection is closed by the target just as a request is sent on it.
-	// A client that sends it again by itself runs it twice.
+	// The target closes an idle connection while a request is being sent on it. A client
+	// that resends the request on its own may run it twice.
 	It("never sends a request twice by itself", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
 			if r.Turn == 1 {
@@ -155,7 +155,7 @@
 		Expect(t.Requests()).To(HaveLen(2))
 	})
 
-	It("uses no kept connection that the target has closed, and none that was idle too long", func() {
+	It("does not reuse a connection that the target has closed or that was idle too long", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
 			echo(r, c)
 			if r.Header.Get("Id") == "1" {
@@ -173,7 +173,7 @@
 		Expect(opened.Load()).To(BeEquivalentTo(3))
 	})
 
-	DescribeTable("takes no cut answer for whole",
+	DescribeTable("does not treat a truncated answer as complete",
 		func(answer string, reset bool) {
 			t := start(func(_ *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, answer)
@@ -194,7 +194,7 @@
 		Entry("without a length, and reset", rawtarget.Head(200, "Id: 1")+"part", true),
 	)
 
-	It("takes an answer without a length to the end of its connection, and does not keep that", func() {
+	It("reads an answer without a length to the end of its connection, which it does not keep", func() {
 		t := start(func(_ *rawtarget.Request, c net.Conn) {
 			rawtarget.Write(c, rawtarget.Head(200, "Id: 1")+"all of it")
 			_ = c.Close()
@@ -204,10 +204,10 @@
 		Expect(opened.Load()).To(BeEquivalentTo(2))
 	})
 
-	// A target answers before it has read a long body and reads on afterwards.
-	// If the connection were kept, the next request's bytes would be taken for
-	// the rest of that body.
-	It("does not keep a connection whose request was not sent to its end", func() {
+	// A target answers before it has read a long body and then continues to read it. If
+	// the connection were kept, the target would read the next request as the rest of
+	// that body.
+	It("does not keep a connection whose request was not sent completely", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -242,7 +242,7 @@
 		Expect(opened.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("tells a target that it can't reach from one that is silent", func() {
+	It("distinguishes an unreachable target from one that does not answer", func() {
 		gone := start(echo)
 		gone.Close()
 		_, err := exchange(gone, "1")
--- a/target/h1/pool.go
+++ b/target/h1/pool.go
@@ -1,11 +1,11 @@
-// Package h1 sends requests to targets over HTTP/1.1 on connections of its own,
-// one request at a time on each.
+// Package h1 is an HTTP/1.1 client for requests to targets, with a connection pool
+// and one request at a time on each connection.
 //
-// It takes the place of net/http's client, which repeats a request by itself
-// when a kept connection breaks before the answer, gives no word on whether
-// anything was sent, and takes whatever arrives next on a connection for the
-// answer. Here a request is sent once; an error says whether the target can
-// have got it; and an answer counts only if it carries the request's mark.
+// It replaces net/http's client, which resends some requests when a kept connection
+// breaks before the answer, doesn't report whether anything was sent, and accepts
+// whatever arrives next on a connection as the answer. Here a request is sent once,
+// an error states whether the target may have received the request, and an answer is
+// accepted only if Options.Matches confirms that it belongs to the request.
 package h1
 
 import (
@@ -22,19 +22,19 @@
 )
 
 const (
-	// DialTimeout bounds a new connection. Targets are at most a few
-	// milliseconds away; a lost opening packet is repeated only after a second,
-	// and by then another target is the better choice: half of the shortest
-	// objective is left for it.
+	// DialTimeout is the maximum time to open a connection. Targets are at most a few
+	// milliseconds away. A lost SYN is retransmitted only after a second; trying
+	// another target is better, and half of the shortest latency objective is left
+	// for that.
 	DialTimeout = 150 * time.Millisecond
-	// maxIdlePerTarget bounds the kept connections to one target.
+	// maxIdlePerTarget is the maximum number of idle connections to one target.
 	maxIdlePerTarget = 8
-	// keepMargin is how long before the target's own idle timeout a kept
-	// connection is no longer used: a request must not meet its end.
-	keepMargin = 700 * time.Millisecond
-	// defaultKeep is how long a connection is kept whose target states no idle
-	// timeout.
-	defaultKeep = 4 * time.Second
+	// keepAliveMargin is how long before the target's idle timeout an idle connection
+	// is no longer used, so that the target doesn't close it while a request is sent.
+	keepAliveMargin = 700 * time.Millisecond
+	// defaultKeepAlive is how long an idle connection is kept if its target states no
+	// idle timeout.
+	defaultKeepAlive = 4 * time.Second
 	// readBuffer is the size of a connection's read buffer, in bytes.
 	readBuffer = 4 << 10
 )
@@ -43,17 +43,18 @@
 
 // Types of errors.
 var (
-	// NotSent: no connection; the target got nothing of the request.
+	// NotSent means that there was no connection: the target received nothing of the
+	// request.
 	NotSent = errorNamespace.NewType("not_sent")
-	// Broken: the connection ended, or what came is no answer; the request may
-	// have run.
+	// Broken means that the connection ended or that the received data was not a
+	// valid answer. The request may have run.
 	Broken = errorNamespace.NewType("broken")
-	// Silent: nothing came within the time allowed; the request may run still
-	// until its connection is closed.
+	// Silent means that nothing was received within the time allowed. The request may
+	// still be running until its connection is closed.
 	Silent = errorNamespace.NewType("silent")
 )
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool is a pool of connections to targets. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	opened func()
@@ -67,12 +68,13 @@
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// keep is how long it may stay idle; since when it is.
-	keep  time.Duration
-	since time.Time
+	// keepAlive is how long the connection may stay idle, idleSince when it became
+	// idle.
+	keepAlive time.Duration
+	idleSince time.Time
 }
 
-// NewPool returns an empty pool. opened is called for each new connection.
+// NewPool returns an empty pool, which calls opened for each new connection.
 func NewPool(opened func()) *Pool {
 	return &Pool{
 		dialer: net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: sockets.DeadPeer},
@@ -81,12 +83,12 @@
 	}
 }
 
-// take returns a connection that was idle for at most maxIdle, or a new one.
-// fresh tells that it is new.
-func (p *Pool) take(ctx context.Context, address string, maxIdle time.Duration) (*conn, bool, error) {
+// get returns a connection that has been idle for at most maxIdle, or a new one, and
+// whether it is new.
+func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*conn, bool, error) {
 	for c := p.pop(address); c != nil; c = p.pop(address) {
-		idle := time.Since(c.since)
-		if idle <= min(maxIdle, c.keep) && sockets.Quiet(c.Conn.(*net.TCPConn)) {
+		idle := time.Since(c.idleSince)
+		if idle <= min(maxIdle, c.keepAlive) && sockets.Quiet(c.Conn.(*net.TCPConn)) {
 			return c, false, nil
 		}
 		_ = c.Close()
@@ -96,7 +98,7 @@
 		return nil, true, NotSent.Wrap(err, "no connection to %s", address)
 	}
 	p.opened()
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer), keep: defaultKeep}, true, nil
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, readBuffer), keepAlive: defaultKeepAlive}, true, nil
 }
 
 func (p *Pool) pop(address string) *conn {
@@ -116,7 +118,8 @@
 	return last
 }
 
-// Reachable tells whether the address takes a connection within the time.
+// Reachable reports whether the address accepts a connection within the given time.
+// The connection is kept in the pool.
 func (p *Pool) Reachable(ctx context.Context, address string, within time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
@@ -125,17 +128,18 @@
 		return false
 	}
 	p.opened()
-	p.put(&conn{Conn: c, address: address, reader: bufio.NewReaderSize(c, readBuffer), keep: defaultKeep})
+	p.put(&conn{Conn: c, address: address, reader: bufio.NewReaderSize(c, readBuffer), keepAlive: defaultKeepAlive})
 	return true
 }
 
-// put keeps a connection on which an answer has ended whole.
+// put returns a connection to the pool. The last answer on it must have been read to
+// its end.
 func (p *Pool) put(c *conn) {
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		_ = c.Close()
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
@@ -146,17 +150,17 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// Sweep closes the kept connections that have been idle for too long to be used again.
+// CloseExpired closes the connections that have been idle for too long to be reused.
 //
-// Failure guarded against: a daemon sends each request to another one of thousands of
-// targets. Connections that their targets have closed would hold descriptors until the
-// same target is used again.
+// It guards against a leak of file descriptors: a daemon sends each request to another
+// one of thousands of targets, and connections that their targets have closed would
+// hold descriptors until the same target is used again.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
 		fresh := slices.DeleteFunc(list, func(c *conn) bool {
-			old := time.Since(c.since) > c.keep
+			old := time.Since(c.idleSince) > c.keepAlive
 			if old {
 				_ = c.Close()
 			}
@@ -170,7 +174,7 @@
 	}
 }
 
-// Idle returns the number of kept connections.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,7 +185,7 @@
 	return n
 }
 
-// Forget closes the kept connections to an address, whose target has gone.
+// CloseIdle closes the idle connections to an address whose target was removed.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
@@ -192,7 +196,7 @@
 	}
 }
 
-// Close closes all kept connections.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/target/headers.go
+++ b/target/headers.go
@@ -10,15 +10,15 @@
 	HeaderKey = "Idempotency-Key"
 	// HeaderUrgency carries the request's urgency to the target.
 	HeaderUrgency = "Tarragon-Urgency"
-	// HeaderRun is set to RunNotRun by a target that refuses a request which
-	// it certainly has not executed.
+	// HeaderRun is set to RunNotRun by a target when it refuses a request that it
+	// has certainly not executed.
 	HeaderRun = "Tarragon-Run"
 	// RunNotRun is the value of HeaderRun on such a refusal.
 	RunNotRun = "not_run"
 
 	// UrgencyOnline is the value of HeaderUrgency for a caller's own request.
 	UrgencyOnline = "online"
-	// UrgencyBatch is its value for an item of a job.
+	// UrgencyBatch is the value of HeaderUrgency for an item of a job.
 	UrgencyBatch = "batch"
 )
 
@@ -34,7 +34,7 @@
 	return context.WithValue(ctx, keyContext, key)
 }
 
-// KeyFrom returns the idempotency key of ctx, or "".
+// KeyFrom returns the idempotency key of ctx, "" if none is set.
 func KeyFrom(ctx context.Context) string {
 	key, _ := ctx.Value(keyContext).(string)
 	return key
@@ -46,7 +46,7 @@
 	return context.WithValue(ctx, urgencyContext, urgency)
 }
 
-// UrgencyFrom returns the urgency of ctx, or "".
+// UrgencyFrom returns the urgency of ctx, "" if none is set.
 func UrgencyFrom(ctx context.Context) string {
 	urgency, _ := ctx.Value(urgencyContext).(string)
 	return urgency
--- a/target/prefix.go
+++ b/target/prefix.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// TokenBytes is how many prompt bytes count as one token.
+	// TokenBytes is the number of prompt bytes that count as one token.
 	TokenBytes = 4
-	// BlockTokens is how many tokens one cache block holds. A prefix is cached
-	// and hashed by whole blocks only.
+	// BlockTokens is the number of tokens in a cache block. A prefix is cached and
+	// hashed in whole blocks only.
 	BlockTokens = 16
 
-	blockBytes  = BlockTokens * TokenBytes
-	roleEnd     = 0x00
-	messageEnd  = 0x01
-	answeringBy = "assistant"
+	blockBytes    = BlockTokens * TokenBytes
+	roleEnd       = 0x00
+	messageEnd    = 0x01
+	assistantRole = "assistant"
 )
 
-// PrefixHashes returns the hex hashes of the growing prefixes of the prompt,
-// one for each whole block, the shortest prefix first. Two prompts share their
-// first n hashes exactly when they share their first n blocks.
+// PrefixHashes returns the hex hashes of the prompt's prefixes that end at a block
+// boundary, shortest first. Two prompts share their first n hashes exactly when they
+// share their first n blocks.
 func PrefixHashes(messages []Message) []string {
 	return BlockHashes(PromptBytes(messages, nil))
 }
 
 // PromptBytes returns the byte sequence that an engine caches for a prompt and
-// the tokens generated after it. A later prompt that quotes the answer as an
+// the tokens generated after it. A later prompt that contains the answer as an
 // assistant's message continues the same sequence.
 func PromptBytes(messages []Message, tokens []string) []byte {
 	size := 0
@@ -44,7 +44,7 @@
 	if len(tokens) == 0 {
 		return b
 	}
-	b = append(b, answeringBy...)
+	b = append(b, assistantRole...)
 	b = append(b, roleEnd)
 	for _, t := range tokens {
 		b = append(b, t...)
@@ -52,7 +52,8 @@
 	return b
 }
 
-// BlockHashes returns the hashes of the growing prefixes of b by whole blocks.
+// BlockHashes returns the hex hashes of the prefixes of b that end at a block
+// boundary, shortest first.
 func BlockHashes(b []byte) []string {
 	hashes := make([]string, 0, len(b)/blockBytes)
 	d := xxhash.New()
--- a/target/rawtarget/rawtarget.go
+++ b/target/rawtarget/rawtarget.go
@@ -1,5 +1,5 @@
-// Package rawtarget is a target for tests that answers byte by byte, so that
-// every way in which an answer can go wrong can be brought about.
+// Package rawtarget is a target for tests whose scripts write the raw bytes of each
+// answer, so that every kind of broken answer can be produced.
 package rawtarget
 
 import (
@@ -13,16 +13,17 @@
 	"sync"
 )
 
-// Request is a request as the target got it.
+// Request is a request as the target received it.
 type Request struct {
 	Method, URI, Host string
 	Header            http.Header
 	Body              []byte
-	// Conn numbers the connections from 0, Turn the requests on each.
+	// Conn is the index of the connection, Index that of the request on its
+	// connection; both start at 0.
 	Conn, Turn int
 }
 
-// Target answers each request by a script.
+// Target answers each request by calling a script.
 type Target struct {
 	// Address is IP:PORT.
 	Address  string
@@ -92,14 +93,15 @@
 	}
 }
 
-// Requests returns what came so far.
+// Requests returns the requests received so far.
 func (t *Target) Requests() []Request {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Request(nil), t.requests...)
 }
 
-// OnRequest sets what is done when a request was read, before its script runs.
+// OnRequest sets a function that is called when a request has been read, before its
+// script runs.
 func (t *Target) OnRequest(hook func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +115,7 @@
 	return len(t.open)
 }
 
-// Close ends the target and its connections.
+// Close stops the target and closes its connections.
 func (t *Target) Close() {
 	_ = t.listener.Close()
 	t.mu.Lock()
@@ -123,7 +125,7 @@
 	}
 }
 
-// Reset ends a connection by a reset.
+// Reset closes a connection with a TCP reset.
 func Reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -131,7 +133,7 @@
 	_ = c.Close()
 }
 
-// Write writes text; a caller that left is no fault of the target.
+// Write writes text. It ignores errors: the caller may have closed the connection.
 func Write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
 // Head returns the head of an answer with the given headers, "Name: value" each.
@@ -145,15 +147,15 @@
 	return b.String()
 }
 
-// Whole returns an answer with its length.
+// Whole returns a complete answer with a Content-Length header.
 func Whole(status int, body string, headers ...string) string {
 	return Head(status, append(headers, "Content-Length: "+strconv.Itoa(len(body)))...) + body
 }
 
-// Chunk returns one chunk of a body.
+// Chunk returns one chunk of a chunked body.
 func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// LastChunk ends a body in chunks.
+// LastChunk ends a chunked body.
 const LastChunk = "0\r\n\r\n"
 
 // Event returns one server-sent event.
--- a/target/serviceclient.go
+++ b/target/serviceclient.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// ServiceClient implements Service over HTTP. The urgency of the context picks
+// ServiceClient implements Service over HTTP. The urgency of the context selects
 // the connection pool.
 type ServiceClient struct{ *pools }
 
@@ -14,13 +14,14 @@
 // NewServiceClient returns a client of all services.
 func NewServiceClient(o ClientOptions) *ServiceClient { return &ServiceClient{newPools(o)} }
 
-// hopHeaders belong to one connection and are not passed on; so does the length,
-// which follows from the body.
+// hopHeaders are the headers that concern one connection and are not passed on. The
+// content length is among them because it is derived from the body.
 var hopHeaders = []string{
 	"Connection", "Content-Length", "Host", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
+// endToEnd returns a copy of h without the hop-by-hop headers; it is never nil.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -32,10 +33,10 @@
 	return out
 }
 
-// Call implements Service with exactly one attempt. A status of 400 or above
-// returns the service's whole answer together with a *Failure, so that it can
-// be passed on. A 503 counts as Busy only with HeaderRun on it: other programs
-// in front of a service answer 503 also for calls that it has executed.
+// Call implements Service with exactly one attempt. For a status of 400 or above it
+// returns the service's complete answer together with a *Failure, so that the answer
+// can be passed on. A 503 counts as Busy only if it carries HeaderRun: a proxy in
+// front of a service may answer 503 for a call that the service has executed.
 func (c *ServiceClient) Call(ctx context.Context, address string, req ServiceRequest) (ServiceResponse, error) {
 	resp, err := send(ctx, c.byUrgency(ctx), call{
 		method: req.Method, address: address, path: req.Path, header: endToEnd(req.Header), body: req.Body,
@@ -52,11 +53,11 @@
 	if resp.StatusCode < http.StatusBadRequest {
 		return answer, nil
 	}
-	refused := resp.StatusCode == http.StatusTooManyRequests || saysNotRun(resp)
+	refused := resp.StatusCode == http.StatusTooManyRequests || markedNotRun(resp)
 	return answer, statusFailure(address, resp.StatusCode, refused, body)
 }
 
-// Health returns nil when the service answers GET /health with 2xx.
+// Health returns nil if the service answers GET /health with 2xx.
 func (c *ServiceClient) Health(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ControlTimeout)
 	defer cancel()
--- a/target/serviceclient_test.go
+++ b/target/serviceclient_test.go
@@ -22,10 +22,9 @@
 	}
 	warm := target.ServiceRequest{Method: http.MethodGet, Path: "/menu?day=1"}
 
-	// A guest's tray is ordered, the kitchen's service executes the order and
-	// its connection breaks before the answer. The connection had been used
-	// before, so Go's transport would send the order again by itself, and the
-	// guest would be billed for two.
+	// Guards against double execution: the service executes an order and the connection
+	// breaks before the answer. Since the connection was reused, Go's transport would
+	// resend the order, and the guest would be billed twice.
 	DescribeTable("a call that is executed and then cut on a reused connection", func(method string, body []byte) {
 		s, address := startService()
 		c := client()
@@ -42,9 +41,9 @@
 		Entry("GET", http.MethodGet, nil),
 	)
 
-	// The same story with http.Client: this is what the guard is for, and shows
-	// that the specs above can fail.
-	It("would be doubled by the naive client", func() {
+	// The same failure with http.Client, without the guard: shows that the specs above
+	// can fail.
+	It("would be executed twice with http.Client", func() {
 		s, address := startService()
 		naive := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 		DeferCleanup(naive.CloseIdleConnections)
@@ -71,14 +70,14 @@
 		Expect(s.Record().Executions["order-1"]).To(Equal(executions))
 	},
 		Entry("429 has not run", 429, 0, false, true, false),
-		Entry("503 with the service's word has not run", 503, 0, false, true, false),
+		Entry("503 marked as not run by the service has not run", 503, 0, false, true, false),
 		Entry("500 may have run", 500, 1, true, false, false),
 		Entry("409 is the service's own refusal", 409, 1, true, false, true),
 	)
 
-	// A program in front of the service answers 503 after the service executed
-	// the order: without the service's word "not run" must not be said.
-	It("does not take an unexplained 503 for not run", func() {
+	// A proxy in front of the service answers 503 after the service executed the order.
+	// Without the service's header the call must not be reported as not run.
+	It("does not treat a 503 without the header as not run", func() {
 		address := startHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}), func() {})
@@ -97,7 +96,7 @@
 		Expect([]int{resp.Status, calls}).To(Equal([]int{http.StatusTemporaryRedirect, 1}))
 	})
 
-	It("reports an answer that breaks off as a crash, never as an answer", func() {
+	It("reports a truncated answer as a crash, never as an answer", func() {
 		address := startHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = w.Write([]byte("half"))
--- a/target/sockets/sockets.go
+++ b/target/sockets/sockets.go
@@ -1,5 +1,4 @@
-// Package sockets sets up TCP connections so that a peer that went silent is
-// noticed.
+// Package sockets configures TCP connections so that an unresponsive peer is detected.
 package sockets
 
 import (
@@ -10,35 +9,35 @@
 )
 
 const (
-	// UserTimeout is for how long sent bytes may stay unacknowledged before the
-	// connection counts as dead. It is far above a round trip between zones (3 ms)
-	// and a retransmission or two, and below the 2 s after which callers leave a
-	// silent stream.
+	// UserTimeout is how long sent bytes may stay unacknowledged before the connection
+	// is considered dead. It is far above a round trip between zones (3 ms) plus one or
+	// two retransmissions, and below the 2 s after which callers give up a stream that
+	// sends nothing.
 	UserTimeout = 1200 * time.Millisecond
-	// probeEvery and probes: an idle connection that answers none of these
-	// probes in a row is dead.
-	probeEvery = time.Second
-	probes     = 2
+	// probeInterval is the time between keep-alive probes on an idle connection. After
+	// this number of unanswered probes in a row the connection is considered dead.
+	probeInterval = time.Second
+	probes        = 2
 )
 
-// DeadPeer is a net.Dialer's Control. It guards against a connection whose
-// other end lost power or was cut off without a reset: reads would hang for
-// minutes. The kernel then ends the connection after UserTimeout with data in
-// flight, or after probeEvery*(probes+1) without.
+// DetectDeadPeer is a Control function for net.Dialer. It guards against a connection
+// whose other end lost power or was cut off without a reset, on which reads would hang
+// for minutes. With these options the kernel ends the connection after UserTimeout if
+// data is in flight, else after probeInterval*(probes+1).
 func DeadPeer(_, _ string, conn syscall.RawConn) error {
-	var failed error
-	err := conn.Control(func(fd uintptr) { failed = setDeadPeer(int(fd)) })
+	var optionErr error
+	err := conn.Control(func(fd uintptr) { optionErr = setOptions(int(fd)) })
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
 
-func setDeadPeer(fd int) error {
+func setOptions(fd int) error {
 	options := []struct{ level, name, value int }{
 		{unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(probeEvery / time.Second)},
-		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(probeEvery / time.Second)},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(probeInterval / time.Second)},
+		{unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(probeInterval / time.Second)},
 		{unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probes},
 		{unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(UserTimeout / time.Millisecond)},
 	}
@@ -50,19 +49,19 @@
 	return nil
 }
 
-// Quiet tells whether nothing has arrived on an idle connection: no bytes that
-// nobody asked for, no end and no reset. It does not block.
+// StillIdle reports whether nothing has arrived on an idle connection: no unexpected
+// bytes, no end of stream and no reset. It does not block.
 func Quiet(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, _, received := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = received == unix.EAGAIN
+		_, _, recvErr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = recvErr == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/target/sse/sse.go
+++ b/target/sse/sse.go
@@ -1,4 +1,4 @@
-// Package sse cuts a stream of server-sent events into whole events.
+// Package sse splits a stream of server-sent events into complete events.
 package sse
 
 import (
@@ -7,32 +7,32 @@
 	"strings"
 )
 
-// MaxEventBytes bounds one event. Events of the engines are a few hundred
+// MaxEventBytes is the maximum size of an event. Engines' events are a few hundred
 // bytes long.
 const MaxEventBytes = 1 << 20
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw is the event as it came, with the empty line that ends it.
+	// Raw is the event as it was received, including the empty line that ends it.
 	Raw []byte
-	// ID is the event's number, -1 without one.
+	// ID is the event's id, -1 if it has no numeric one.
 	ID int64
-	// Data is the event's data; several data lines are joined by line feeds.
+	// Data is the event's data. Several data lines are joined with line feeds.
 	Data string
-	// HasData tells an event without data from one with empty data.
+	// HasData reports whether the event has a data field, which may be empty.
 	HasData bool
 }
 
-// Splitter gathers bytes until events are whole.
+// Splitter buffers bytes until events are complete.
 type Splitter struct {
 	buffer []byte
 }
 
-// Write adds bytes.
+// Write appends bytes to the buffer.
 func (s *Splitter) Write(data []byte) { s.buffer = append(s.buffer, data...) }
 
-// Next returns the next whole event, false if there is none yet. Raw is valid
-// until the next call of Write.
+// Next returns the next complete event, false if there is none yet. The event's Raw
+// is valid until the next call of Write.
 func (s *Splitter) Next() (Event, bool) {
 	end := boundary(s.buffer)
 	if end < 0 {
@@ -43,23 +43,24 @@
 	return parse(raw), true
 }
 
-// Rest returns the bytes that are no whole event.
+// Rest returns the buffered bytes, which are not yet a complete event.
 func (s *Splitter) Rest() []byte { return s.buffer }
 
-// Overlong tells whether the unfinished event is longer than allowed.
+// Overlong reports whether the incomplete event is longer than MaxEventBytes.
 func (s *Splitter) Overlong() bool { return len(s.buffer) > MaxEventBytes }
 
-// boundary returns where the first event ends, behind its empty line.
+// boundary returns the index after the empty line that ends the first event, -1 if
+// there is none.
 func boundary(b []byte) int {
-	plain := bytes.Index(b, []byte("\n\n"))
-	returns := bytes.Index(b, []byte("\r\n\r\n"))
+	lf := bytes.Index(b, []byte("\n\n"))
+	crlf := bytes.Index(b, []byte("\r\n\r\n"))
 	switch {
-	case plain < 0 && returns < 0:
+	case lf < 0 && crlf < 0:
 		return -1
-	case plain < 0 || returns >= 0 && returns < plain:
-		return returns + len("\r\n\r\n")
+	case lf < 0 || crlf >= 0 && crlf < lf:
+		return crlf + len("\r\n\r\n")
 	default:
-		return plain + len("\n\n")
+		return lf + len("\n\n")
 	}
 }
 
--- a/target/sse/sse_test.go
+++ b/target/sse/sse_test.go
@@ -17,7 +17,7 @@
 var _ = Describe("The splitter", func() {
 	const stream = "id: 0\ndata: a\n\nversion: 3\nid: 1\ndata: b\ndata: c\n\nid: 2\r\ndata:\r\n\r\nid: 3\ndata: cut"
 
-	It("gives whole events only, however the bytes come", func() {
+	It("returns only complete events, however the bytes are split", func() {
 		for size := 1; size <= len(stream); size++ {
 			var s sse.Splitter
 			var ids []int64
@@ -41,7 +41,7 @@
 		}
 	})
 
-	It("tells an event without a number and an overlong one", func() {
+	It("recognizes an event without an id and an overlong one", func() {
 		var s sse.Splitter
 		s.Write([]byte(": ping\n\n"))
 		e, ok := s.Next()
--- a/target/stream.go
+++ b/target/stream.go
@@ -11,10 +11,10 @@
 	"sync"
 )
 
-// maxLineBytes bounds one line of an event stream.
+// maxLineBytes is the maximum length of a line of an event stream.
 const maxLineBytes = 16 << 10
 
-// lineReaders are reused between streams.
+// lineReaders holds readers that are reused between streams.
 var lineReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxLineBytes) }}
 
 var (
@@ -23,10 +23,10 @@
 	indexPrefix  = []byte(`{"index":`)
 	textPrefix   = []byte(`,"text":"`)
 	textSuffix   = []byte(`"}`)
-	errCutStream = errors.New("the stream ended without a finish")
+	errTruncated = errors.New("the stream ended without a finish")
 )
 
-// sinkError marks an error of the sink, which is not the target's.
+// sinkError marks an error of the sink, which is not the target's fault.
 type sinkError struct{ err error }
 
 func (e *sinkError) Error() string { return e.err.Error() }
@@ -38,10 +38,10 @@
 	Finish *Finish `json:"finish"`
 }
 
-// readStream hands the tokens of an event stream to sink until the finish. The
-// first index must be next, and each one higher than the last by one: a token
-// that is doubled, missing or out of order is the engine's fault and must not
-// reach a caller as a part of its answer.
+// readStream passes the tokens of an event stream to sink until the finish. The
+// first index must be next, and each later one must be higher by one: a token that
+// is duplicated, missing or out of order is the engine's fault and must not reach a
+// caller as part of its answer.
 func readStream(ctx context.Context, address string, body io.Reader, next int, sink func(Token) error) (Finish, error) {
 	lines := lineReaders.Get().(*bufio.Reader)
 	lines.Reset(body)
@@ -76,12 +76,13 @@
 	case errors.Is(err, bufio.ErrBufferFull):
 		return protocolFailure(address, "a line of the stream is longer than %d bytes", maxLineBytes)
 	case errors.Is(err, io.EOF):
-		err = errCutStream
+		err = errTruncated
 	}
 	return transportFailure(ctx, address, true, err)
 }
 
-// finishFailure keeps a part of an answer from being taken for the whole.
+// finishFailure returns an error unless the finish reason says that the answer is
+// complete, so that a partial answer is not mistaken for a complete one.
 func finishFailure(address string, f Finish) error {
 	if f.Reason == "stop" || f.Reason == "length" {
 		return nil
@@ -92,7 +93,7 @@
 	return &Failure{Reached: true, Address: address, Detail: "the stream was cancelled at the target", Err: ErrStreamCancelled}
 }
 
-// readData returns the content of the next data line; it is valid until the
+// readData returns the content of the next data line. The content is valid until the
 // next read.
 func readData(lines *bufio.Reader) ([]byte, error) {
 	for {
@@ -106,7 +107,7 @@
 		}
 		data = bytes.TrimSpace(data)
 		if bytes.Equal(data, doneData) {
-			return nil, errCutStream
+			return nil, errTruncated
 		}
 		return data, nil
 	}
@@ -129,9 +130,10 @@
 	return Token{Index: *line.Index, Text: line.Text}, nil, nil
 }
 
-// parsePlainToken reads the usual form of a token without encoding/json, whose
-// allocations for each token would be most of an entry host's garbage. Any
-// other form, as one with escapes, is left to encoding/json.
+// parsePlainToken parses the usual form of a token without encoding/json, whose
+// allocations for each token would be most of the garbage of a host that receives
+// callers' requests. It returns false for any other form, such as one with escapes,
+// which is left to encoding/json.
 func parsePlainToken(data []byte) (Token, bool) {
 	rest, ok := bytes.CutPrefix(data, indexPrefix)
 	if !ok {
@@ -153,9 +155,12 @@
 	return Token{Index: index, Text: string(text)}, true
 }
 
+// maxIndexDigits is the maximum number of digits that parsePlainToken accepts in an
+// index.
 const maxIndexDigits = 9
 
-// isPlainASCII tells whether text is a JSON string's content that stands for itself.
+// isPlainASCII reports whether text is the content of a JSON string without escapes,
+// in printable ASCII.
 func isPlainASCII(text []byte) bool {
 	for _, b := range text {
 		if b < ' ' || b > '~' || b == '"' || b == '\\' {
--- a/target/stream_test.go
+++ b/target/stream_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// TestAllocationsPerToken keeps the path of each token at one allocation: its text.
+// TestAllocationsPerToken checks that a token costs one allocation: its text.
 func TestAllocationsPerToken(t *testing.T) {
 	const tokens = 1000
 	var b bytes.Buffer
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestPrefixHashesShareWhatPromptsShare checks the hashes against the naive
-// comparison of the prompts' bytes.
+// TestPrefixHashesShareWhatPromptsShare checks the hashes against a comparison of the
+// prompts' bytes.
 func TestPrefixHashesShareWhatPromptsShare(t *testing.T) {
 	message := rapid.Custom(func(t *rapid.T) Message {
 		return Message{Role: "user", Content: rapid.StringMatching(`[ab]{0,200}`).Draw(t, "content")}
--- a/target/suite_test.go
+++ b/target/suite_test.go
@@ -25,7 +25,7 @@
 	RunSpecs(t, "target clients")
 }
 
-// bound is how long a spec waits for a condition.
+// bound is the maximum time that a spec waits for a condition.
 const bound = 10 * time.Second
 
 func fastEngine() engine.Options {
@@ -34,7 +34,7 @@
 	return o
 }
 
-// startEngine serves an engine as a process would and returns its address.
+// startEngine serves an engine on a loopback port and returns its address.
 func startEngine(o engine.Options) (*engine.Server, string) {
 	s, err := engine.New(o)
 	Expect(err).NotTo(HaveOccurred())
@@ -86,14 +86,14 @@
 	return []target.Message{{Role: "user", Content: text}}
 }
 
-// result is what one Generate call came to.
+// result is the result of one Generate call.
 type result struct {
 	tokens []string
 	finish target.Finish
 	err    error
 }
 
-// generate gathers a whole stream; each token is also told to seen, if not nil.
+// generate collects a whole stream. It calls seen for each token, unless nil.
 func generate(ctx context.Context, c target.Engine, address string, req target.GenerateRequest, seen func()) result {
 	var r result
 	r.finish, r.err = c.Generate(ctx, address, req, func(t target.Token) error {
--- a/target/target.go
+++ b/target/target.go
@@ -1,5 +1,5 @@
-// Package target holds the narrow interfaces to the targets (model engines and
-// plain services) and their HTTP clients.
+// Package target defines the interfaces to targets (model engines and plain
+// services) and their HTTP clients.
 package target
 
 import (
@@ -14,32 +14,33 @@
 	Content string `json:"content"`
 }
 
-// GenerateRequest asks an engine for a completion.
+// GenerateRequest is a request to an engine for a completion.
 type GenerateRequest struct {
-	// StreamID names the stream at the engine, for cancel and resume.
+	// StreamID identifies the stream at the engine, for cancelling and resuming it.
 	StreamID string `json:"stream_id"`
 	// Model is the model's name.
 	Model string `json:"model"`
 	// Messages is the prompt.
 	Messages []Message `json:"messages"`
-	// MaxTokens bounds the answer; the engine may end earlier.
+	// MaxTokens is the maximum length of the answer; the engine may stop earlier.
 	MaxTokens int `json:"max_tokens"`
-	// ResumeTokens are the tokens that an earlier attempt delivered, at this or
-	// another engine; generation goes on after them and they are not sent again.
+	// ResumeTokens are the tokens that an earlier attempt at this or another
+	// engine delivered. Generation continues after them; they are not sent again.
 	ResumeTokens []string `json:"resume_tokens,omitempty"`
-	// Extra holds the caller's other body fields, passed on untouched.
+	// Extra holds the caller's other body fields, passed on unchanged.
 	Extra map[string]json.RawMessage `json:"extra,omitempty"`
 }
 
 // Token is one generated token.
 type Token struct {
-	// Index counts from 0 over the whole answer, resumed parts included.
+	// Index is the token's position in the whole answer, from 0, including the
+	// resumed tokens.
 	Index int `json:"index"`
 	// Text is the token's text.
 	Text string `json:"text"`
 }
 
-// Usage counts tokens of one attempt.
+// Usage holds the token counts of one attempt.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
@@ -53,32 +54,35 @@
 	Usage  Usage  `json:"usage"`
 }
 
-// LoadReport is an engine's lagging word about itself.
+// LoadReport is an engine's report of its own load. It lags behind the actual load.
 type LoadReport struct {
-	// AtMs is when the figures were true, Unix milliseconds at the engine.
+	// AtMs is when the figures were measured, in Unix milliseconds by the engine's
+	// clock.
 	AtMs int64 `json:"at_ms"`
 	// Running and Waiting count requests.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// Slots is the batch size limit.
 	Slots int `json:"slots"`
-	// Model and Version tell what is loaded.
+	// Model and Version identify the loaded model.
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// CacheEvent is a hint about the engine's prefix cache: late and with gaps.
+// CacheEvent is a change of the engine's prefix cache. Events arrive late and some
+// are missing, so they are only hints.
 type CacheEvent struct {
 	Seq int64 `json:"seq"`
 	// Prefix is the hex hash of the cached prompt prefix (see PrefixHashes).
 	Prefix string `json:"prefix"`
-	// Stored is false when the prefix was evicted.
+	// Stored is true when the prefix was stored and false when it was evicted.
 	Stored bool `json:"stored"`
 }
 
-// Order tells an engine to change what it serves.
+// Order is a command to an engine to change what it serves.
 type Order struct {
-	// Fence is the fencing number; engines that check refuse one below the highest seen.
+	// Fence is the fencing number. Engines that check it refuse an order whose
+	// number is below the highest one seen.
 	Fence uint64 `json:"fence"`
 	// Action is "load_model", "load_adapter" or "set_role".
 	Action  string `json:"action"`
@@ -87,25 +91,26 @@
 	Role    string `json:"role,omitempty"`
 }
 
-// Engine speaks to model engines by address (IP:PORT). Every method returns
-// *Failure errors that tell whether the target may have received the request.
+// Engine is a client of model engines, which are addressed by IP:PORT. Every method
+// returns *Failure errors, which state whether the target may have received the
+// request.
 type Engine interface {
 	// Generate streams tokens to sink in order; an error from sink cancels the
 	// stream and is returned.
 	Generate(ctx context.Context, address string, req GenerateRequest, sink func(Token) error) (Finish, error)
-	// Cancel stops a stream; cancelling an unknown stream is no error.
+	// Cancel stops a stream. Cancelling an unknown stream is not an error.
 	Cancel(ctx context.Context, address, streamID string) error
-	// Load returns the load report.
+	// Load returns the engine's load report.
 	Load(ctx context.Context, address string) (LoadReport, error)
-	// CacheEvents returns events after the sequence number.
+	// CacheEvents returns the events whose sequence number is above after.
 	CacheEvents(ctx context.Context, address string, after int64) ([]CacheEvent, error)
-	// Order sends an order.
+	// Order sends an order to the engine.
 	Order(ctx context.Context, address string, o Order) error
-	// Health returns nil when the target answers.
+	// Health returns nil if the engine answers the health check.
 	Health(ctx context.Context, address string) error
 }
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one call to a plain service.
 type ServiceRequest struct {
 	Method string
 	// Path begins with a slash and includes the raw query.
@@ -114,39 +119,41 @@
 	Body   []byte
 }
 
-// ServiceResponse is the service's whole answer.
+// ServiceResponse is the service's complete answer.
 type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Service speaks to plain services.
+// Service is a client of plain services.
 type Service interface {
-	// Call sends the request once to the target at address (IP:PORT). Its error
-	// is a *Failure; with a status of 400 or above comes the whole response too.
+	// Call sends the request once to the target at address (IP:PORT). Its errors
+	// are *Failure. For a status of 400 or above it returns both an error and the
+	// complete response.
 	Call(ctx context.Context, address string, req ServiceRequest) (ServiceResponse, error)
 }
 
-// Failure is the error of an attempt at a target.
+// Failure is the error of one attempt to send a request to a target.
 type Failure struct {
-	// Reached is false only when the target certainly did not get the request
-	// (the connection was refused, or the target said so).
+	// Reached is false only if the target certainly did not run the request: no
+	// connection was made, or the target stated that it did not run it.
 	Reached bool
-	// Crashed tells that the connection broke while the request ran there, as
-	// when the target's process died.
+	// Crashed is true if the connection broke while the target ran the request,
+	// as it does when the target's process dies.
 	Crashed bool
-	// Rejected tells that the target refused the content (4xx): no retry helps.
+	// Rejected is true if the target refused the content (4xx): retrying is useless.
 	Rejected bool
-	// Busy tells that the target refused for load or because it leaves (429, 503): not run.
+	// Busy is true if the target did not run the request because it is overloaded
+	// or shutting down (429, 503).
 	Busy bool
-	// Status is the HTTP status, 0 if none came.
+	// Status is the HTTP status, 0 if no response was received.
 	Status int
-	// Address is the target's, for logs; callers are not told it.
+	// Address is the target's address, for logs; it is not sent to callers.
 	Address string
-	// Detail is for logs and the caller's message: it names no host.
+	// Detail is the text for logs and for the message to the caller. It names no host.
 	Detail string
-	// Err is the cause, may be nil.
+	// Err is the cause; it may be nil.
 	Err error
 }
 
