--- a/api/abort.go
+++ b/api/abort.go
@@ -1,4 +1,4 @@
 package api
 
-// Abort cuts every connection at once, as the loss of the host would.
+// Abort closes every connection at once, as a failure of the host would.
 func (s *Server) Abort() { _ = s.http.Close() }
--- a/api/admin.go
+++ b/api/admin.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// maxConfigBytes bounds a configuration's text.
+	// maxConfigBytes is the maximum size of a configuration's text.
 	maxConfigBytes = 1 << 20
-	// maxLogLevelBytes bounds the body of PUT /admin/log-level.
+	// maxLogLevelBytes is the maximum size of the body of PUT /admin/log-level.
 	maxLogLevelBytes = 1 << 10
-	// operator is the author of a change whose operator gave no name.
-	operator = "operator"
+	// defaultAuthor is the author of a configuration change that states no name.
+	defaultAuthor = "operator"
 )
 
-// operators is whose bodies /admin reads; a caller's name holds no slash.
-const operators = "/operators"
+// operatorsAccount is the account to which the memory of /admin bodies is charged. It
+// can't be a caller's name, which contains no slash.
+const operatorsAccount = "/operators"
 
-// adminRoutes binds the operators' paths.
+// adminRoutes registers the operators' paths.
 func (s *Server) adminRoutes(g *echo.Group) {
 	g.GET("/config", s.getConfig)
 	g.PUT("/config", s.putConfig)
@@ -36,8 +37,9 @@
 	g.PUT("/log-level", s.logLevel)
 }
 
-// authorize guards /admin. The hashes are compared, in constant time, so that
-// neither the token's bytes nor its length can be guessed from the time taken.
+// authorize is the middleware that protects /admin. It compares hashes in constant
+// time, so that neither the token's bytes nor its length can be inferred from the
+// response time.
 func (s *Server) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	want := sha256.Sum256([]byte(s.opts.AdminToken))
 	return func(c echo.Context) error {
@@ -62,14 +64,14 @@
 	return c.JSON(http.StatusOK, info)
 }
 
-// published is the answer of PUT /admin/config.
+// published is the response of PUT /admin/config.
 type published struct {
 	Version uint64            `json:"version"`
 	Applied map[string]uint64 `json:"applied"`
 }
 
-// putConfig serves PUT /admin/config: 200 once every host that answers has
-// applied the change, 202 while it is accepted but some have not.
+// putConfig serves PUT /admin/config. It answers 200 if every host that responded has
+// applied the change, 202 if the change is accepted but some have not applied it yet.
 func (s *Server) putConfig(c echo.Context) error {
 	base, err := baseVersion(c.Request().Header)
 	if err != nil {
@@ -80,14 +82,14 @@
 		return err
 	}
 	if author == "" {
-		author = operator
+		author = defaultAuthor
 	}
-	text, release, err := s.readBody(c, operators, maxConfigBytes, noDeadline)
+	text, release, err := s.readBody(c, operatorsAccount, maxConfigBytes, noDeadline)
 	defer release()
 	if err != nil {
 		return err
 	}
-	stateOf(c).called = true
+	stateOf(c).backendCalled = true
 	info, err := s.opts.Backend.PublishConfig(c.Request().Context(), string(text), base, author)
 	if err != nil {
 		return err
@@ -101,7 +103,7 @@
 	return c.JSON(status, published{Version: info.Version, Applied: info.Applied})
 }
 
-// baseVersion reads If-Match: a version, plain or as an entity tag.
+// baseVersion returns the version in If-Match, which is plain or an entity tag.
 func baseVersion(h http.Header) (uint64, error) {
 	text := strings.Trim(h.Get("If-Match"), `" `)
 	if text == "" {
@@ -144,7 +146,7 @@
 	return c.JSON(http.StatusOK, report)
 }
 
-// drain serves POST /admin/drain: the daemon begins a graceful stop.
+// drain serves POST /admin/drain, which starts a graceful stop of the daemon.
 func (s *Server) drain(c echo.Context) error {
 	if err := s.opts.Backend.Drain(c.Request().Context()); err != nil {
 		return err
@@ -156,7 +158,7 @@
 
 // logLevel serves PUT /admin/log-level.
 func (s *Server) logLevel(c echo.Context) error {
-	text, release, err := s.readBody(c, operators, maxLogLevelBytes, noDeadline)
+	text, release, err := s.readBody(c, operatorsAccount, maxLogLevelBytes, noDeadline)
 	defer release()
 	if err != nil {
 		return err
--- a/api/api_test.go
+++ b/api/api_test.go
@@ -76,7 +76,7 @@
 		Expect(got.Key).To(BeEmpty())
 	})
 
-	DescribeTable("refuses with status, shape and a true run state",
+	DescribeTable("refuses with the status, error body and run state of the cause",
 		func(method, path, body string, status int, code, run string, headers ...string) {
 			d := start(nil)
 			d.chat = func(context.Context, api.ChatCall, func(target.Token) error) (api.ChatResult, error) {
@@ -94,8 +94,8 @@
 				Expect(resp.Header.Get("Retry-After")).To(Equal("2"))
 			}
 		},
-		Entry("no path", "GET", "/v2", "", 404, "not_found", "not_run"),
-		Entry("no method", "PUT", "/v1/chat/completions", "", 405, "method_not_allowed", "not_run"),
+		Entry("unknown path", "GET", "/v2", "", 404, "not_found", "not_run"),
+		Entry("method not allowed", "PUT", "/v1/chat/completions", "", 405, "method_not_allowed", "not_run"),
 		Entry("no profile", "POST", "/v1/chat/completions", "{}", 400, "bad_request", "not_run"),
 		Entry("unknown profile", "POST", "/v1/chat/completions", "{}", 400, "unknown_profile", "not_run", "Tarragon-Profile", "x"),
 		Entry("no key", "POST", "/v1/chat/completions", "{}", 400, "idempotency_key_required", "not_run", "Tarragon-Profile", "order"),
@@ -104,14 +104,14 @@
 		Entry("slash in the caller", "POST", "/v1/chat/completions", "{}", 400, "bad_request", "not_run", "Tarragon-Profile", "desk", "Tarragon-Caller", "a/b"),
 		Entry("bad body", "POST", "/v1/chat/completions", `{"model":"m","messages":[{"role":"u","content":3}]}`, 400, "bad_request", "not_run", "Tarragon-Profile", "desk"),
 		Entry("large body", "POST", "/v1/chat/completions", strings.Repeat("x", 4097), 413, "too_large", "not_run", "Tarragon-Profile", "desk"),
-		Entry("backend's word", "POST", "/v1/chat/completions", fmt.Sprintf(hello, true), 502, "outcome_unknown", "may_have_run", "Tarragon-Profile", "desk"),
+		Entry("backend's refusal", "POST", "/v1/chat/completions", fmt.Sprintf(hello, true), 502, "outcome_unknown", "may_have_run", "Tarragon-Profile", "desk"),
 		Entry("panic in the backend", "GET", "/v1/services/tickets/1", "", 500, "internal", "may_have_run", "Tarragon-Profile", "desk"),
 		Entry("large headers", "GET", "/v1/jobs/j", "", 413, "too_large", "not_run", "X-Long", strings.Repeat("h", 40<<10)),
 		Entry("unknown key", "GET", "/v1/requests/k", "", 404, "not_found", "not_run"),
 		Entry("job name", "PUT", "/v1/jobs/a%20b", job(1), 400, "bad_request", "not_run", "Tarragon-Profile", "night"),
 		Entry("online profile for a job", "PUT", "/v1/jobs/j", job(1), 400, "bad_request", "not_run", "Tarragon-Profile", "desk"),
 		Entry("empty job", "PUT", "/v1/jobs/j", "\n\n", 400, "bad_request", "not_run", "Tarragon-Profile", "night"),
-		Entry("same custom_id", "PUT", "/v1/jobs/j", job(2)+job(1), 400, "bad_request", "not_run", "Tarragon-Profile", "night"),
+		Entry("duplicate custom_id", "PUT", "/v1/jobs/j", job(2)+job(1), 400, "bad_request", "not_run", "Tarragon-Profile", "night"),
 		Entry("bad line", "PUT", "/v1/jobs/j", job(2)+"{}\n", 400, "bad_request", "not_run", "Tarragon-Profile", "night"),
 		Entry("long line", "PUT", "/v1/jobs/j", job(2)+strings.Repeat("x", 513), 413, "too_large", "not_run", "Tarragon-Profile", "night"),
 		Entry("many items", "PUT", "/v1/jobs/j", job(21), 413, "too_large", "not_run", "Tarragon-Profile", "night"),
@@ -140,7 +140,7 @@
 		Expect(got.Request.Header).NotTo(HaveKey("Te"))
 	})
 
-	It("tells a kept answer under its caller's key", func() {
+	It("returns a stored answer by its caller's key", func() {
 		d := start(nil)
 		d.kept = map[string]ledger.KeptRequest{"room/k/1": {
 			State:  ledger.RequestCompleted,
@@ -164,7 +164,7 @@
 })
 
 var _ = Describe("jobs", func() {
-	It("tells 202 for a new job, 200 for the same, and the same fingerprint for both", func() {
+	It("answers 202 for a new job, 200 for the same, and gives both the same fingerprint", func() {
 		d := start(nil)
 		sums := map[string]bool{}
 		d.putJob = func(up api.JobUpload) (ledger.JobStatus, bool, error) {
@@ -179,9 +179,9 @@
 		Expect(sums).To(HaveLen(2))
 	})
 
-	// A kitchen's client loses its network in the middle of a job. What came so
-	// far is whole lines, so a server that takes the end of the connection for
-	// the end of the body would accept half the prep sheets as the whole job.
+	// A client loses its network in the middle of a job. The part received so far is
+	// complete lines, so a server that treats the end of the connection as the end of the
+	// body would accept half of the items as the whole job.
 	It("accepts nothing of a half-sent body", func() {
 		d := start(nil)
 		ended := make(chan error, 1)
@@ -200,9 +200,9 @@
 		Expect(read(resp).Error.Run).To(Equal("not_run"))
 	})
 
-	// A client forgets the line ends. Without a bound the daemon would collect
-	// the whole job as one line before it says that it is too long.
-	It("refuses a long line before the rest of it has come", func() {
+	// A client sends a job without line ends. Without a limit the daemon would buffer the
+	// whole job as one line before it refuses it as too long.
+	It("refuses a long line before the rest of it is received", func() {
 		d := start(nil)
 		d.putJob = drainJob
 		d.cfg.Limits.JobBytes = 1 << 20
@@ -214,7 +214,7 @@
 		Expect(resp.StatusCode).To(Equal(413))
 	})
 
-	It("streams results page by page and cuts the connection when a page is lost", func() {
+	It("streams results page by page and cuts the connection when a page fails", func() {
 		d := start(nil)
 		lose := false
 		d.results = func(r ledger.ResultsRequest) (ledger.ResultsReply, error) {
@@ -238,7 +238,7 @@
 })
 
 var _ = Describe("operators", func() {
-	It("tells the winner of a race, and 202 until all hosts have applied", func() {
+	It("names the winner of a conflict, and answers 202 until all hosts have applied the change", func() {
 		d := start(nil)
 		d.publish = func(_ string, base uint64) (api.ConfigInfo, error) {
 			if base != 3 {
--- a/api/arrival.go
+++ b/api/arrival.go
@@ -2,24 +2,26 @@
 
 import "github.com/labstack/echo/v4"
 
-// arrival is an online request that is in whole and may run.
-type arrival struct {
-	call Call
-	body []byte
-	ends []func()
+// admitted is an online request that has been read completely and may run.
+type admitted struct {
+	call     Call
+	body     []byte
+	releases []func()
 }
 
-// end gives back what the request holds. It may be called on any arrival.
-func (a *arrival) end() {
-	for i := len(a.ends) - 1; i >= 0; i-- {
-		a.ends[i]()
+// release releases everything that the request holds. It may be called on any
+// admitted, including the zero value.
+func (a *admitted) release() {
+	for i := len(a.releases) - 1; i >= 0; i-- {
+		a.releases[i]()
 	}
 }
 
-// arrive takes an online request in: its headers, its caller's place, its body
-// and the daemon's place, in this order. The caller calls end, whatever err is.
-func (s *Server) arrive(c echo.Context) (a arrival, err error) {
-	cfg, err := s.settled()
+// admit admits an online request. It reads the headers, counts the request against the
+// caller's limit, reads the body and counts the request against the daemon's limit, in
+// this order. The caller must call release even if err is not nil.
+func (s *Server) admit(c echo.Context) (a admitted, err error) {
+	cfg, err := s.currentConfig()
 	if err != nil {
 		return a, err
 	}
@@ -30,17 +32,17 @@
 	if err != nil {
 		return a, err
 	}
-	a.ends = append(a.ends, leave)
+	a.releases = append(a.releases, leave)
 	body, release, err := s.readBody(c, a.call.Caller, orDefault(cfg.Limits.BodyBytes, defaultBodyBytes), a.call.Deadline)
-	a.ends = append(a.ends, release)
+	a.releases = append(a.releases, release)
 	if err != nil {
 		return a, err
 	}
 	a.body = body
-	done, err := s.run(cfg.Limits)
+	done, err := s.begin(cfg.Limits)
 	if err != nil {
 		return a, err
 	}
-	a.ends = append(a.ends, done)
+	a.releases = append(a.releases, done)
 	return a, nil
 }
--- a/api/body.go
+++ b/api/body.go
@@ -12,33 +12,34 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// bodyReader reads a request's body with a bound on its size and on how long
-// the caller may take.
+// bodyReader reads a request's body and limits its size and the time that the caller
+// may take to send it.
 //
-// Failure guarded against: a caller that sends a byte now and then holds a
-// connection and a part of a body for hours. Only the time that a read waits is
-// counted, so that a backend that pulls slowly (backpressure on a job) does not
-// cut an honest caller.
+// It guards against a caller that sends a byte now and then and so holds a connection
+// and a partial body for hours. Only the time spent waiting in reads is counted, so
+// that a well-behaved caller is not cut off when the backend reads slowly
+// (backpressure on a job).
 type bodyReader struct {
 	body io.Reader
 	ctl  *http.ResponseController
-	// state learns when the body is whole.
+	// state.bodyRead is set when the body has been read completely.
 	state *requestState
-	// left is how many bytes may still come.
-	left int64
-	// allowance is how much waiting is left; each byte earns some more.
+	// remaining is how many more bytes are allowed. It is negative if the body is over
+	// the limit.
+	remaining int64
+	// allowance is the remaining time for waiting. Each byte received adds perByte.
 	allowance time.Duration
 	perByte   time.Duration
 	stall     time.Duration
-	// until ends the reading whatever the rate, if not zero.
+	// until, if not zero, is when reading ends regardless of the rate.
 	until time.Time
 }
 
-// noDeadline leaves a body to its rate alone.
+// noDeadline means that only the rate of a body is limited.
 var noDeadline time.Time
 
-// newBodyReader bounds c's body to limit bytes. A stated length over the limit
-// is refused before a byte is read.
+// newBodyReader returns a reader of c's body that is limited to limit bytes. A body
+// whose stated length is over the limit is refused before anything is read.
 func (s *Server) newBodyReader(c echo.Context, limit int64, until time.Time) (*bodyReader, error) {
 	req := c.Request()
 	if req.ContentLength > limit {
@@ -48,7 +49,7 @@
 		body:      req.Body,
 		state:     stateOf(c),
 		ctl:       http.NewResponseController(c.Response().Writer),
-		left:      limit,
+		remaining: limit,
 		allowance: s.opts.BodyStall,
 		perByte:   time.Second / time.Duration(s.opts.MinBodyRate),
 		stall:     s.opts.BodyStall,
@@ -56,32 +57,33 @@
 	}, nil
 }
 
-// tooLarge is the refusal of a body over limit bytes.
+// tooLarge returns the refusal of a body over limit bytes.
 func tooLarge(limit int64) *outcome.Refusal {
 	return outcome.Refuse(outcome.TooLarge, "the body is over the limit of %d bytes", limit)
 }
 
-// Read implements io.Reader; every error but io.EOF is a *outcome.Refusal.
+// Read implements io.Reader. Every error except io.EOF is a *outcome.Refusal.
 func (b *bodyReader) Read(p []byte) (int, error) {
-	if b.left < 0 {
+	if b.remaining < 0 {
 		return 0, outcome.Refuse(outcome.TooLarge, "the body is over the limit")
 	}
-	// One byte more than allowed tells "over the limit" from "exactly at it".
-	if int64(len(p)) > b.left+1 {
-		p = p[:b.left+1]
+	// Reading one byte more than allowed distinguishes "over the limit" from "exactly
+	// at the limit".
+	if int64(len(p)) > b.remaining+1 {
+		p = p[:b.remaining+1]
 	}
 	began := time.Now()
 	_ = b.ctl.SetReadDeadline(b.deadline(began))
 	n, err := b.body.Read(p)
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	b.allowance += time.Duration(n)*b.perByte - time.Since(began)
-	if b.left < 0 {
+	if b.remaining < 0 {
 		return 0, outcome.Refuse(outcome.TooLarge, "the body is over the limit")
 	}
 	return n, b.translate(err)
 }
 
-// deadline is when the next read must have made progress.
+// deadline returns the time by which the next read must have received something.
 func (b *bodyReader) deadline(now time.Time) time.Time {
 	deadline := now.Add(min(b.allowance, b.stall))
 	if !b.until.IsZero() && b.until.Before(deadline) {
@@ -90,8 +92,9 @@
 	return deadline
 }
 
-// translate turns a read's error into a refusal. The read deadline needs no
-// lifting at the end: net/http clears it as it begins to watch the connection.
+// translate converts a read error to a refusal. The read deadline need not be cleared
+// at the end of the body: net/http clears it when it starts its background read of the
+// connection.
 func (b *bodyReader) translate(err error) error {
 	switch {
 	case err == nil:
@@ -106,8 +109,8 @@
 	}
 }
 
-// readBody reads a whole online body. release must be called when the body is
-// no longer used; it is never nil.
+// readBody reads the complete body of an online request. release must be called when
+// the body is no longer used; it is never nil.
 func (s *Server) readBody(c echo.Context, caller string, limit int64, until time.Time) (body []byte, release func(), err error) {
 	claim := s.bodies.Claim(caller)
 	reader, err := s.newBodyReader(c, limit, until)
--- a/api/call.go
+++ b/api/call.go
@@ -15,29 +15,30 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// The headers of the contract.
+// Headers of the API.
 const (
 	HeaderProfile    = "Tarragon-Profile"
 	HeaderKey        = "Idempotency-Key"
 	HeaderDeadlineMs = "Tarragon-Deadline-Ms"
 	HeaderCaller     = "Tarragon-Caller"
-	// HeaderReplayed is "true" on an answer kept from an earlier run of the key.
+	// HeaderReplayed is "true" on an answer that was stored by an earlier run of the
+	// key.
 	HeaderReplayed = "Tarragon-Replayed"
 )
 
 const (
-	// maxKeyBytes bounds an Idempotency-Key.
+	// maxKeyBytes is the maximum length of an Idempotency-Key.
 	maxKeyBytes = 256
-	// maxCallerBytes bounds a caller's name.
+	// maxCallerBytes is the maximum length of a caller's name.
 	maxCallerBytes = 128
-	// bearerCaller starts the name of a caller known only by its token, so that
-	// it cannot be mistaken for a stated name by accident.
+	// bearerCaller is the prefix of the name of a caller that is known only by its
+	// token. It prevents an accidental collision with a stated name.
 	bearerCaller = "bearer-"
-	// defaultDeadline holds where a profile states none.
+	// defaultDeadline is used if the profile states none.
 	defaultDeadline = time.Minute
 )
 
-// Limits used where the configuration states none.
+// Limits that are used if the configuration states none.
 const (
 	defaultBodyBytes   = 1 << 20
 	defaultJobBytes    = 1 << 30
@@ -53,8 +54,9 @@
 	return value
 }
 
-// printable reads an optional header of at most most printable ASCII characters.
-func printable(h http.Header, name string, most int) (string, error) {
+// printable returns an optional header of at most maxBytes printable ASCII characters,
+// "" if it is missing.
+func printable(h http.Header, name string, maxBytes int) (string, error) {
 	values := h.Values(name)
 	if len(values) > 1 {
 		return "", outcome.Refuse(outcome.BadRequest, "header %s is given twice", name)
@@ -63,8 +65,8 @@
 		return "", nil
 	}
 	v := values[0]
-	if len(v) > most {
-		return "", outcome.Refuse(outcome.BadRequest, "header %s has %d bytes, at most %d are allowed", name, len(v), most)
+	if len(v) > maxBytes {
+		return "", outcome.Refuse(outcome.BadRequest, "header %s has %d bytes, at most %d are allowed", name, len(v), maxBytes)
 	}
 	if strings.ContainsFunc(v, func(r rune) bool { return r < ' ' || r > '~' }) {
 		return "", outcome.Refuse(outcome.BadRequest, "header %s holds a character that is not printable ASCII", name)
@@ -72,8 +74,9 @@
 	return v, nil
 }
 
-// callerOf returns the account: Tarragon-Caller, or a hash of the bearer token,
-// or "" for anonymous. A name holds no slash, so that CALLER/KEY has one reading.
+// callerOf returns the client account: Tarragon-Caller, or a hash of the bearer token,
+// or "" for an anonymous caller. A name may not contain a slash, so that CALLER/KEY is
+// unambiguous.
 func callerOf(h http.Header) (string, error) {
 	caller, err := printable(h, HeaderCaller, maxCallerBytes)
 	if err != nil {
@@ -91,7 +94,7 @@
 	return "", nil
 }
 
-// bearer returns the bearer token, "" if none.
+// bearer returns the bearer token, "" if there is none.
 func bearer(h http.Header) string {
 	const scheme = "Bearer "
 	v := h.Get(echo.HeaderAuthorization)
@@ -104,7 +107,8 @@
 // scoped returns the fleet-wide name of a caller's key or job.
 func scoped(caller, name string) string { return caller + "/" + name }
 
-// identify reads who calls, without a profile.
+// identify returns the caller and records it in the request's state. It needs no
+// profile.
 func (s *Server) identify(c echo.Context) (string, error) {
 	caller, err := callerOf(c.Request().Header)
 	if err != nil {
@@ -114,8 +118,8 @@
 	return caller, nil
 }
 
-// settled returns the configuration in force, or the refusal while there is none.
-func (s *Server) settled() (*config.Config, error) {
+// currentConfig returns the configuration in force, or a refusal if there is none yet.
+func (s *Server) currentConfig() (*config.Config, error) {
 	cfg := s.opts.Backend.Config()
 	if cfg == nil || cfg.Version == 0 {
 		return nil, outcome.Refuse(outcome.NotReady, "no configuration is in force here yet").After(bodymemory.BusyRetryMs)
@@ -123,7 +127,7 @@
 	return cfg, nil
 }
 
-// limits returns the bounds in force, none while there is no configuration.
+// limits returns the limits in force, the zero value if there is no configuration yet.
 func (s *Server) limits() config.Limits {
 	if cfg := s.opts.Backend.Config(); cfg != nil {
 		return cfg.Limits
@@ -131,8 +135,8 @@
 	return config.Limits{}
 }
 
-// newCall reads the headers that every caller request shares. The fingerprint
-// is added once the body is read.
+// newCall reads the headers that all callers' requests share. The fingerprint is set
+// later, when the body has been read.
 func (s *Server) newCall(c echo.Context, cfg *config.Config) (Call, error) {
 	caller, err := s.identify(c)
 	if err != nil {
@@ -158,7 +162,8 @@
 	return Call{RequestID: st.id, Caller: caller, Profile: profile, Key: key, Deadline: deadline}, nil
 }
 
-// onlineCall is newCall for a request that runs at once.
+// onlineCall is newCall for an online request. It also checks that the profile is an
+// online one and that a key is given where it is required.
 func (s *Server) onlineCall(c echo.Context, cfg *config.Config) (Call, error) {
 	call, err := s.newCall(c, cfg)
 	if err != nil {
@@ -173,8 +178,9 @@
 	return call, nil
 }
 
-// profileOf resolves Tarragon-Profile. A missing header is refused even where
-// only one profile exists: the next configuration would change its meaning.
+// profileOf returns the profile named by Tarragon-Profile. A missing header is refused
+// even if only one profile exists, because the next configuration could change which
+// profile that is.
 func profileOf(h http.Header, cfg *config.Config) (*config.Profile, error) {
 	const maxProfileBytes = 128
 	name, err := printable(h, HeaderProfile, maxProfileBytes)
@@ -191,7 +197,8 @@
 	return profile, nil
 }
 
-// deadlineOf returns the profile's deadline, shortened by the caller's header.
+// deadlineOf returns when the request's deadline ends. The caller's header can shorten
+// the profile's deadline but not extend it.
 func deadlineOf(h http.Header, profile *config.Profile, began time.Time) (time.Time, error) {
 	wait := orDefaultWait(profile.Deadline)
 	const maxDigits = 12
@@ -209,7 +216,7 @@
 	return began.Add(min(wait, time.Duration(ms)*time.Millisecond)), nil
 }
 
-// orDefaultWait returns the profile's deadline or the default.
+// orDefaultWait returns d, or defaultDeadline if d is not positive.
 func orDefaultWait(d time.Duration) time.Duration {
 	if d > 0 {
 		return d
@@ -217,7 +224,8 @@
 	return defaultDeadline
 }
 
-// fingerprint hashes what a request asks for. The lengths keep the parts apart.
+// fingerprint returns a hash of a request's method, path and body. Each part is prefixed
+// with its length, so that different splits give different hashes.
 func fingerprint(method, path string, body []byte) string {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
@@ -228,7 +236,7 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// enter counts the request against its caller's bound, until leave.
+// enter counts the request against its caller's limit until leave is called.
 func (s *Server) enter(caller string, limits config.Limits) (leave func(), err error) {
 	if refusal := s.inFlight.enter(caller, limits.InFlightPerCaller); refusal != nil {
 		return nil, refusal
@@ -236,13 +244,13 @@
 	return func() { s.inFlight.leave(caller) }, nil
 }
 
-// run counts the request against the daemon's bound, until done.
-func (s *Server) run(limits config.Limits) (done func(), err error) {
-	most := s.opts.MaxInFlight
+// begin counts the request against the daemon's limit until done is called.
+func (s *Server) begin(limits config.Limits) (done func(), err error) {
+	limit := s.opts.MaxInFlight
 	if limits.InFlight > 0 {
-		most = min(most, limits.InFlight)
+		limit = min(limit, limits.InFlight)
 	}
-	if refusal := s.inFlight.run(most); refusal != nil {
+	if refusal := s.inFlight.begin(limit); refusal != nil {
 		return nil, refusal
 	}
 	return s.inFlight.done, nil
--- a/api/chat.go
+++ b/api/chat.go
@@ -12,8 +12,8 @@
 
 // chat serves POST /v1/chat/completions.
 func (s *Server) chat(c echo.Context) error {
-	in, err := s.arrive(c)
-	defer in.end()
+	in, err := s.admit(c)
+	defer in.release()
 	if err != nil {
 		return err
 	}
@@ -24,16 +24,16 @@
 	in.call.Fingerprint = fingerprint(http.MethodPost, c.Request().URL.Path, in.body)
 	ctx, cancel := context.WithDeadline(c.Request().Context(), in.call.Deadline)
 	defer cancel()
-	whole := ChatCall{Call: in.call, Stream: stream, Request: req}
-	stateOf(c).called = true
+	call := ChatCall{Call: in.call, Stream: stream, Request: req}
+	stateOf(c).backendCalled = true
 	if stream {
-		return s.streamChat(ctx, c, whole)
+		return s.streamChat(ctx, c, call)
 	}
-	return s.wholeChat(ctx, c, whole)
+	return s.jsonChat(ctx, c, call)
 }
 
-// wholeChat answers with one JSON object.
-func (s *Server) wholeChat(ctx context.Context, c echo.Context, call ChatCall) error {
+// jsonChat answers with one JSON object.
+func (s *Server) jsonChat(ctx context.Context, c echo.Context, call ChatCall) error {
 	result, err := s.opts.Backend.Chat(ctx, call, nil)
 	if err != nil {
 		return err
@@ -45,14 +45,14 @@
 	return c.JSONBlob(http.StatusOK, body)
 }
 
-// streamChat answers with server-sent events. Until the first token a refusal
-// is a plain answer with its status; after it, an error event ends the stream
-// without [DONE].
+// streamChat answers with server-sent events. Before the first token a refusal is a
+// plain response with its status. After it an error event ends the stream without
+// [DONE].
 func (s *Server) streamChat(ctx context.Context, c echo.Context, call ChatCall) error {
 	w := newEventWriter(c.Response(), CompletionID(call.Call), call.Request.Model, stateOf(c).began)
 	result, err := s.opts.Backend.Chat(ctx, call, func(t target.Token) error { return w.token(t.Text) })
 	if err == nil && !w.begun && result.Text != "" {
-		// A kept answer may come without its tokens: one chunk holds it whole.
+		// A stored answer may have no separate tokens: it is sent as one chunk.
 		err = w.token(result.Text)
 	}
 	if err != nil {
@@ -61,22 +61,23 @@
 	return w.finish(result.Finish)
 }
 
-// endStream tells the refusal inside a stream that has begun.
+// endStream ends a stream that has begun with an error event. If the stream has not
+// begun, it returns err.
 func (s *Server) endStream(c echo.Context, w *eventWriter, err error) error {
 	if !w.begun {
 		return err
 	}
 	st := stateOf(c)
-	refusal := refusalOf(err, st.called)
-	st.refused(refusal)
+	refusal := refusalOf(err, st.backendCalled)
+	st.recordRefusal(refusal)
 	if failed := w.fail(errorBody{Error: fieldsOf(refusal)}); failed != nil {
 		s.metrics.writeErrors.Inc()
 	}
 	return nil
 }
 
-// CompletionID names a completion: the same key gives the same id, so that a
-// kept answer reads the same each time.
+// CompletionID returns the id of a completion. The same key gives the same id, so that
+// a stored answer is identical each time it is returned.
 func CompletionID(call Call) string {
 	if call.Key != "" {
 		return "chatcmpl-" + shortHash(scoped(call.Caller, call.Key))
--- a/api/drain_test.go
+++ b/api/drain_test.go
@@ -20,8 +20,9 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// ask sends a chat on the client's kept connection and reads the whole answer.
-func (d *daemon) ask(client *http.Client, stream bool) (closes bool, err error) {
+// sendChat sends a chat on the client's kept connection and reads the whole answer.
+// closes reports whether the answer closes the connection.
+func (d *daemon) sendChat(client *http.Client, stream bool) (closes bool, err error) {
 	req, err := http.NewRequest("POST", "http://"+d.addr+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(hello, stream)))
 	if err != nil {
 		return false, err
@@ -40,15 +41,15 @@
 	return resp.Close, err
 }
 
-// askTraced is ask, and tells whether the request went out on a connection that
-// had served one before.
-func (d *daemon) askTraced(client *http.Client, stream bool) (reused bool, err error) {
+// sendChatTraced is sendChat that reports whether the request was sent on a reused
+// connection.
+func (d *daemon) sendChatTraced(client *http.Client, stream bool) (reused bool, err error) {
 	transport := client.Transport.(*http.Transport)
 	traced := &http.Client{Transport: roundTrip(func(r *http.Request) (*http.Response, error) {
 		trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }}
 		return transport.RoundTrip(r.WithContext(httptrace.WithClientTrace(r.Context(), trace)))
 	})}
-	_, err = d.ask(traced, stream)
+	_, err = d.sendChat(traced, stream)
 	return reused, err
 }
 
@@ -56,14 +57,14 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// keeper is a client with one connection of its own.
-func keeper() *http.Client {
+// keepAliveClient returns a client that keeps one connection of its own.
+func keepAliveClient() *http.Client {
 	transport := &http.Transport{MaxConnsPerHost: 1}
 	DeferCleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// stop begins a graceful stop and waits until connections are refused.
+// stop starts a graceful stop and waits until connections are refused.
 func (d *daemon) stop() chan error {
 	stopped := make(chan error, 1)
 	go func() { stopped <- d.server.Shutdown(context.Background()) }()
@@ -80,8 +81,8 @@
 func withGrace(o *api.Options) { o.DrainGrace = time.Second }
 
 var _ = Describe("kept connections at a stop", func() {
-	// A chat takes a while, and the drain begins meanwhile. Its answer must not
-	// leave the caller with a connection that it will send the next request on.
+	// The drain begins while a chat runs. The chat's answer must close the connection, or
+	// the caller would send the next request on it.
 	It("are closed by an answer whose request began before the drain", func() {
 		d := start(nil)
 		running, release := held(d)
@@ -91,7 +92,7 @@
 		}
 		answers := make(chan answer, 1)
 		go func() {
-			closes, err := d.ask(keeper(), false)
+			closes, err := d.sendChat(keepAliveClient(), false)
 			answers <- answer{closes, err}
 		}()
 		Eventually(running).Should(Receive())
@@ -100,32 +101,33 @@
 		Eventually(answers, "10s").Should(Receive(Equal(answer{closes: true})))
 	})
 
-	// A stream's header went out before the drain, so its connection is kept. It
-	// ends during the stop, and its caller sends the next request there at once.
+	// The header of a stream was sent before the drain, so its connection is kept. The
+	// stream ends during the stop, and its caller immediately sends the next request on
+	// that connection.
 	It("serve the request that follows a stream begun before the drain", func() {
 		d := start(withGrace)
 		running, release := held(d)
-		client := keeper()
+		client := keepAliveClient()
 		first := make(chan error, 1)
 		go func() {
-			_, err := d.ask(client, true)
+			_, err := d.sendChat(client, true)
 			first <- err
 		}()
 		Eventually(running).Should(Receive())
 		stopped := d.stop()
 		close(release)
 		Eventually(first, "10s").Should(Receive(BeNil()))
-		closes, err := d.ask(client, false)
+		closes, err := d.sendChat(client, false)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(closes).To(BeTrue())
 		Eventually(stopped, "10s").Should(Receive(BeNil()))
 	})
 
-	// Callers don't look at /readyz and send on and on, through the whole stop.
-	// Each request must have its whole answer, until connections are refused. Only
-	// a connection that completes in the last microseconds of listening may be
-	// reset before its first request: no call of the kernel's ends listening and
-	// gives out what it completed in one.
+	// Callers ignore /readyz and send requests throughout the stop. Each request must get
+	// its complete answer until connections are refused. Only a connection that is
+	// established in the last microseconds of listening may be reset before its first
+	// request: the kernel has no call that stops listening and also returns the
+	// connections that are already established.
 	It("lose no request of callers that send until they are refused", func() {
 		d := start(withGrace)
 		d.chat = func(_ context.Context, c api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
@@ -144,10 +146,10 @@
 		var mu sync.Mutex
 		var lost []error
 		for i := range 16 {
-			client := keeper()
+			client := keepAliveClient()
 			callers.Go(func() {
 				for n := 0; ; n++ {
-					reused, err := d.askTraced(client, (i+n)%2 == 0)
+					reused, err := d.sendChatTraced(client, (i+n)%2 == 0)
 					if errors.Is(err, syscall.ECONNREFUSED) {
 						return
 					}
--- a/api/faults_test.go
+++ b/api/faults_test.go
@@ -20,12 +20,13 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// rawChat is a chat request as bytes.
+// rawChat returns a chat request as text.
 func rawChat(body string) string {
 	return fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nTarragon-Profile: desk\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// held makes the backend's chats wait until release is closed.
+// held makes the backend's chats wait until release is closed. running receives the
+// caller of each chat that has started.
 func held(d *daemon) (running chan string, release chan struct{}) {
 	running, release = make(chan string, 16), make(chan struct{})
 	d.chat = func(ctx context.Context, c api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
@@ -50,9 +51,9 @@
 }
 
 var _ = Describe("slow and stuck callers", func() {
-	// A room tablet stops reading its stream and keeps the connection. The
-	// socket's buffers fill, the write blocks, and the target's slot is held
-	// for nobody, until no slot is left for the other rooms.
+	// A caller stops reading its stream but keeps the connection open. The socket buffers
+	// fill up, the write blocks, and the target's slot stays occupied, until no slot is
+	// left for other callers.
 	It("cuts a caller that stops reading, and cancels its stream", func() {
 		d := start(func(o *api.Options) { o.WriteStall = 100 * time.Millisecond })
 		ended := make(chan int, 1)
@@ -73,8 +74,8 @@
 		Expect(sent).To(BeNumerically("<", socketBuffers), "tokens were queued in this process")
 	})
 
-	// A tablet at the edge of the network sends half a request and then nothing,
-	// or a byte now and then. Its connection and body would be held for hours.
+	// A caller with a bad connection sends half a request and then nothing, or a byte now
+	// and then. Its connection and body would be held for hours.
 	DescribeTable("refuses a body that comes too slowly, and serves others meanwhile",
 		func(pause time.Duration) {
 			d := start(func(o *api.Options) { o.BodyStall, o.MinBodyRate = 100*time.Millisecond, 1<<20 })
@@ -101,9 +102,9 @@
 		Entry("it trickles", 10*time.Millisecond),
 	)
 
-	// The deadline for a body's bytes stays on the socket after the last byte.
-	// It would expire while the model still works and take the request for one
-	// whose caller went away.
+	// The read deadline for the body stays set on the socket after the last byte. It would
+	// expire while the model is still working, and the request would be treated as one
+	// whose caller has disconnected.
 	It("lets a request run longer than its body may stall", func() {
 		const stall = 20 * time.Millisecond
 		d := start(func(o *api.Options) { o.BodyStall = stall })
@@ -118,9 +119,9 @@
 		Expect(d.send("POST", "/v1/chat/completions", fmt.Sprintf(hello, false), "Tarragon-Profile", "desk").StatusCode).To(Equal(200))
 	})
 
-	// A leaking pool holds every connection that the daemon takes, without a
-	// request on any. The next caller waits until they time out.
-	It("makes room by closing idle connections, never one with a request", func() {
+	// A caller's leaking connection pool holds all connections that the daemon accepts,
+	// without a request on any. The next caller would wait until they time out.
+	It("closes idle connections to accept new ones, never one with a request", func() {
 		d := start(func(o *api.Options) { o.MaxConnections = 3 })
 		running, release := held(d)
 		busy := d.dial(rawChat(fmt.Sprintf(hello, false)))
@@ -136,8 +137,8 @@
 		Expect(resp.StatusCode).To(Equal(200))
 	})
 
-	// A site office on a bad line sends its bodies slowly. If they counted as
-	// work, a few of them would have the daemon refuse everybody as overloaded.
+	// A caller on a slow line sends its bodies slowly. If they counted as running requests,
+	// a few of them would make the daemon refuse all callers as overloaded.
 	It("does not count slow bodies as running requests", func() {
 		d := start(func(o *api.Options) { o.MaxInFlight = 1 })
 		running, release := held(d)
@@ -152,7 +153,7 @@
 		close(release)
 	})
 
-	It("bounds one caller's requests and leaves the others alone", func() {
+	It("limits one caller's requests and does not affect other callers", func() {
 		d := start(nil)
 		running, release := held(d)
 		defer close(release)
@@ -169,8 +170,8 @@
 })
 
 var _ = Describe("streams that end early", func() {
-	// The target dies in the middle of an answer. A stream that just ended, or
-	// ended with [DONE], would read as the whole answer.
+	// The target crashes in the middle of an answer. A stream that simply ended, or ended
+	// with [DONE], would look like the complete answer.
 	It("sends an error event and no [DONE]", func() {
 		d := start(nil)
 		d.chat = func(_ context.Context, _ api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
@@ -184,8 +185,8 @@
 		Expect(string(text)).NotTo(ContainSubstring("[DONE]"))
 	})
 
-	// A daemon is replaced while a guest reads the answer. The stop must let
-	// the stream end whole, and turn the balancer and kept connections away.
+	// A daemon is replaced while a caller reads a stream. The stop must let the stream
+	// complete, make the load balancer stop sending requests, and close kept connections.
 	It("interrupts no stream at a stop", func() {
 		d := start(nil)
 		running, release := held(d)
@@ -214,8 +215,8 @@
 	})
 })
 
-// BenchmarkToken measures one streamed token from the backend's sink through a
-// loopback connection; run with -benchmem.
+// BenchmarkToken measures one streamed token from the backend's sink through a loopback
+// connection. Run it with -benchmem.
 func BenchmarkToken(b *testing.B) {
 	fake := &backend{cfg: settings()}
 	fake.chat = func(_ context.Context, _ api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
--- a/api/idset.go
+++ b/api/idset.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// idBytes is the most that one hash costs in the map.
+	// idBytes is the maximum memory that one hash takes in the map.
 	idBytes = 40
-	// idStep is how many hashes are reserved at a time.
+	// idStep is the number of hashes for which memory is reserved at a time.
 	idStep = 1024
 )
 
-// idSet tells whether a custom_id was seen. It keeps 64-bit hashes with a seed
-// of its own, and reserves their memory as they come. A collision refuses an
-// honest job with a true "not run"; for a job of n items its odds are about
-// n²/2^65: 1 in 440 million for 290,000 items, and another seed on a resend. A
-// true duplicate is always found.
+// idSet is a set of custom_ids, for finding duplicates. It stores 64-bit hashes with a
+// random seed and reserves memory as they are added. A duplicate is always found. A
+// hash collision refuses a valid job, correctly as "not run". For a job of n items its
+// probability is about n²/2^65, which is 1 in 440 million for 290,000 items; a resend
+// uses another seed.
 type idSet struct {
 	seed  maphash.Seed
 	seen  map[uint64]struct{}
 	claim *bodymemory.Claim
 }
 
-// newIDSet returns an empty set that reserves its memory by the claim.
+// newIDSet returns an empty set that reserves its memory through the claim.
 func newIDSet(claim *bodymemory.Claim) *idSet {
 	return &idSet{seed: maphash.MakeSeed(), seen: make(map[uint64]struct{}), claim: claim}
 }
 
-// add tells whether id is new, or refuses where there is no memory left.
+// add adds id and reports whether it is new. The error is a refusal if no memory is
+// left.
 func (s *idSet) add(id string) (isNew bool, err error) {
 	h := maphash.String(s.seed, id)
 	if _, ok := s.seen[h]; ok {
@@ -44,5 +45,5 @@
 	return true, nil
 }
 
-// release gives the memory back.
+// release releases the reserved memory.
 func (s *idSet) release() { s.claim.Release() }
--- a/api/jobs.go
+++ b/api/jobs.go
@@ -12,11 +12,11 @@
 	"tarragonhollow.example/tarragonhollow/jobline"
 )
 
-// jobName is what a job may be called: safe in a path, a log line and a shell.
+// jobName matches valid job names, which are safe in a path, a log line and a shell.
 var jobName = regexp.MustCompile(`^[A-Za-z0-9._-]{1,128}$`)
 
-// jobView is the answer of GET /v1/jobs/{job}. Times are Unix milliseconds, 0
-// for "not yet" or "unknown".
+// jobView is the response of GET /v1/jobs/{job}. Times are in Unix milliseconds, 0 for
+// "not yet" or "unknown".
 type jobView struct {
 	Job        string          `json:"job"`
 	Profile    string          `json:"profile"`
@@ -26,11 +26,11 @@
 	DueMs      int64           `json:"due_ms"`
 	EndedMs    int64           `json:"ended_ms"`
 	ForecastMs int64           `json:"forecast_ms"`
-	// ForecastLate tells that the job is forecast to miss its due time.
+	// ForecastLate is true if the job is forecast to miss its due time.
 	ForecastLate bool `json:"forecast_late"`
 }
 
-// jobCounts counts a job's items by state.
+// jobCounts holds the numbers of a job's items by state.
 type jobCounts struct {
 	Items     int `json:"items"`
 	Waiting   int `json:"waiting"`
@@ -40,7 +40,7 @@
 	Cancelled int `json:"cancelled"`
 }
 
-// viewJob shapes a job's status under the name that its caller gave it.
+// viewJob returns the response for a job's status, with the name that its caller gave it.
 func viewJob(name string, s ledger.JobStatus) jobView {
 	return jobView{
 		Job: name, Profile: s.Profile, State: s.State,
@@ -53,8 +53,8 @@
 	}
 }
 
-// jobOf reads the caller and the job's name and returns the scoped name too.
-func (s *Server) jobOf(c echo.Context) (name, full string, err error) {
+// jobOf returns the job's name and its scoped name CALLER/JOB.
+func (s *Server) jobOf(c echo.Context) (name, scopedName string, err error) {
 	caller, err := s.identify(c)
 	if err != nil {
 		return "", "", err
@@ -63,9 +63,9 @@
 	if !jobName.MatchString(name) {
 		return "", "", outcome.Refuse(outcome.BadRequest, "a job's name is 1 to 128 characters of A-Z a-z 0-9 . _ -")
 	}
-	full = scoped(caller, name)
-	stateOf(c).key = full
-	return name, full, nil
+	scopedName = scoped(caller, name)
+	stateOf(c).key = scopedName
+	return name, scopedName, nil
 }
 
 // job serves GET /v1/jobs/{job}.
@@ -73,19 +73,19 @@
 	return s.jobAction(c, s.opts.Backend.Job)
 }
 
-// cancelJob serves DELETE /v1/jobs/{job}: it answers once no new item will start.
+// cancelJob serves DELETE /v1/jobs/{job}. It answers once no new item will start.
 func (s *Server) cancelJob(c echo.Context) error {
-	stateOf(c).called = true
+	stateOf(c).backendCalled = true
 	return s.jobAction(c, s.opts.Backend.CancelJob)
 }
 
-// jobAction runs one of the two and answers with the job's status.
+// jobAction calls do with the job's scoped name and answers with the job's status.
 func (s *Server) jobAction(c echo.Context, do func(context.Context, string) (ledger.JobStatus, error)) error {
-	name, full, err := s.jobOf(c)
+	name, scopedName, err := s.jobOf(c)
 	if err != nil {
 		return err
 	}
-	status, err := do(c.Request().Context(), full)
+	status, err := do(c.Request().Context(), scopedName)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 
 // item serves GET /v1/jobs/{job}/items/{custom_id}.
 func (s *Server) item(c echo.Context) error {
-	name, full, err := s.jobOf(c)
+	name, scopedName, err := s.jobOf(c)
 	if err != nil {
 		return err
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := s.opts.Backend.Item(c.Request().Context(), full, id)
+	result, err := s.opts.Backend.Item(c.Request().Context(), scopedName, id)
 	if err != nil {
 		return err
 	}
--- a/api/observe.go
+++ b/api/observe.go
@@ -17,35 +17,35 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// HeaderRequestID names the arrival in logs; every answer carries it.
+// HeaderRequestID identifies the received request in logs. Every response carries it.
 const HeaderRequestID = "Tarragon-Request-Id"
 
-// requestState is what the middleware knows of a request.
+// requestState is the middleware's state of a request.
 type requestState struct {
 	id      string
 	began   time.Time
 	caller  string
 	profile string
 	key     string
-	// called is set before the backend is asked to run something.
-	called bool
-	// bodyRead is set once the whole body is read.
+	// backendCalled is set before the backend is called to run something.
+	backendCalled bool
+	// bodyRead is set once the whole body has been read.
 	bodyRead bool
 	code     outcome.Code
 	run      outcome.RunState
 	message  string
 }
 
-// refused notes what the caller is told.
-func (st *requestState) refused(r *outcome.Refusal) {
+// recordRefusal records the refusal that is sent to the caller.
+func (st *requestState) recordRefusal(r *outcome.Refusal) {
 	st.code, st.run, st.message = r.Code, r.Run, r.Message
 }
 
-// stateKey is where echo's context keeps the state.
+// stateKey is the key of the state in echo's context.
 const stateKey = "tarragon.state"
 
-// stateOf returns the request's state; a request that never passed the
-// middleware gets a state of its own.
+// stateOf returns the request's state. It creates one if the request did not pass
+// through the middleware.
 func stateOf(c echo.Context) *requestState {
 	if st, ok := c.Get(stateKey).(*requestState); ok {
 		return st
@@ -55,22 +55,22 @@
 	return st
 }
 
-// observe gives each request an id, a bound on its body's first read, and one
-// log line and metrics at its end.
+// observe is the middleware that gives each request an id and a deadline for the first
+// read of its body, and that writes a log line and metrics at its end.
 func (s *Server) observe(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		st := stateOf(c)
 		header := c.Response().Header()
 		header.Set(HeaderRequestID, st.id)
 		c.Response().Before(func() {
-			// Asked when the header is written: a request that began before the drain
-			// must not leave its caller with a connection that is about to close.
+			// Checked when the header is written: a request that began before the drain
+			// must not leave its caller with a connection that is about to be closed.
 			if s.draining.Load() {
 				header.Set(echo.HeaderConnection, "close")
 			}
 		})
 		if c.Request().ContentLength != 0 {
-			// Bounds the discarding of a body that no handler reads, too.
+			// Also limits the time for discarding a body that no handler reads.
 			deadline := st.began.Add(s.opts.BodyStall)
 			_ = http.NewResponseController(c.Response().Writer).SetReadDeadline(deadline)
 		}
@@ -82,7 +82,8 @@
 	}
 }
 
-// boundHeaders refuses headers over the bound in the contract's shape.
+// boundHeaders is the middleware that refuses headers over the limit with the API's
+// error body.
 func (s *Server) boundHeaders(next echo.HandlerFunc) echo.HandlerFunc {
 	const separators = len(": \r\n")
 	return func(c echo.Context) error {
@@ -99,8 +100,9 @@
 	}
 }
 
-// recoverPanic turns a panic into an answer. Once the backend was called the
-// answer says may_have_run, since nobody knows how far it came.
+// recoverPanic is the middleware that converts a panic to an error response. If the
+// backend had been called, the response says may_have_run, since it is unknown how far
+// the request got.
 func (s *Server) recoverPanic(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) (err error) {
 		defer func() {
@@ -126,9 +128,9 @@
 	status := c.Response().Status
 	s.metrics.request(status, st.code, seconds)
 	if st.code != "" {
-		s.refused.add(time.Now(), refusalKind{code: st.code, run: st.run, profile: st.profile}, st.message)
+		s.refusals.add(time.Now(), refusalKind{code: st.code, run: st.run, profile: st.profile}, st.message)
 	}
-	if s.opts.Refused != nil && !st.called && st.profile != "" && st.code != "" {
+	if s.opts.Refused != nil && !st.backendCalled && st.profile != "" && st.code != "" {
 		s.opts.Refused(st.profile, st.code)
 	}
 	s.opts.Logger.Info("request",
@@ -144,10 +146,11 @@
 		zap.Float64("seconds", seconds))
 }
 
-// shortHashBytes is enough to tell callers and keys apart in logs.
+// shortHashBytes is enough to distinguish callers and keys in logs.
 const shortHashBytes = 8
 
-// shortHash names a secret or a key without telling it; "" stays "".
+// shortHash returns a short hash that identifies a secret or a key without revealing
+// it. It returns "" for "".
 func shortHash(s string) string {
 	if s == "" {
 		return ""
@@ -156,7 +159,7 @@
 	return hex.EncodeToString(sum[:shortHashBytes])
 }
 
-// httpMetrics are the metrics of the HTTP face.
+// httpMetrics holds the metrics of the HTTP server.
 type httpMetrics struct {
 	set         *metrics.Set
 	seconds     *metrics.Histogram
@@ -180,7 +183,8 @@
 	return m
 }
 
-// request counts one request. The labels are bounded: statuses and codes are fixed sets.
+// request counts one request. The number of label values is limited, since statuses and
+// codes are fixed sets.
 func (m *httpMetrics) request(status int, code outcome.Code, seconds float64) {
 	name := `tarragonhollow_http_requests_total{status="` + strconv.Itoa(status) + `",code="` + string(code) + `"}`
 	m.set.GetOrCreateCounter(name).Inc()
--- a/api/options.go
+++ b/api/options.go
@@ -20,71 +20,78 @@
 
 // Defaults of Options, used where a field is zero.
 const (
-	// DefaultMaxHeaderBytes fits a long bearer token and a key.
+	// DefaultMaxHeaderBytes is enough for a long bearer token and a key.
 	DefaultMaxHeaderBytes = 32 << 10
-	// DefaultReadHeaderTimeout bounds how long a connection may take over its headers.
+	// DefaultReadHeaderTimeout is the maximum time to receive a request's headers.
 	DefaultReadHeaderTimeout = 5 * time.Second
-	// DefaultIdleTimeout is above the keep-alive of common balancers (60 s).
+	// DefaultIdleTimeout is above the keep-alive time of common load balancers (60 s).
 	DefaultIdleTimeout = 75 * time.Second
-	// DefaultWriteStall is how long a caller may leave a write unread.
+	// DefaultWriteStall is how long a write may be blocked because the caller doesn't
+	// read.
 	DefaultWriteStall = 10 * time.Second
 	// DefaultBodyStall is how long a body may make no progress.
 	DefaultBodyStall = 10 * time.Second
-	// DefaultMinBodyRate is the least average rate of a body, bytes a second.
+	// DefaultMinBodyRate is the minimum average rate of a body, in bytes per second.
 	DefaultMinBodyRate = 4 << 10
-	// DefaultMaxConnections bounds open connections.
+	// DefaultMaxConnections is the maximum number of open connections.
 	DefaultMaxConnections = 8192
-	// DefaultMaxInFlight bounds requests that run at once.
+	// DefaultMaxInFlight is the maximum number of requests that run at once.
 	DefaultMaxInFlight = 4096
-	// DefaultMaxUploads bounds job uploads at once. Slow ones hold a place for
-	// long, so it is well above what one host takes in at full speed.
+	// DefaultMaxUploads is the maximum number of concurrent job uploads. Slow uploads
+	// take long, so it is well above the number that one host can process at full
+	// speed.
 	DefaultMaxUploads = 16
-	// DefaultMaxBodyMemory bounds what bodies hold in memory together.
+	// DefaultMaxBodyMemory is the maximum memory for all bodies together, in bytes.
 	DefaultMaxBodyMemory = 256 << 20
 )
 
-// Options configures a Server. Zero fields but Backend and Logger take the
-// defaults above.
+// Options configures a Server. Fields that are zero, except Backend and Logger, get
+// the defaults above.
 type Options struct {
-	// Backend does the work. Required.
+	// Backend runs the requests. Required.
 	Backend Backend
-	// AdminToken guards /admin; "" disables /admin.
+	// AdminToken is the bearer token for /admin; "" disables /admin.
 	AdminToken string
-	// MaxHeaderBytes bounds the request line and headers.
+	// MaxHeaderBytes is the maximum size of the request line and headers.
 	MaxHeaderBytes int
-	// ReadHeaderTimeout bounds the time to send them.
+	// ReadHeaderTimeout is the maximum time to receive them.
 	ReadHeaderTimeout time.Duration
-	// IdleTimeout closes a connection without a request.
+	// IdleTimeout is how long a connection without a request is kept open.
 	IdleTimeout time.Duration
-	// WriteStall cuts a caller that stops reading.
+	// WriteStall is how long a write may be blocked before the connection of a caller
+	// that stopped reading is closed.
 	WriteStall time.Duration
-	// BodyStall cuts a body without progress; MinBodyRate, in bytes a second,
-	// cuts one that trickles for longer than BodyStall.
+	// BodyStall is how long a body may make no progress before it is refused.
+	// MinBodyRate, in bytes per second, is the minimum rate of a body that takes longer
+	// than BodyStall.
 	BodyStall   time.Duration
 	MinBodyRate int64
-	// MaxConnections bounds open connections: at the bound the longest idle one
-	// makes room, and if none is idle, accepting waits.
+	// MaxConnections is the maximum number of open connections. At the limit the
+	// connection that has been idle longest is closed to accept another; if none is
+	// idle, accepting waits.
 	MaxConnections int
-	// MaxInFlight bounds requests that run at once, whatever the configuration says.
+	// MaxInFlight is the maximum number of requests that run at once. The configuration
+	// can only lower it.
 	MaxInFlight int
-	// MaxUploads bounds job uploads at once.
+	// MaxUploads is the maximum number of concurrent job uploads.
 	MaxUploads int
-	// MaxBodyMemory bounds, in bytes, the online bodies and the custom_id hashes
-	// of uploads held in memory together.
+	// MaxBodyMemory is the maximum memory for the bodies of online requests and the
+	// custom_id hashes of uploads together, in bytes.
 	MaxBodyMemory int64
-	// DrainGrace is how long Shutdown goes on accepting after it went unready,
-	// so that balancers notice first.
+	// DrainGrace is how long Shutdown continues to accept connections after /readyz
+	// reports unready, so that load balancers notice first.
 	DrainGrace time.Duration
-	// Refused is told of every caller's request that is turned away before the
-	// backend sees it; nil tells nobody.
+	// OnRefused, if not nil, is called for every caller's request with a known profile
+	// that is refused before the backend is called.
 	Refused func(profile string, code outcome.Code)
-	// Logger takes one line per request. Required.
+	// Logger receives one line per request. Required.
 	Logger *zap.Logger
-	// Metrics takes the HTTP metrics; nil keeps them private.
+	// Metrics is the set in which the HTTP metrics are registered; nil means a private
+	// set.
 	Metrics *metrics.Set
 }
 
-// validate fills the defaults and refuses what cannot work.
+// validate sets the defaults and returns an error for invalid options.
 func (o *Options) validate() error {
 	if o.Backend == nil {
 		return ErrOptions.New("a backend is required")
@@ -106,12 +113,12 @@
 	defaultTo(&o.MaxUploads, DefaultMaxUploads)
 	defaultTo(&o.MaxBodyMemory, DefaultMaxBodyMemory)
 	if o.negative() {
-		return ErrOptions.New("a bound is negative")
+		return ErrOptions.New("a limit is negative")
 	}
 	return nil
 }
 
-// negative tells whether any bound is below zero.
+// negative reports whether any limit is below zero.
 func (o *Options) negative() bool {
 	for _, n := range []int64{
 		int64(o.MaxHeaderBytes), int64(o.ReadHeaderTimeout), int64(o.IdleTimeout), int64(o.WriteStall),
@@ -125,7 +132,7 @@
 	return false
 }
 
-// defaultTo sets a zero field.
+// defaultTo sets a field that is zero to value.
 func defaultTo[T int | int64 | time.Duration](field *T, value T) {
 	if *field == 0 {
 		*field = value
--- a/api/refusal.go
+++ b/api/refusal.go
@@ -11,8 +11,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// statusOf maps every code to its HTTP status. Codes that are missing here are
-// faults of this program and answer 500.
+// statusOf maps every code to its HTTP status. A code that is missing here is a bug and
+// is answered with 500.
 var statusOf = map[outcome.Code]int{
 	outcome.BadRequest:       http.StatusBadRequest,
 	outcome.KeyRequired:      http.StatusBadRequest,
@@ -41,16 +41,17 @@
 	codeDisabled:             http.StatusForbidden,
 }
 
-// discardBytes is how much of a refused body is read to keep its connection.
-const discardBytes = 64 << 10
+// maxDiscardBytes is the maximum that is read of a refused body so that its connection
+// can be kept.
+const maxDiscardBytes = 64 << 10
 
-// Codes that only the HTTP face knows.
+// Codes that only the HTTP server uses.
 const (
 	codeMethod   outcome.Code = "method_not_allowed"
 	codeDisabled outcome.Code = "admin_disabled"
 )
 
-// errorBody is the JSON shape of every refusal.
+// errorBody is the JSON body of every refusal.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -61,12 +62,13 @@
 	Message      string           `json:"message"`
 	Run          outcome.RunState `json:"run"`
 	RetryAfterMs int64            `json:"retry_after_ms"`
-	// Winner and Version are set for a configuration change that lost its race.
+	// Winner and Version are set for a configuration change that conflicts with
+	// another: the author of the other change and its version.
 	Winner  string `json:"winner,omitempty"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-// fieldsOf shapes a refusal.
+// fieldsOf returns the JSON fields of a refusal.
 func fieldsOf(r *outcome.Refusal) errorFields {
 	return errorFields{Code: r.Code, Message: r.Message, Run: r.Run, RetryAfterMs: r.RetryAfterMs}
 }
@@ -79,10 +81,10 @@
 	return http.StatusInternalServerError
 }
 
-// refusalOf turns any error of a handler into a refusal. called tells that the
-// backend had been called: from then on only the backend can say "not run", so
-// an error without its word is told as may_have_run.
-func refusalOf(err error, called bool) *outcome.Refusal {
+// refusalOf converts any error of a handler to a refusal. backendCalled is whether the
+// backend had been called. After that only the backend can know that a request was not
+// run, so an error that is not a refusal is reported as may_have_run.
+func refusalOf(err error, backendCalled bool) *outcome.Refusal {
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
 		return refusal
@@ -92,7 +94,7 @@
 		return httpRefusal(he)
 	}
 	run := outcome.NotRun
-	if called {
+	if backendCalled {
 		run = outcome.MayHaveRun
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -104,8 +106,8 @@
 	return outcome.Refuse(outcome.Internal, "internal error").WithRun(run)
 }
 
-// httpRefusal turns an error of echo's router into a refusal. The router runs
-// before any handler, so nothing has run.
+// httpRefusal converts an error of echo's router to a refusal. The router runs before
+// any handler, so the request has not run.
 func httpRefusal(he *echo.HTTPError) *outcome.Refusal {
 	switch he.Code {
 	case http.StatusNotFound:
@@ -117,12 +119,12 @@
 	}
 }
 
-// handleError is echo's error handler: it writes the refusal, or ends a stream
-// that had begun with an error event.
+// handleError is echo's error handler. It writes the refusal, unless a response has
+// already been started.
 func (s *Server) handleError(err error, c echo.Context) {
 	st := stateOf(c)
-	refusal := refusalOf(err, st.called)
-	st.refused(refusal)
+	refusal := refusalOf(err, st.backendCalled)
+	st.recordRefusal(refusal)
 	if c.Response().Committed {
 		return
 	}
@@ -132,12 +134,12 @@
 		fields.Code, fields.Run = outcome.VersionConflict, outcome.NotRun
 		fields.Message = conflict.Error() + ": " + conflict.Winner + " published version " + strconv.FormatUint(conflict.Version, 10)
 		fields.Winner, fields.Version = conflict.Winner, conflict.Version
-		st.refused(&outcome.Refusal{Code: fields.Code, Run: fields.Run, Message: fields.Message})
+		st.recordRefusal(&outcome.Refusal{Code: fields.Code, Run: fields.Run, Message: fields.Message})
 	}
 	s.writeError(c, fields)
 }
 
-// writeError writes a refusal that is the whole answer.
+// writeError writes a refusal as the complete response.
 func (s *Server) writeError(c echo.Context, fields errorFields) {
 	header := c.Response().Header()
 	if fields.RetryAfterMs > 0 {
@@ -146,9 +148,9 @@
 	if fields.Code == outcome.Unauthorized {
 		header.Set(echo.HeaderWWWAuthenticate, "Bearer")
 	}
-	if n := c.Request().ContentLength; (n < 0 || n > discardBytes) && !stateOf(c).bodyRead {
-		// net/http would read on before it answers; the caller would go on
-		// sending a body that is refused already.
+	if n := c.Request().ContentLength; (n < 0 || n > maxDiscardBytes) && !stateOf(c).bodyRead {
+		// net/http would read the rest of the body before it answers, and the caller
+		// would continue to send a body that has already been refused.
 		header.Set(echo.HeaderConnection, "close")
 	}
 	if err := c.JSON(Status(fields.Code), errorBody{Error: fields}); err != nil {
@@ -156,8 +158,8 @@
 	}
 }
 
-// retryAfter rounds up to whole seconds: a caller that comes back early would
-// only be refused again.
+// retryAfter returns the value of Retry-After in whole seconds. It rounds up because a
+// caller that retries too early would only be refused again.
 func retryAfter(ms int64) string {
 	const second = 1000
 	return strconv.FormatInt((ms+second-1)/second, 10)
--- a/api/refusals.go
+++ b/api/refusals.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// refusalMinutes is how far back the operators' list of refusals goes.
+	// refusalMinutes is the time that the operators' list of refusals covers, in minutes.
 	refusalMinutes = 10
-	// maxRefusalKinds bounds the kinds counted in a minute; profiles are
-	// configured and codes are few, so more would be a fault of this program.
+	// maxRefusalKinds is the maximum number of kinds counted in a minute. Profiles are
+	// configured and codes are few, so more would be a bug.
 	maxRefusalKinds = 256
 )
 
-// RefusalCount tells how often something was refused lately, and why.
+// RefusalCount is the number of recent refusals of one kind.
 type RefusalCount struct {
 	Code    outcome.Code     `json:"code"`
 	Run     outcome.RunState `json:"run"`
 	Profile string           `json:"profile"`
 	// Count covers the last ten minutes.
 	Count int `json:"count"`
-	// LastMessage is what the last caller was told.
+	// LastMessage is the message of the latest refusal.
 	LastMessage string `json:"last_message"`
 }
 
-// refusalKind is what refusals are counted by.
+// refusalKind is the key by which refusals are counted.
 type refusalKind struct {
 	code    outcome.Code
 	run     outcome.RunState
 	profile string
 }
 
+// refusalMinute holds the counts of one minute, numbered since the Unix epoch.
 type refusalMinute struct {
 	minute int64
 	counts map[refusalKind]int
 }
 
-// refusals counts what was refused in the last minutes. It is safe for
-// concurrent use.
+// refusals counts the refusals of the last minutes. It is safe for concurrent use.
 type refusals struct {
 	mu      sync.Mutex
 	minutes [refusalMinutes]refusalMinute
@@ -90,6 +90,6 @@
 	return out
 }
 
-// Refusals returns what this daemon refused in the last ten minutes, most
+// Refusals returns the counts of this daemon's refusals in the last ten minutes, most
 // frequent first.
-func (s *Server) Refusals() []RefusalCount { return s.refused.list(time.Now()) }
+func (s *Server) Refusals() []RefusalCount { return s.refusals.list(time.Now()) }
--- a/api/refusals_internal_test.go
+++ b/api/refusals_internal_test.go
@@ -7,8 +7,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// An operator asks what is being refused: what was refused an hour ago must not
-// stand in the answer, what goes on now must stand first.
+// The list of refusals must not contain those of an hour ago, and the most frequent ones
+// must come first.
 func TestRefusalsCoverTheLastMinutes(t *testing.T) {
 	var r refusals
 	now := time.Unix(1_000_000, 0)
--- a/api/requests.go
+++ b/api/requests.go
@@ -13,7 +13,7 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// requestView is the answer of GET /v1/requests/{key}.
+// requestView is the response of GET /v1/requests/{key}.
 type requestView struct {
 	Key      string              `json:"key"`
 	State    ledger.RequestState `json:"state"`
@@ -21,7 +21,7 @@
 	Error    *errorFields        `json:"error,omitempty"`
 }
 
-// answerView is a kept answer: the body as JSON where it is JSON, else as a string.
+// answerView is a stored answer. The body is embedded if it is JSON, else a string.
 type answerView struct {
 	Status      int             `json:"status"`
 	ContentType string          `json:"content_type,omitempty"`
@@ -48,21 +48,21 @@
 	})
 }
 
-// pathTail returns the decoded rest of the path after prefix. It starts from
-// the escaped path: an escaped slash belongs to the name.
-func pathTail(c echo.Context, prefix string, most int) (string, error) {
+// pathTail returns the decoded rest of the path after prefix. It uses the escaped path,
+// because an escaped slash is a part of the name.
+func pathTail(c echo.Context, prefix string, maxBytes int) (string, error) {
 	tail := strings.TrimPrefix(c.Request().URL.EscapedPath(), prefix)
 	name, err := url.PathUnescape(tail)
 	if err != nil || name == "" {
 		return "", outcome.Refuse(outcome.BadRequest, "the path's last part is empty or badly escaped")
 	}
-	if len(name) > most {
-		return "", outcome.Refuse(outcome.BadRequest, "the path's last part has %d bytes, at most %d are allowed", len(name), most)
+	if len(name) > maxBytes {
+		return "", outcome.Refuse(outcome.BadRequest, "the path's last part has %d bytes, at most %d are allowed", len(name), maxBytes)
 	}
 	return name, nil
 }
 
-// viewAnswer shapes a kept answer.
+// viewAnswer returns the response fields of a stored answer, nil for nil.
 func viewAnswer(a *ledger.Answer) *answerView {
 	if a == nil {
 		return nil
@@ -80,7 +80,7 @@
 	return appendJSONString(nil, string(a.Body))
 }
 
-// viewRefusal shapes a kept refusal.
+// viewRefusal returns the response fields of a stored refusal, nil for nil.
 func viewRefusal(r *outcome.Refusal) *errorFields {
 	if r == nil {
 		return nil
--- a/api/results.go
+++ b/api/results.go
@@ -11,7 +11,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// resultsPageBytes bounds a page: what one reader holds in memory at once.
+// resultsPageBytes is the maximum size of a page, which each request for results holds in
+// memory.
 const resultsPageBytes = 256 << 10
 
 // itemView is one line of a job's results.
@@ -23,7 +24,7 @@
 	Error    *errorFields     `json:"error,omitempty"`
 }
 
-// viewItem shapes an item's result.
+// viewItem returns the line for an item's result.
 func viewItem(r ledger.ItemResult) itemView {
 	return itemView{
 		CustomID: r.CustomID, State: r.State, Attempts: r.Attempts,
@@ -31,10 +32,10 @@
 	}
 }
 
-// results serves GET /v1/jobs/{job}/results: the ended items as JSON lines, in
-// line order. ?from=INDEX starts at an item.
+// results serves GET /v1/jobs/{job}/results: the ended items as JSON lines, in the order
+// of the job's lines. ?from=INDEX is the index of the first item.
 func (s *Server) results(c echo.Context) error {
-	_, full, err := s.jobOf(c)
+	_, scopedName, err := s.jobOf(c)
 	if err != nil {
 		return err
 	}
@@ -42,18 +43,18 @@
 	if err != nil {
 		return err
 	}
-	// A reader holds a page in memory, so readers are bounded like requests.
+	// Each reader holds a page in memory, so readers are limited like requests.
 	leave, err := s.enter(stateOf(c).caller, s.limits())
 	if err != nil {
 		return err
 	}
 	defer leave()
-	done, err := s.run(s.limits())
+	done, err := s.begin(s.limits())
 	if err != nil {
 		return err
 	}
 	defer done()
-	page, err := s.page(c, full, from)
+	page, err := s.page(c, scopedName, from)
 	if err != nil {
 		return err
 	}
@@ -67,13 +68,13 @@
 			return nil
 		}
 		from = page.Next
-		if page, err = s.page(c, full, from); err != nil {
+		if page, err = s.page(c, scopedName, from); err != nil {
 			s.cutResults(c, err)
 		}
 	}
 }
 
-// page asks the backend for the results from an item on.
+// page fetches the page of results that starts at the item with index from.
 func (s *Server) page(c echo.Context, job string, from int) (ledger.ResultsReply, error) {
 	req := ledger.ResultsRequest{Job: job, From: from, MaxBytes: resultsPageBytes}
 	page, err := s.opts.Backend.Results(c.Request().Context(), req)
@@ -97,20 +98,20 @@
 	return http.NewResponseController(c.Response().Writer).Flush()
 }
 
-// cutResults ends results that broke off: an error line, then the connection is
-// closed without the end of the body, so that a reader that looks at neither
-// lines nor counts still sees that something is missing.
+// cutResults ends results that can't be continued. It writes an error line and then
+// closes the connection without the end of the body, so that even a reader that checks
+// neither lines nor counts notices that results are missing.
 func (s *Server) cutResults(c echo.Context, err error) {
 	st := stateOf(c)
 	refusal := refusalOf(err, false)
-	st.refused(refusal)
+	st.recordRefusal(refusal)
 	if json.NewEncoder(c.Response()).Encode(errorBody{Error: fieldsOf(refusal)}) == nil {
 		_ = http.NewResponseController(c.Response().Writer).Flush()
 	}
 	panic(http.ErrAbortHandler)
 }
 
-// fromItem reads ?from=.
+// fromItem returns the item index in ?from=, 0 if it is missing.
 func fromItem(c echo.Context) (int, error) {
 	text := c.QueryParam("from")
 	if text == "" {
--- a/api/server.go
+++ b/api/server.go
@@ -16,11 +16,11 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// headerSlack is how far headers may go over MaxHeaderBytes and still get a
-// refusal in our shape; beyond it net/http answers 431 by itself.
+// headerSlack is the multiple of MaxHeaderBytes up to which headers get a refusal with
+// the API's error body. Above it net/http itself answers 431.
 const headerSlack = 4
 
-// Server is the HTTP face of one daemon.
+// Server is the HTTP server of one daemon.
 type Server struct {
 	opts     Options
 	echo     *echo.Echo
@@ -31,10 +31,10 @@
 	uploads  chan struct{}
 	draining atomic.Bool
 	metrics  *httpMetrics
-	refused  refusals
+	refusals refusals
 }
 
-// New returns a server that does not listen yet; its errors are ErrOptions.
+// New returns a server that does not listen yet. Its errors are of the type ErrOptions.
 func New(opts Options) (*Server, error) {
 	if err := opts.validate(); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	return s, nil
 }
 
-// routes binds every path of the contract.
+// routes registers every path of the API.
 func (s *Server) routes() {
 	s.echo.POST("/v1/chat/completions", s.chat)
 	s.echo.POST("/v1/services/:service/*", s.service)
@@ -80,15 +80,16 @@
 	s.adminRoutes(s.echo.Group("/admin", s.authorize))
 }
 
-// Handler returns the whole handler, for tests without a socket.
+// Handler returns the handler of all paths, for tests without a socket.
 func (s *Server) Handler() http.Handler { return s.echo }
 
-// Serve accepts connections from inner until Shutdown; it returns nil then.
+// Serve accepts connections from inner until Shutdown is called, and then returns nil.
+// Its errors are of the type ErrServe.
 func (s *Server) Serve(inner net.Listener) error {
 	l := callerconns.New(inner, s.opts.MaxConnections, s.opts.WriteStall,
 		callerconns.Metrics{Evicted: s.metrics.evicted, Stalled: s.metrics.stalled})
 	if !s.listener.CompareAndSwap(nil, l) {
-		return ErrServe.New("the server serves already")
+		return ErrServe.New("the server is already serving")
 	}
 	err := s.http.Serve(l)
 	if !s.draining.Load() && !errors.Is(err, http.ErrServerClosed) {
@@ -97,30 +98,31 @@
 	return nil
 }
 
-// StartDrain makes /readyz refuse, and every answer whose header is written from
-// now on close its connection, while requests are still taken. Calling it again
-// does nothing.
+// StartDrain makes /readyz report unready, and makes every response whose header is
+// written from now on close its connection. Requests are still accepted. Further calls
+// have no effect.
 func (s *Server) StartDrain() { s.draining.Store(true) }
 
-// Shutdown stops gracefully: it goes unready, keeps accepting for DrainGrace so
-// that balancers turn away first, then closes the listener and returns once
-// every request, streams included, has ended and every connection is closed. If
-// ctx ends first, requests still running are left running and the error says so.
+// Shutdown stops the server gracefully. It calls StartDrain and continues to accept
+// connections for DrainGrace, so that load balancers stop sending requests first. Then
+// it closes the listener and returns once every request, including streams, has ended
+// and every connection is closed. If ctx ends first, it returns an ErrServe error and
+// the remaining requests keep running.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.StartDrain()
 	select {
 	case <-time.After(s.opts.DrainGrace):
 	case <-ctx.Done():
 	}
-	s.closeQuietly(ctx)
+	s.closeListener(ctx)
 	if err := s.http.Shutdown(ctx); err != nil {
 		return ErrServe.Wrap(err, "requests were still running")
 	}
 	return nil
 }
 
-// closeQuietly closes the listener and the kept connections.
-func (s *Server) closeQuietly(ctx context.Context) {
+// closeListener closes the listener and the kept connections.
+func (s *Server) closeListener(ctx context.Context) {
 	l := s.listener.Load()
 	if l == nil {
 		return
@@ -130,7 +132,7 @@
 	}
 }
 
-// openConnections counts the callers' connections.
+// openConnections returns the number of callers' connections.
 func (s *Server) openConnections() int {
 	l := s.listener.Load()
 	if l == nil {
@@ -146,10 +148,11 @@
 	}
 }
 
-// healthz tells that the process lives.
+// healthz serves GET /healthz, which shows that the process is running.
 func (s *Server) healthz(c echo.Context) error { return c.String(http.StatusOK, "ok\n") }
 
-// readyz tells whether callers should be sent here.
+// readyz serves GET /readyz, which reports whether load balancers should send callers to
+// this daemon.
 func (s *Server) readyz(c echo.Context) error {
 	if s.draining.Load() {
 		return outcome.Refuse(outcome.Draining, "this daemon is stopping")
@@ -160,7 +163,7 @@
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// readiness turns the backend's word into a refusal.
+// readiness converts an error of Backend.Ready to a refusal.
 func readiness(err error) *outcome.Refusal {
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
@@ -169,7 +172,7 @@
 	return outcome.Refuse(outcome.NotReady, "%v", err)
 }
 
-// metricsPage writes the metrics.
+// metricsPage serves GET /metrics.
 func (s *Server) metricsPage(c echo.Context) error {
 	c.Response().Header().Set(echo.HeaderContentType, "text/plain; version=0.0.4; charset=utf-8")
 	c.Response().WriteHeader(http.StatusOK)
--- a/api/service.go
+++ b/api/service.go
@@ -18,14 +18,14 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaders are not passed on to services: they are this daemon's, or set by
-// the client of the target.
-var ownHeaders = []string{HeaderProfile, HeaderDeadlineMs, "Content-Length", "Expect", "Host"}
+// notForwarded are request headers that are not passed on to services, because they are
+// for this daemon or are set by the target client.
+var notForwarded = []string{HeaderProfile, HeaderDeadlineMs, "Content-Length", "Expect", "Host"}
 
 // service serves POST and GET /v1/services/{service}/{path…}.
 func (s *Server) service(c echo.Context) error {
-	in, err := s.arrive(c)
-	defer in.end()
+	in, err := s.admit(c)
+	defer in.release()
 	if err != nil {
 		return err
 	}
@@ -37,10 +37,10 @@
 	in.call.Fingerprint = fingerprint(req.Method, req.URL.RequestURI(), in.body)
 	ctx, cancel := context.WithDeadline(req.Context(), in.call.Deadline)
 	defer cancel()
-	stateOf(c).called = true
+	stateOf(c).backendCalled = true
 	response, err := s.opts.Backend.Service(ctx, ServiceCall{
 		Call: in.call, Service: name,
-		Request: target.ServiceRequest{Method: req.Method, Path: path, Header: passedOn(req.Header, ownHeaders), Body: in.body},
+		Request: target.ServiceRequest{Method: req.Method, Path: path, Header: forwardedHeaders(req.Header, notForwarded), Body: in.body},
 	})
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	return writeService(c, response)
 }
 
-// servicePath splits the request's path into the service and the path that it
-// sees, still escaped and with the query: decoding and encoding again could
-// change what the service reads.
+// servicePath splits the request's path into the service's name and the path that the
+// service receives. That path stays escaped and includes the query, because decoding and
+// re-encoding could change it.
 func servicePath(req *http.Request) (name, path string, err error) {
 	rest := strings.TrimPrefix(req.URL.EscapedPath(), "/v1/services/")
 	name, path, _ = strings.Cut(rest, "/")
@@ -64,8 +64,9 @@
 	return name, path, nil
 }
 
-// passedOn copies the headers that go to the other side.
-func passedOn(from http.Header, without []string) http.Header {
+// forwardedHeaders returns a copy of the headers that are passed on: without those that
+// concern one connection and without the excluded ones.
+func forwardedHeaders(from http.Header, excluded []string) http.Header {
 	out := from.Clone()
 	for _, list := range from.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
@@ -75,16 +76,16 @@
 	for _, name := range hopByHop {
 		out.Del(name)
 	}
-	for _, name := range without {
+	for _, name := range excluded {
 		out.Del(name)
 	}
 	return out
 }
 
-// writeService passes the service's answer to the caller.
+// writeService sends the service's answer to the caller.
 func writeService(c echo.Context, r target.ServiceResponse) error {
 	header := c.Response().Header()
-	for name, values := range passedOn(r.Header, []string{"Content-Length", HeaderRequestID}) {
+	for name, values := range forwardedHeaders(r.Header, []string{"Content-Length", HeaderRequestID}) {
 		header[name] = values
 	}
 	header.Set(echo.HeaderContentLength, strconv.Itoa(len(r.Body)))
--- a/api/sse.go
+++ b/api/sse.go
@@ -17,21 +17,20 @@
 	doneEvent = "data: [DONE]\n\n"
 )
 
-// eventWriter writes the chunks of one stream. The parts that do not change
-// are encoded once, and one buffer serves all tokens, so that a token costs no
-// allocation.
+// eventWriter writes the chunks of one stream. The parts that do not change are encoded
+// once and one buffer is used for all tokens, so that a token needs no allocation.
 type eventWriter struct {
 	w *echo.Response
-	// flush goes round echo's own Flush, which would hide a failed write.
+	// flush is used instead of echo's Flush, which would hide a failed write.
 	flush *http.ResponseController
-	// head is a chunk up to its delta.
+	// head is the start of every chunk, up to the contents of its delta.
 	head []byte
 	buf  []byte
-	// begun tells that the status line is out.
+	// begun is set once the status line and headers have been written.
 	begun bool
 }
 
-// newEventWriter prepares a stream; nothing is written yet.
+// newEventWriter prepares a stream. It writes nothing yet.
 func newEventWriter(w *echo.Response, id, model string, created time.Time) *eventWriter {
 	head := appendJSONString([]byte(`data: {"id":`), id)
 	head = append(head, `,"object":"chat.completion.chunk","created":`...)
@@ -41,7 +40,8 @@
 	return &eventWriter{w: w, flush: http.NewResponseController(w.Writer), head: head}
 }
 
-// token sends one token. The first chunk names the role, as the shape wants.
+// token sends one token. The first chunk contains the role, as the OpenAI format
+// requires.
 func (e *eventWriter) token(text string) error {
 	e.buf = append(e.buf[:0], e.head...)
 	if !e.begun {
@@ -53,7 +53,7 @@
 	return e.send()
 }
 
-// finish sends the reason and [DONE].
+// finish sends the finish reason and [DONE].
 func (e *eventWriter) finish(f target.Finish) error {
 	e.begin()
 	e.buf = append(e.buf[:0], e.head...)
@@ -63,7 +63,7 @@
 	return e.send()
 }
 
-// fail sends an error event, after which nothing follows.
+// fail sends an error event, which is the last event of the stream.
 func (e *eventWriter) fail(body errorBody) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return e.send()
 }
 
-// begin writes the headers once.
+// begin writes the status line and headers unless they have already been written.
 func (e *eventWriter) begin() {
 	if e.begun {
 		return
@@ -85,8 +85,8 @@
 	e.w.WriteHeader(http.StatusOK)
 }
 
-// send writes the buffer and flushes it: a token that waits in a buffer is a
-// token late.
+// send writes the buffer and flushes it, so that a token is not delayed until the next
+// one.
 func (e *eventWriter) send() error {
 	if _, err := e.w.Write(e.buf); err != nil {
 		return err
@@ -94,8 +94,8 @@
 	return e.flush.Flush()
 }
 
-// appendJSONString appends s as a JSON string without allocating. Bytes that
-// are not UTF-8 become U+FFFD, as encoding/json does it.
+// appendJSONString appends s as a JSON string without allocating. Bytes that are not
+// valid UTF-8 are replaced with U+FFFD, as in encoding/json.
 func appendJSONString(b []byte, s string) []byte {
 	const hex = "0123456789abcdef"
 	b = append(b, '"')
--- a/api/sse_internal_test.go
+++ b/api/sse_internal_test.go
@@ -9,7 +9,7 @@
 	"tarragonhollow.example/tarragonhollow/bodymemory"
 )
 
-// A token's text must reach the caller as it is, whatever bytes the engine sent.
+// A token's text must reach the caller unchanged, whatever bytes the engine sent.
 func TestJSONStringIsThatOfEncodingJSON(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := string(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes")) + rapid.String().Draw(t, "text")
@@ -27,7 +27,7 @@
 	})
 }
 
-// The hashes of uploads share one bound, and a bound reached is told, not hidden.
+// The hashes of all uploads share one memory limit, and exceeding it must be reported.
 func TestIDSetReservesItsMemory(t *testing.T) {
 	memory := bodymemory.New(bodymemory.CallerShare * idStep * idBytes)
 	ids := newIDSet(memory.Claim("office"))
--- a/api/suite_test.go
+++ b/api/suite_test.go
@@ -39,8 +39,8 @@
 	RunSpecs(t, "api")
 }
 
-// backend is a fake at the seam: a spec sets the methods that it needs, and a
-// call of any other panics.
+// backend is a fake api.Backend. A spec sets the methods that it needs; a call of any
+// other panics.
 type backend struct {
 	api.Backend
 	cfg     *config.Config
@@ -78,7 +78,7 @@
 }
 func (b *backend) WriteMetrics(w io.Writer) { _, _ = io.WriteString(w, "up 1\n") }
 
-// settings is a configuration with small bounds.
+// settings returns a configuration with small limits.
 func settings() *config.Config {
 	return &config.Config{
 		Version: 3,
@@ -99,7 +99,7 @@
 	lines  *observer.ObservedLogs
 }
 
-// start serves until the spec's end.
+// start starts a server that runs until the end of the spec.
 func start(change func(*api.Options)) *daemon {
 	core, lines := observer.New(zap.InfoLevel)
 	d := &daemon{backend: &backend{cfg: settings()}, lines: lines}
@@ -124,7 +124,7 @@
 	return d
 }
 
-// send makes a request; headers are NAME, VALUE pairs.
+// send sends a request; headers are NAME, VALUE pairs.
 func (d *daemon) send(method, path, body string, headers ...string) *http.Response {
 	req, err := http.NewRequest(method, "http://"+d.addr+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -147,7 +147,7 @@
 	return conn
 }
 
-// refusal reads the answer of a refused request.
+// refusal is the body of a refused request's response.
 type refusal struct {
 	Error struct {
 		Code, Message, Run string
@@ -175,7 +175,7 @@
 	return b.String()
 }
 
-// drainJob pulls all items as a backend does.
+// drainJob reads all items as a backend does.
 func drainJob(up api.JobUpload) (ledger.JobStatus, bool, error) {
 	n := 0
 	for {
--- a/api/upload.go
+++ b/api/upload.go
@@ -22,11 +22,11 @@
 
 // putJob serves PUT /v1/jobs/{job}.
 func (s *Server) putJob(c echo.Context) error {
-	cfg, err := s.settled()
+	cfg, err := s.currentConfig()
 	if err != nil {
 		return err
 	}
-	name, full, err := s.jobOf(c)
+	name, scopedName, err := s.jobOf(c)
 	if err != nil {
 		return err
 	}
@@ -47,19 +47,20 @@
 		return err
 	}
 	defer up.ids.release()
-	status, created, err := s.opts.Backend.PutJob(c.Request().Context(), JobUpload{Call: call, Job: full, Next: up.next, Sum: up.sum})
+	status, created, err := s.opts.Backend.PutJob(c.Request().Context(), JobUpload{Call: call, Job: scopedName, Next: up.next, Sum: up.sum})
 	return s.answerUpload(c, name, up, status, created, err)
 }
 
-// answerUpload tells how an upload ended. A fault in the upload itself is told
-// whatever the backend made of it.
+// answerUpload sends the result of an upload. An error in the upload itself takes
+// precedence over the backend's result.
 func (s *Server) answerUpload(c echo.Context, name string, up *upload, status ledger.JobStatus, created bool, err error) error {
 	if up.failed != nil {
 		return up.failed
 	}
 	if err != nil {
-		// The whole upload may be accepted by now, and items of it may run.
-		stateOf(c).called = up.ended
+		// If the upload was read completely, the job may have been accepted and its
+		// items may run.
+		stateOf(c).backendCalled = up.ended
 		return err
 	}
 	if created {
@@ -68,17 +69,17 @@
 	return c.JSON(http.StatusOK, viewJob(name, status))
 }
 
-// enterUpload counts an upload against its bounds.
+// enterUpload counts an upload against the caller's limit and the limit of uploads.
 func (s *Server) enterUpload(caller string, limits config.Limits) (leave func(), err error) {
-	free, err := s.enter(caller, limits)
+	leaveCaller, err := s.enter(caller, limits)
 	if err != nil {
 		return nil, err
 	}
 	select {
 	case s.uploads <- struct{}{}:
-		return func() { <-s.uploads; free() }, nil
+		return func() { <-s.uploads; leaveCaller() }, nil
 	default:
-		free()
+		leaveCaller()
 		return nil, outcome.Refuse(outcome.Overloaded, "%d jobs are being uploaded here", cap(s.uploads)).After(bodymemory.BusyRetryMs)
 	}
 }
@@ -86,36 +87,36 @@
 // upload reads a job's lines one by one.
 type upload struct {
 	lines *bufio.Reader
-	// buf holds a line longer than the reader's buffer.
-	buf       []byte
-	lineBytes int
-	mostItems int
-	number    int
-	items     int
-	ids       *idSet
-	hash      hash.Hash
-	failed    *outcome.Refusal
-	ended     bool
+	// buf holds the current line, which may be longer than the reader's buffer.
+	buf          []byte
+	maxLineBytes int
+	maxItems     int
+	lineNumber   int
+	items        int
+	ids          *idSet
+	hash         hash.Hash
+	failed       *outcome.Refusal
+	ended        bool
 }
 
-// newUpload bounds c's body and prepares the reading.
+// newUpload returns a reader of the job in c's body, with the limits in force.
 func (s *Server) newUpload(c echo.Context, caller, profile string, limits config.Limits) (*upload, error) {
 	reader, err := s.newBodyReader(c, orDefault(limits.JobBytes, defaultJobBytes), noDeadline)
 	if err != nil {
 		return nil, err
 	}
 	u := &upload{
-		lines:     bufio.NewReaderSize(reader, bodymemory.Step),
-		lineBytes: orDefault(limits.LineBytes, defaultLineBytes),
-		mostItems: orDefault(limits.ItemsPerJob, defaultItemsPerJob),
-		ids:       newIDSet(s.bodies.Claim(caller)),
-		hash:      sha256.New(),
+		lines:        bufio.NewReaderSize(reader, bodymemory.Step),
+		maxLineBytes: orDefault(limits.LineBytes, defaultLineBytes),
+		maxItems:     orDefault(limits.ItemsPerJob, defaultItemsPerJob),
+		ids:          newIDSet(s.bodies.Claim(caller)),
+		hash:         sha256.New(),
 	}
 	u.add([]byte(profile))
 	return u, nil
 }
 
-// next is JobUpload.Next. After an error it returns the same error again.
+// next implements JobUpload.Next. After an error it returns the same error again.
 func (u *upload) next() (ledger.Item, error) {
 	if u.failed != nil {
 		return ledger.Item{}, u.failed
@@ -135,7 +136,7 @@
 	return item, nil
 }
 
-// read returns the next item; blank lines are skipped.
+// read returns the next item and skips blank lines.
 func (u *upload) read() (ledger.Item, error) {
 	for {
 		text, err := u.line()
@@ -148,23 +149,23 @@
 	}
 }
 
-// line returns the next line without its end. The last line may lack one; io.EOF
-// comes only from a body that is whole, since the reader below turns any other
-// end into a refusal.
+// line returns the next line without its line end, which the last line may lack. It
+// returns io.EOF only if the body is complete, since bodyReader converts any other end
+// to a refusal.
 func (u *upload) line() ([]byte, error) {
 	u.buf = u.buf[:0]
 	for {
 		part, err := u.lines.ReadSlice('\n')
-		if len(u.buf)+len(part) > u.lineBytes+len("\r\n") {
-			return nil, outcome.Refuse(outcome.TooLarge, "line %d is over the limit of %d bytes", u.number+1, u.lineBytes)
+		if len(u.buf)+len(part) > u.maxLineBytes+len("\r\n") {
+			return nil, outcome.Refuse(outcome.TooLarge, "line %d is over the limit of %d bytes", u.lineNumber+1, u.maxLineBytes)
 		}
 		u.buf = append(u.buf, part...)
 		switch {
 		case err == nil:
-			return u.trimmed()
+			return u.finishLine()
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF) && len(u.buf) > 0:
-			return u.trimmed()
+			return u.finishLine()
 		case errors.Is(err, io.EOF) && u.items == 0:
 			return nil, outcome.Refuse(outcome.BadRequest, "the job has no items")
 		default:
@@ -173,31 +174,33 @@
 	}
 }
 
-// trimmed ends a line and checks its length without the line's end.
-func (u *upload) trimmed() ([]byte, error) {
-	u.number++
+// finishLine counts a complete line, trims it and checks its length without the line
+// end.
+func (u *upload) finishLine() ([]byte, error) {
+	u.lineNumber++
 	text := bytes.TrimSpace(u.buf)
-	if len(text) > u.lineBytes {
-		return nil, outcome.Refuse(outcome.TooLarge, "line %d is over the limit of %d bytes", u.number, u.lineBytes)
+	if len(text) > u.maxLineBytes {
+		return nil, outcome.Refuse(outcome.TooLarge, "line %d is over the limit of %d bytes", u.lineNumber, u.maxLineBytes)
 	}
 	return text, nil
 }
 
-// item parses a line, checks that its name is new and adds it to the fingerprint.
+// item parses a line, checks that its custom_id is new and adds the item to the
+// fingerprint.
 func (u *upload) item(text []byte) (ledger.Item, error) {
-	line, err := jobline.Parse(u.number, text)
+	line, err := jobline.Parse(u.lineNumber, text)
 	if err != nil {
 		return ledger.Item{}, outcome.Refuse(outcome.BadRequest, "%v", err)
 	}
-	if u.items == u.mostItems {
-		return ledger.Item{}, outcome.Refuse(outcome.TooLarge, "the job is over the limit of %d items", u.mostItems)
+	if u.items == u.maxItems {
+		return ledger.Item{}, outcome.Refuse(outcome.TooLarge, "the job is over the limit of %d items", u.maxItems)
 	}
 	isNew, err := u.ids.add(line.CustomID)
 	if err != nil {
 		return ledger.Item{}, err
 	}
 	if !isNew {
-		return ledger.Item{}, outcome.Refuse(outcome.BadRequest, "line %d: custom_id %.64q was used before", u.number, line.CustomID)
+		return ledger.Item{}, outcome.Refuse(outcome.BadRequest, "line %d: custom_id %.64q was used before", u.lineNumber, line.CustomID)
 	}
 	u.items++
 	u.add([]byte(line.CustomID))
@@ -206,12 +209,13 @@
 	return ledger.Item{CustomID: line.CustomID, URL: line.URL, Body: line.Body}, nil
 }
 
-// add puts a part into the fingerprint; its length keeps it apart from the next.
+// add adds a part to the fingerprint. The part is prefixed with its length, so that
+// different splits give different fingerprints.
 func (u *upload) add(part []byte) {
 	_, _ = u.hash.Write(strconv.AppendInt(nil, int64(len(part)), 10))
 	_, _ = u.hash.Write([]byte{':'})
 	_, _ = u.hash.Write(part)
 }
 
-// sum is JobUpload.Sum.
+// sum implements JobUpload.Sum.
 func (u *upload) sum() string { return hex.EncodeToString(u.hash.Sum(nil)) }
