--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -1,5 +1,5 @@
-// Package control holds what the stand-ins' HTTP faces share: the echo
-// instance, strict JSON bodies for steering, error answers and cut connections.
+// Package control holds what the stand-ins' HTTP handlers share: the echo instance,
+// strict decoding of JSON control requests, error responses and aborted connections.
 package control
 
 import (
@@ -17,20 +17,20 @@
 	"tarragonhollow.example/tarragonhollow/extern/wire"
 )
 
-// maxSteeringBytes bounds the body of a steering request.
-const maxSteeringBytes = 1 << 20
+// maxControlBytes bounds the body of a control request.
+const maxControlBytes = 1 << 20
 
-// NewEcho returns an echo instance whose errors are wire.Error bodies. It has
-// no recovery middleware: Cut relies on its panic reaching net/http.
+// NewEcho returns an echo instance that writes errors as wire.Error bodies. It has no
+// recovery middleware, because the panic of AbortConnection must reach net/http.
 func NewEcho() *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.HTTPErrorHandler = answerError
+	e.HTTPErrorHandler = handleError
 	return e
 }
 
-func answerError(err error, c echo.Context) {
+func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -42,13 +42,13 @@
 	_ = Refuse(c, status, message)
 }
 
-// Refuse answers with the status and a wire.Error.
+// WriteError answers with the status and a wire.Error body.
 func Refuse(c echo.Context, status int, message string) error {
 	return c.JSON(status, wire.Error{Error: message})
 }
 
-// TooMany answers 429 with the time to come back, in the header rounded up to
-// whole seconds.
+// WriteTooManyRequests answers 429 with the time to wait before a retry: in the
+// Retry-After header rounded up to whole seconds, in the body to whole milliseconds.
 func TooMany(c echo.Context, retryAfter time.Duration) error {
 	seconds := int64((retryAfter + time.Second - 1) / time.Second)
 	c.Response().Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
@@ -56,10 +56,10 @@
 	return c.JSON(http.StatusTooManyRequests, wire.Error{Error: "rate limit exceeded", RetryAfterMs: ms})
 }
 
-// Decode reads the request's JSON body into v and refuses unknown fields and
-// trailing data, so that a misspelt fault is noticed and not taken for "none".
+// Decode reads the request's JSON body into v. It rejects unknown fields and trailing
+// data, so that a misspelled fault is an error and not read as "no fault".
 func Decode(c echo.Context, v any) error {
-	decoder := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxSteeringBytes))
+	decoder := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxControlBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(v); err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, err.Error())
@@ -70,9 +70,9 @@
 	return nil
 }
 
-// Param returns a path parameter by its own text. The router matches the raw
-// path where a client escaped more than it had to, such as a slash in a name,
-// and hands out parameters as they stand in the path that it matched.
+// Param returns an unescaped path parameter. When a client escaped more than
+// necessary, such as a slash in a name, the router matches the raw path and returns
+// parameters in their escaped form.
 func Param(c echo.Context, name string) string {
 	value := c.Param(name)
 	if c.Request().URL.RawPath == "" {
@@ -84,7 +84,8 @@
 	return value
 }
 
-// Cut closes the request's connection without an answer. It does not return.
+// AbortConnection closes the request's connection without an answer. It does not
+// return.
 func Cut() {
 	panic(http.ErrAbortHandler)
 }
