--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -14,7 +14,7 @@
 	"tarragonhollow.example/tarragonhollow/standin/weights"
 )
 
-// Options adjusts the platform's stand-ins.
+// Options configures the platform's stand-ins.
 type Options struct {
 	Log  logsvc.Options
 	List hostlist.Options
@@ -22,18 +22,19 @@
 
 // Deployment is a running set of stand-ins.
 type Deployment struct {
-	// Shape is what runs.
+	// Shape describes the deployment.
 	Shape Shape
-	// Log, Hosts and Weights are the platform's stand-ins.
+	// Log, Hosts and Weights are the stand-ins for the platform's services.
 	Log     *logsvc.Server
 	Hosts   *hostlist.Server
 	Weights *weights.Server
-	// Engines and Services are the targets, in the order of their addresses.
+	// Engines and Services are the targets, in the order of EngineAddresses and
+	// ServiceAddresses.
 	Engines  []*engine.Server
 	Services []*service.Server
 	// LogURL, HostsURL and WeightsURL are base URLs.
 	LogURL, HostsURL, WeightsURL string
-	// EngineAddresses and ServiceAddresses are IP:PORT.
+	// EngineAddresses and ServiceAddresses are the targets' IP:PORT addresses.
 	EngineAddresses, ServiceAddresses []string
 
 	closers []func()
@@ -58,8 +59,8 @@
 	if d.Hosts, err = hostlist.New(opts.List); err != nil {
 		return err
 	}
-	held := []extern.Weights{{Model: d.Shape.Model, Version: "1", Bytes: 1 << 30}, {Model: d.Shape.Model, Version: "2", Bytes: 1 << 30}}
-	if d.Weights, err = weights.New(weights.Options{Weights: held}); err != nil {
+	models := []extern.Weights{{Model: d.Shape.Model, Version: "1", Bytes: 1 << 30}, {Model: d.Shape.Model, Version: "2", Bytes: 1 << 30}}
+	if d.Weights, err = weights.New(weights.Options{Weights: models}); err != nil {
 		return err
 	}
 	d.closers = append(d.closers, d.Log.Close, d.Hosts.Close)
@@ -101,11 +102,11 @@
 		d.Services = append(d.Services, server)
 		d.ServiceAddresses = append(d.ServiceAddresses, address)
 	}
-	return d.listTargets()
+	return d.registerTargets()
 }
 
-// listTargets puts the targets on the host list.
-func (d *Deployment) listTargets() error {
+// registerTargets adds the targets to the host list.
+func (d *Deployment) registerTargets() error {
 	put := func(kind string, i int, address string) error {
 		return d.Hosts.Put(extern.Host{
 			Name:    fmt.Sprintf("%s-%d", kind, i),
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// serve serves the handler on a free loopback port.
+// serve serves the handler on a free loopback port and returns its address.
 func (d *Deployment) serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -140,9 +141,10 @@
 	return listener.Addr().String(), nil
 }
 
-// serveEngine serves an engine on a free loopback port. Its own Serve really
-// closes the listener while a crash lasts, so that callers see a refused
-// connection, as from a host whose process died.
+// serveEngine serves an engine on a free loopback port and returns its address. It
+// uses the engine's own Serve, which closes the listener while the engine is down
+// after a crash, so that callers see refused connections, as from a host whose
+// process died.
 func (d *Deployment) serveEngine(server *engine.Server) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -152,12 +154,12 @@
 	return listener.Addr().String(), nil
 }
 
-// ConfigText returns the operators' configuration for the running targets.
+// ConfigText returns the operators' configuration file for the running targets.
 func (d *Deployment) ConfigText() string {
 	return d.Shape.ConfigText(d.EngineAddresses, d.ServiceAddresses)
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins, in the reverse order of their start.
 func (d *Deployment) Close() {
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
--- a/standin/deployment/shape.go
+++ b/standin/deployment/shape.go
@@ -1,7 +1,7 @@
-// Package deployment runs the stand-ins of a whole deployment in one process,
-// on free loopback ports: the platform's log, host list and weight store, the
-// model engines and the plain services, each behind a listener of its own. It
-// serves the try command, the load tool and tests.
+// Package deployment runs the stand-ins of a whole deployment in one process, on free
+// loopback ports: the platform's log, host list and weight store, the model engines
+// and the plain services, each with its own listener. The try command, the load tool
+// and tests use it.
 package deployment
 
 import (
@@ -12,19 +12,19 @@
 	"tarragonhollow.example/tarragonhollow/standin/service"
 )
 
-// Names of the deployments that the first users run.
+// Names of the known deployments, which are those of the first users.
 const (
 	DaNang   = "da-nang"
 	Isarwerk = "isarwerk"
 )
 
-// Shape is what a deployment consists of.
+// Shape describes a deployment: its targets, profiles and zones.
 type Shape struct {
 	// Name is the deployment's name.
 	Name string
 	// Zones are its availability zones.
 	Zones []string
-	// Model is what the engines serve; Engines is their number.
+	// Model is the model that the engines serve; Engines is the number of engines.
 	Model   string
 	Engines int
 	// Service names the plain service; Services is the number of its targets.
@@ -35,12 +35,12 @@
 	ChatProfile, ActionProfile, BatchProfile string
 	// ActionPath is the path of the service's non-repeatable call.
 	ActionPath string
-	// Question and Action are examples: a chat's text and a non-repeatable
-	// call's JSON body.
+	// ExamplePrompt is the text of an example chat request, ExampleAction the JSON
+	// body of an example non-repeatable call.
 	Question, Action string
 	// Due is the batch profile's due time, as written in the configuration.
 	Due string
-	// BatchWeight trades the online tail (0) against batch throughput (1).
+	// BatchWeight trades online tail latency (0) against batch throughput (1).
 	BatchWeight float64
 	// EngineOptions and ServiceOptions are the stand-ins' options.
 	EngineOptions  engine.Options
@@ -110,8 +110,8 @@
 	return s
 }
 
-// ConfigText returns the operators' configuration for the given targets; both
-// address lists are dealt over the zones in turn.
+// ConfigText returns the operators' configuration file for the given targets. The
+// addresses of each list are assigned to the zones round-robin.
 func (s Shape) ConfigText(engines, services []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[profile %s]\nurgency = online\nrepeatable = true\ndeadline = 30s\nretries = 2\nslo_availability = 0.995\nslo_first_token = 850ms\nslo_between_tokens = 51ms\nslo_latency_share = 0.95\n\n", s.ChatProfile)
@@ -122,6 +122,7 @@
 	return b.String()
 }
 
+// addressList formats the addresses as a comma-separated list of ADDRESS@ZONE.
 func (s Shape) addressList(addresses []string) string {
 	list := make([]string, len(addresses))
 	for i, address := range addresses {
@@ -130,5 +131,5 @@
 	return strings.Join(list, ", ")
 }
 
-// Zone returns the availability zone of the i-th host, dealt in turn.
+// Zone returns the availability zone of the i-th host. Zones are assigned round-robin.
 func (s Shape) Zone(i int) string { return s.Zones[i%len(s.Zones)] }
