--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Control holds the faults that a test switches on and off.
+// Control holds the injected faults that a test switches on and off.
 type Control struct {
-	// Frozen: calls are accepted and never answered, and the batch stands still,
-	// until it is switched off.
+	// Frozen pauses the engine: calls are accepted but not answered, and the batch
+	// makes no progress, until it is switched off.
 	Frozen bool `json:"frozen"`
-	// Refuse: every call is hung up on.
+	// Refuse closes the connection of every call without an answer.
 	Refuse bool `json:"refuse"`
 	// SlowMs is added to each step.
 	SlowMs float64 `json:"slow_ms"`
-	// Leaving: new generate calls get 503, running ones go on.
+	// Leaving drains the engine: new generate calls get 503, running ones continue.
 	Leaving bool `json:"leaving"`
 }
 
-// controlChange is the body of PUT /control: what is absent stays.
+// controlChange is the body of PUT /control. Absent fields keep their values.
 type controlChange struct {
 	Frozen  *bool    `json:"frozen"`
 	Refuse  *bool    `json:"refuse"`
@@ -40,6 +40,7 @@
 	writeJSON(w, http.StatusOK, s.change(change))
 }
 
+// change applies the fields that are set and returns the resulting faults.
 func (s *Server) change(c controlChange) Control {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,19 +55,22 @@
 	return s.control
 }
 
+// assign copies *from to *to unless from is nil.
 func assign[T any](to *T, from *T) {
 	if from != nil {
 		*to = *from
 	}
 }
 
+// applyFrozen opens or closes s.unfrozen according to Control.Frozen. The caller
+// holds s.mu.
 func (s *Server) applyFrozen() {
 	switch {
-	case s.control.Frozen && s.thaw == nil:
-		s.thaw = make(chan struct{})
-	case !s.control.Frozen && s.thaw != nil:
-		close(s.thaw)
-		s.thaw = nil
+	case s.control.Frozen && s.unfrozen == nil:
+		s.unfrozen = make(chan struct{})
+	case !s.control.Frozen && s.unfrozen != nil:
+		close(s.unfrozen)
+		s.unfrozen = nil
 		s.wakeLoop()
 	}
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -16,18 +16,18 @@
 var _ = Describe("Engine", func() {
 	ctx := context.Background()
 
-	// A guest's request arrives behind two batch items at an engine with one
-	// slot. The engine knows no priority: the guest waits for both. This is the
-	// harm that the system has to keep away from the engines.
-	It("admits in order of arrival whatever the urgency", func() {
-		o := fast()
+	// An online request arrives after two batch items at an engine with one slot. The
+	// engine has no priorities, so the online request waits for both. This delay is
+	// what the system has to prevent by holding batch items back.
+	It("admits in order of arrival regardless of urgency", func() {
+		o := fastOptions()
 		o.Slots = 1
-		s, address, c := start(o)
+		s, address, c := startEngine(o)
 		batch, online := target.WithUrgency(ctx, "batch"), target.WithUrgency(ctx, "online")
 		ends := []<-chan error{
-			begin(batch, s, c, address, asking("b1", "floor 1", 10)),
-			begin(batch, s, c, address, asking("b2", "floor 2", 10)),
-			begin(online, s, c, address, asking("o", "breakfast", 10)),
+			startGenerate(batch, s, c, address, newRequest("b1", "floor 1", 10)),
+			startGenerate(batch, s, c, address, newRequest("b2", "floor 2", 10)),
+			startGenerate(online, s, c, address, newRequest("o", "breakfast", 10)),
 		}
 		for _, ended := range ends {
 			Eventually(ended, bound).Should(Receive(BeNil()))
@@ -39,15 +39,15 @@
 		Expect(s.Stats().TokensByUrgency).To(Equal(map[string]int{"batch": 20, "online": 10}))
 	})
 
-	It("frees the slot of a cancelled stream and one whose client went away", func() {
-		o := fast()
+	It("frees the slot of a cancelled stream and of one whose client disconnected", func() {
+		o := fastOptions()
 		o.Slots = 1
 		o.BaseStepMs = 2000
-		s, address, c := start(o)
+		s, address, c := startEngine(o)
 		leaving, leave := context.WithCancel(ctx)
-		gone := begin(leaving, s, c, address, asking("gone", "a", 0))
-		cancelled := begin(ctx, s, c, address, asking("cancelled", "b", 0))
-		last := begin(ctx, s, c, address, asking("last", "c", 1))
+		gone := startGenerate(leaving, s, c, address, newRequest("gone", "a", 0))
+		cancelled := startGenerate(ctx, s, c, address, newRequest("cancelled", "b", 0))
+		last := startGenerate(ctx, s, c, address, newRequest("last", "c", 1))
 		leave()
 		Eventually(gone, bound).Should(Receive(HaveOccurred()))
 		Expect(c.Cancel(ctx, address, "cancelled")).To(Succeed())
@@ -57,10 +57,10 @@
 			HaveField("Ended", EndedCancelled), HaveField("Ended", EndedFinished)))
 	})
 
-	It("saves prefill for a cached prefix, a resumed stream and an imported one", func() {
-		_, address, c := start(fast())
-		_, other, _ := start(fast())
-		long := asking("s", strings.Repeat("menu of the day ", 40), 20)
+	It("skips prefill for a cached prefix, a resumed stream and an imported prefix", func() {
+		_, address, c := startEngine(fastOptions())
+		_, other, _ := startEngine(fastOptions())
+		long := newRequest("s", strings.Repeat("menu of the day ", 40), 20)
 		cached := func(at string, req target.GenerateRequest) int {
 			finish, err := c.Generate(ctx, at, req, discard)
 			Expect(err).NotTo(HaveOccurred())
@@ -81,12 +81,12 @@
 		Expect(cached(other, long)).To(Equal(len(blocks) * target.BlockTokens))
 	})
 
-	It("tells cache events late", func() {
-		_, address, c := start(fast())
-		late := fast()
+	It("delays cache events", func() {
+		_, address, c := startEngine(fastOptions())
+		late := fastOptions()
 		late.EventDelayMs = 3_600_000
-		_, lateAddress, _ := start(late)
-		req := asking("s", strings.Repeat("x", 200), 1)
+		_, lateAddress, _ := startEngine(late)
+		req := newRequest("s", strings.Repeat("x", 200), 1)
 		for _, a := range []string{address, lateAddress} {
 			_, err := c.Generate(ctx, a, req, discard)
 			Expect(err).NotTo(HaveOccurred())
@@ -105,38 +105,38 @@
 		}
 		last := now.Add(999 * time.Millisecond)
 		Expect(h.samples[h.indexAt(last.Add(-50*time.Millisecond))].running).To(Equal(949))
-		Expect(len(h.samples)).To(BeNumerically("<", 200), "what is too old to be shown is dropped")
+		Expect(len(h.samples)).To(BeNumerically("<", 200), "samples too old to be reported are dropped")
 		Expect(h.indexAt(now.Add(-time.Second))).To(Equal(-1))
 	})
 
-	// An operator rolls out a new model. Callers are turned away truthfully while
-	// it loads, and afterwards whoever asks for the old model.
-	It("refuses while it loads a model, then serves only that model", func() {
-		o := fast()
+	// An operator rolls out a new model. While it loads, requests get 503; afterwards,
+	// requests for the old model get 409.
+	It("refuses requests while it loads a model, then serves only that model", func() {
+		o := fastOptions()
 		o.Model = "ordering"
 		o.LoadMs = 3_600_000
-		s, address, c := start(o)
-		before := begin(ctx, s, c, address, asking("before", "x", 3))
+		s, address, c := startEngine(o)
+		before := startGenerate(ctx, s, c, address, newRequest("before", "x", 3))
 		Expect(c.Order(ctx, address, target.Order{Fence: 1, Action: ActionLoadModel, Model: "drawing"})).To(Succeed())
-		_, err := c.Generate(ctx, address, asking("during", "x", 3), discard)
+		_, err := c.Generate(ctx, address, newRequest("during", "x", 3), discard)
 		Expect(target.FailureOf(err).Status).To(Equal(http.StatusServiceUnavailable))
-		Eventually(before, bound).Should(Receive(BeNil()), "what was admitted is finished")
+		Eventually(before, bound).Should(Receive(BeNil()), "an admitted request is finished")
 		s.mu.Lock()
 		s.served.loadingUntil = time.Now()
 		s.mu.Unlock()
-		drawing := asking("after", "x", 3)
+		drawing := newRequest("after", "x", 3)
 		drawing.Model = "drawing"
 		_, err = c.Generate(ctx, address, drawing, discard)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = c.Generate(ctx, address, asking("old", "x", 3), discard)
+		_, err = c.Generate(ctx, address, newRequest("old", "x", 3), discard)
 		Expect(target.FailureOf(err).Status).To(Equal(http.StatusConflict))
 	})
 
-	// An engine stops for a while, as one whose host is paused, and goes on: its
-	// streams must be whole.
-	It("goes on where it stood after being frozen", func() {
-		s, address, c := start(fast())
-		ended := begin(ctx, s, c, address, asking("s", "x", 0))
+	// An engine stops for a while, as when its host is paused, and then continues. Its
+	// streams must be complete.
+	It("continues its streams after being frozen", func() {
+		s, address, c := startEngine(fastOptions())
+		ended := startGenerate(ctx, s, c, address, newRequest("s", "x", 0))
 		frozen := true
 		s.change(controlChange{Frozen: &frozen})
 		silent, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
@@ -147,26 +147,26 @@
 		Eventually(ended, bound).Should(Receive(BeNil()))
 	})
 
-	It("answers whole when no stream is asked for", func() {
-		_, address, _ := start(fast())
+	It("returns a single JSON body when no stream is requested", func() {
+		_, address, _ := startEngine(fastOptions())
 		body := `{"model":"ordering","messages":[{"role":"user","content":"hi"}],"max_tokens":5}`
 		resp, err := http.Post("http://"+address+"/v1/chat/completions", "application/json", strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = resp.Body.Close() }()
 		var answer Answer
 		Expect(json.NewDecoder(resp.Body).Decode(&answer)).To(Succeed())
-		Expect(answer.Tokens).To(Equal(ExpectedTokens("ordering", asking("", "hi", 0).Messages, 5)))
+		Expect(answer.Tokens).To(Equal(ExpectedTokens("ordering", newRequest("", "hi", 0).Messages, 5)))
 		Expect(answer.Finish.Reason).To(Equal("length"))
 	})
 
-	It("hangs up on all while it refuses", func() {
-		s, address, c := start(fast())
+	It("closes all connections without an answer while it refuses", func() {
+		s, address, c := startEngine(fastOptions())
 		refuse := true
 		s.change(controlChange{Refuse: &refuse})
 		Expect(target.FailureOf(c.Health(ctx, address)).Crashed).To(BeTrue())
 	})
 
-	It("refuses options that make no sense", func() {
+	It("rejects invalid options", func() {
 		o := DefaultOptions()
 		o.Slots = 0
 		_, err := New(o)
--- a/standin/engine/generate.go
+++ b/standin/engine/generate.go
@@ -16,7 +16,7 @@
 	retryAfter   = time.Second
 )
 
-// Answer is the body of an answer that is not streamed.
+// Answer is the body of a response that is not streamed.
 type Answer struct {
 	Tokens []string      `json:"tokens"`
 	Text   string        `json:"text"`
@@ -31,19 +31,19 @@
 		s.reject(w, record, "invalid_json", err.Error())
 		return
 	}
-	if reason := s.invalid(req.GenerateRequest); reason != "" {
+	if reason := s.invalidReason(req.GenerateRequest); reason != "" {
 		s.reject(w, record, "unprocessable", reason)
 		return
 	}
 	q := newSequence(req.GenerateRequest, record)
 	q.crashes = containsMarker(req.Messages, s.opts.CrashMarker)
-	life, refused := s.submit(q)
+	crashed, refused := s.submit(q)
 	if refused != nil {
 		refused.write(w)
 		return
 	}
 	out := &reply{stream: req.Stream, w: w, flusher: http.NewResponseController(w)}
-	s.deliver(r, q, life, out)
+	s.deliver(r, q, crashed, out)
 }
 
 func newRecord(r *http.Request, req target.GenerateRequest) *Record {
@@ -56,33 +56,35 @@
 		AtMs:        time.Now().UnixMilli(),
 		Resumed:     len(req.ResumeTokens),
 	}
-	record.WrongResume = !resumes(ExpectedTokens(req.Model, req.Messages, req.MaxTokens), req.ResumeTokens)
+	record.WrongResume = !isPrefix(ExpectedTokens(req.Model, req.Messages, req.MaxTokens), req.ResumeTokens)
 	return record
 }
 
-// note adds a call to the record. It is called under the lock that also puts
-// the call into the queue, so that the record's order is the queue's.
-func (s *Server) note(record *Record) {
+// addRecord records a call. The caller holds s.mu, and submit queues the call under
+// the same lock, so that records and queue have the same order.
+func (s *Server) addRecord(record *Record) {
 	s.records = append(s.records, record)
 	if s.control.Leaving {
 		s.stats.ReceivedLeaving++
 	}
 }
 
-func resumes(answer, tokens []string) bool {
-	return len(tokens) <= len(answer) && slices.Equal(answer[:len(tokens)], tokens)
+// isPrefix reports whether answer begins with prefix.
+func isPrefix(answer, prefix []string) bool {
+	return len(prefix) <= len(answer) && slices.Equal(answer[:len(prefix)], prefix)
 }
 
+// reject records the call and answers it with 422.
 func (s *Server) reject(w http.ResponseWriter, record *Record, code, message string) {
 	s.mu.Lock()
-	s.note(record)
+	s.addRecord(record)
 	record.end(EndedRejected, time.Now())
 	s.mu.Unlock()
 	writeError(w, http.StatusUnprocessableEntity, code, message)
 }
 
-// invalid returns why the request can never be completed, or "".
-func (s *Server) invalid(req target.GenerateRequest) string {
+// invalidReason returns why the request can never be completed, or "" if it is valid.
+func (s *Server) invalidReason(req target.GenerateRequest) string {
 	switch {
 	case len(req.Messages) == 0:
 		return "messages is empty"
@@ -108,13 +110,13 @@
 	})
 }
 
-// submit puts the sequence at the end of the queue, or refuses it. The returned
-// channel is closed when the engine crashes.
+// submit appends the sequence to the queue, or returns why it is refused. The
+// returned channel is closed when the engine crashes.
 func (s *Server) submit(q *sequence) (<-chan struct{}, *refusal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.note(q.record)
+	s.addRecord(q.record)
 	if f := s.refuse(q.req.Model, now); f != nil {
 		q.record.end(EndedRefused, now)
 		return nil, f
@@ -122,9 +124,11 @@
 	s.waiting = append(s.waiting, q)
 	s.sampleLoad(now)
 	s.wakeLoop()
-	return s.life, nil
+	return s.crashed, nil
 }
 
+// refuse returns the refusal of a new request for the model, or nil if the engine
+// accepts it.
 func (s *Server) refuse(model string, now time.Time) *refusal {
 	switch {
 	case s.control.Leaving:
@@ -139,22 +143,22 @@
 	return nil
 }
 
-// deliver copies the sequence's events to the client until the finish. A crash
-// cuts the connection without another byte.
-func (s *Server) deliver(r *http.Request, q *sequence, life <-chan struct{}, out *reply) {
-	gone := r.Context().Done()
+// deliver copies the sequence's events to the client until the finish event. If the
+// engine crashes or closes, it aborts the connection without writing another byte.
+func (s *Server) deliver(r *http.Request, q *sequence, crashed <-chan struct{}, out *reply) {
+	disconnected := r.Context().Done()
 	for {
 		select {
 		case e := <-q.events:
 			if out.event(e) {
 				return
 			}
-		case <-gone:
-			gone = nil
+		case <-disconnected:
+			disconnected = nil
 			if s.opts.CancelOnDisconnect {
 				s.cancelSequence(q)
 			}
-		case <-life:
+		case <-crashed:
 			panic(http.ErrAbortHandler)
 		case <-s.done:
 			panic(http.ErrAbortHandler)
@@ -186,25 +190,25 @@
 	writeJSON(w, http.StatusOK, map[string]int{"cancelled": found})
 }
 
-// reply writes events as SSE lines, or gathers them for one JSON answer.
+// reply writes events as SSE lines, or collects them for a single JSON response.
 type reply struct {
 	stream  bool
 	w       http.ResponseWriter
 	flusher *http.ResponseController
-	begun   bool
+	started bool
 	tokens  []string
 	line    []byte
 }
 
-// event writes one event and tells whether it was the last.
+// event writes one event and reports whether it was the last.
 func (p *reply) event(e event) bool {
 	if !p.stream {
-		return p.gather(e)
+		return p.collect(e)
 	}
-	if !p.begun {
+	if !p.started {
 		p.w.Header().Set("Content-Type", "text/event-stream")
 		p.w.WriteHeader(http.StatusOK)
-		p.begun = true
+		p.started = true
 	}
 	if e.finish != nil {
 		finish, _ := json.Marshal(e.finish)
@@ -219,7 +223,9 @@
 	return e.finish != nil
 }
 
-func (p *reply) gather(e event) bool {
+// collect keeps the tokens, writes the JSON response at the finish event and reports
+// whether the event was the last.
+func (p *reply) collect(e event) bool {
 	if e.finish == nil {
 		p.tokens = append(p.tokens, e.token.Text)
 		return false
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// kvExport is the opaque form of a cached prefix.
+// kvExport is the exported form of a cached prefix, opaque to clients. Blocks are the
+// prefix hashes, shortest first.
 type kvExport struct {
 	Model  string   `json:"model"`
 	Blocks []string `json:"blocks"`
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -13,11 +13,12 @@
 	waiting int
 }
 
-// loadHistory keeps the samples that a lagging report may still show.
+// loadHistory keeps the load samples that a delayed report may still return.
 type loadHistory struct {
 	samples []loadSample
 }
 
+// add appends a sample and drops those too old to be reported with the given lag.
 func (h *loadHistory) add(s loadSample, lag time.Duration) {
 	h.samples = append(h.samples, s)
 	shown := h.indexAt(s.at.Add(-lag))
--- a/standin/engine/loop.go
+++ b/standin/engine/loop.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// ExitStatus is the process's status with Options.ExitOnCrash.
+// ExitStatus is the exit status of a process that crashes with Options.ExitOnCrash.
 const ExitStatus = 3
 
-// stepLoop runs the batch: one iteration is one forward pass over all running
+// stepLoop runs the batch. Each iteration is one forward pass over all running
 // sequences.
 func (s *Server) stepLoop() {
 	defer s.wg.Done()
 	for s.awaitWork() {
-		if !s.pause(s.planStep()) {
+		if !s.sleep(s.planStep()) {
 			return
 		}
 		s.finishStep()
 	}
 }
 
-// awaitWork returns true when there is a sequence to run, false at the end.
+// awaitWork blocks until there is a sequence to run and the engine is not frozen. It
+// returns false if the engine closes first.
 func (s *Server) awaitWork() bool {
 	for {
 		s.mu.Lock()
-		busy := len(s.running)+len(s.waiting) > 0 && s.thaw == nil
+		busy := len(s.running)+len(s.waiting) > 0 && s.unfrozen == nil
 		s.mu.Unlock()
 		if busy {
 			return true
@@ -37,7 +38,8 @@
 	}
 }
 
-func (s *Server) pause(d time.Duration) bool {
+// sleep waits for d and returns true, or false if the engine closes first.
+func (s *Server) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -55,8 +57,8 @@
 	}
 }
 
-// planStep takes out cancelled sequences, admits waiting ones in order of
-// arrival and returns how long the step takes.
+// planStep removes cancelled sequences, admits waiting ones in order of arrival and
+// returns the duration of the step.
 func (s *Server) planStep() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +80,8 @@
 	return s.scaled(ms)
 }
 
-// admit fills the free slots and tells whether a crashing request came in.
+// admit fills the free slots from the queue. It stops and returns true when it admits
+// a request that crashes the engine.
 func (s *Server) admit() bool {
 	for len(s.waiting) > 0 && len(s.running) < s.opts.Slots {
 		q := s.waiting[0]
@@ -92,7 +95,8 @@
 	return false
 }
 
-// planPrefill shares the step's chunk of prompt tokens out in order of admission.
+// planPrefill distributes the step's PrefillChunkTokens over the running sequences in
+// order of admission and returns the number of prompt tokens processed.
 func (s *Server) planPrefill() int {
 	left := s.opts.PrefillChunkTokens
 	for _, q := range s.running {
@@ -102,6 +106,8 @@
 	return s.opts.PrefillChunkTokens - left
 }
 
+// finishStep advances the running sequences, counts their tokens and ends those that
+// are complete.
 func (s *Server) finishStep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,8 +145,8 @@
 	}
 }
 
-// dropCancelled ends the cancelled sequences. What they computed stays cached,
-// so that resuming here is cheap.
+// dropCancelled ends the cancelled sequences and returns the others. The prefixes
+// they computed stay cached, so that resuming on this engine is cheap.
 func (s *Server) dropCancelled(list []*sequence, now time.Time) []*sequence {
 	kept := make([]*sequence, 0, len(list))
 	for _, q := range list {
@@ -157,8 +163,9 @@
 	return kept
 }
 
-// crash forgets all requests and the cache, and makes every open handler cut
-// its connection. The record stays: it is the witness's, not the engine's.
+// crash drops all requests and the cache and makes every open handler abort its
+// connection. The records are kept: they belong to the test's checker and are not
+// part of the simulated engine's state.
 func (s *Server) crash(now time.Time) {
 	if s.opts.ExitOnCrash {
 		os.Exit(ExitStatus)
@@ -171,6 +178,6 @@
 	s.load = loadHistory{}
 	s.stats.Crashes++
 	s.downUntil = now.Add(s.scaled(s.opts.RestartMs))
-	close(s.life)
-	s.life = make(chan struct{})
+	close(s.crashed)
+	s.crashed = make(chan struct{})
 }
--- a/standin/engine/options.go
+++ b/standin/engine/options.go
@@ -1,8 +1,8 @@
-// Package engine is a stand-in for a model engine over HTTP. It batches
-// continuously, admits requests first come first served without priorities,
-// caches prompt prefixes in limited memory, and keeps a record from which a
-// checker counts, from outside, what reached it. docs/TARGETS.md states its
-// HTTP contract.
+// Package engine is a stand-in for a model engine over HTTP. It simulates continuous
+// batching, admits requests first come, first served without priorities, caches
+// prompt prefixes in limited memory, and records every generate call so that an
+// external checker can count what reached it. docs/TARGETS.md states its HTTP
+// contract.
 package engine
 
 import "github.com/joomcode/errorx"
@@ -13,52 +13,55 @@
 	InvalidOptions = namespace.NewType("invalid_options")
 )
 
-// Options sets up a Server. All times are milliseconds before TimeScale.
+// Options configures a Server. All times are in milliseconds, before TimeScale is
+// applied.
 type Options struct {
-	// Model and Version are loaded at the start. With an empty Model the engine
-	// serves any model until the first load_model order.
+	// Model and Version are loaded at the start. If Model is empty, the engine serves
+	// any model until the first load_model order.
 	Model   string `ini:"model"`
 	Version string `ini:"version"`
-	// Slots bounds the batch; QueueLimit bounds the requests that wait for a
-	// slot (0: no bound), beyond it they get 429.
+	// Slots bounds the batch. QueueLimit bounds the requests that wait for a slot;
+	// further ones get 429. 0 means unbounded.
 	Slots      int `ini:"slots"`
 	QueueLimit int `ini:"queue_limit"`
-	// A step takes BaseStepMs + PerSequenceMs for each sequence in the batch +
-	// PrefillMsPerToken for each uncached prompt token taken in by the step, at
-	// most PrefillChunkTokens of them.
+	// A step takes BaseStepMs, plus PerSequenceMs for each sequence in the batch, plus
+	// PrefillMsPerToken for each uncached prompt token processed in the step. A step
+	// processes at most PrefillChunkTokens prompt tokens.
 	BaseStepMs         float64 `ini:"base_step_ms"`
 	PerSequenceMs      float64 `ini:"per_sequence_ms"`
 	PrefillMsPerToken  float64 `ini:"prefill_ms_per_token"`
 	PrefillChunkTokens int     `ini:"prefill_chunk_tokens"`
-	// CacheBlocks is the prefix cache's size in blocks of target.BlockTokens.
+	// CacheBlocks is the size of the prefix cache in blocks of target.BlockTokens.
 	CacheBlocks int `ini:"cache_blocks"`
-	// TimeScale divides every duration: 10 runs ten times faster.
+	// TimeScale divides every duration; with 10 the engine runs ten times faster.
 	TimeScale float64 `ini:"time_scale"`
-	// ReportLagMs is the age of what GET /v1/load tells.
+	// ReportLagMs is the age of the load that GET /v1/load reports.
 	ReportLagMs float64 `ini:"report_lag_ms"`
-	// EventDelayMs delays cache events, EventDropShare (0..1) of them get lost,
-	// chosen by Seed.
+	// EventDelayMs delays cache events. EventDropShare (0..1) of them are dropped at
+	// random, repeatably for a given Seed.
 	EventDelayMs   float64 `ini:"event_delay_ms"`
 	EventDropShare float64 `ini:"event_drop_share"`
 	Seed           uint64  `ini:"seed"`
-	// ChecksOrders refuses orders whose fencing number is below the highest seen.
+	// ChecksOrders makes the engine refuse orders whose fencing number is below the
+	// highest seen.
 	ChecksOrders bool `ini:"checks_orders"`
-	// LoadMs is how long loading a model takes.
+	// LoadMs is the time that loading a model takes.
 	LoadMs float64 `ini:"load_ms"`
-	// CrashMarker in a message crashes the engine when the request is admitted
-	// to the batch; empty switches it off. RestartMs is how long it stays away;
-	// ExitOnCrash ends the process instead, with ExitStatus.
+	// CrashMarker in a message crashes the engine when the request is admitted to the
+	// batch; an empty marker never matches. RestartMs is how long the engine stays
+	// down after a crash. With ExitOnCrash the process exits with ExitStatus instead.
 	CrashMarker string  `ini:"crash_marker"`
 	RestartMs   float64 `ini:"restart_ms"`
 	ExitOnCrash bool    `ini:"exit_on_crash"`
-	// ImpossibleMarker in a message gets 422 always; empty switches it off.
+	// ImpossibleMarker in a message is always answered with 422; an empty marker never
+	// matches.
 	ImpossibleMarker string `ini:"impossible_marker"`
-	// CancelOnDisconnect cancels a stream when its client goes away.
+	// CancelOnDisconnect cancels a stream when its client disconnects.
 	CancelOnDisconnect bool `ini:"cancel_on_disconnect"`
 }
 
-// DefaultOptions returns an engine of eight slots that answers any model with
-// about 50 tokens a second for each sequence.
+// DefaultOptions returns the options of an engine with eight slots that serves any
+// model at about 50 tokens per second per sequence.
 func DefaultOptions() Options {
 	return Options{
 		Version:            "1",
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -10,14 +10,14 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Actions of orders.
+// Actions that an order can have.
 const (
 	ActionLoadModel   = "load_model"
 	ActionLoadAdapter = "load_adapter"
 	ActionSetRole     = "set_role"
 )
 
-// served is what the engine has loaded.
+// served is what the engine has loaded: a model, its adapters and a role.
 type served struct {
 	model        string
 	version      string
@@ -26,6 +26,8 @@
 	loadingUntil time.Time
 }
 
+// serves reports whether the engine serves the model. An engine without a model
+// serves any.
 func (v *served) serves(model string) bool {
 	return v.model == "" || v.model == model || slices.Contains(v.adapters, model)
 }
@@ -43,7 +45,7 @@
 		return
 	}
 	s.mu.Lock()
-	status, code, message := s.obey(o, time.Now())
+	status, code, message := s.applyOrder(o, time.Now())
 	s.mu.Unlock()
 	if status != http.StatusOK {
 		writeError(w, status, code, message)
@@ -52,10 +54,11 @@
 	writeJSON(w, status, o)
 }
 
-// obey carries the order out. A fencing number below the highest seen comes
-// from a holder that was paused and has been replaced: an engine that checks
-// refuses it, one that does not check only counts it.
-func (s *Server) obey(o target.Order, now time.Time) (int, string, string) {
+// applyOrder applies the order and returns the status, error code and message of the
+// response. A fencing number below the highest seen comes from a lease holder that
+// was paused and has been replaced: with Options.ChecksOrders the engine refuses the
+// order, otherwise it only counts it.
+func (s *Server) applyOrder(o target.Order, now time.Time) (int, string, string) {
 	if o.Fence < s.stats.HighestFence {
 		s.stats.StaleOrders++
 		if s.opts.ChecksOrders {
--- a/standin/engine/property_test.go
+++ b/standin/engine/property_test.go
@@ -10,29 +10,28 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// TestExpectedTokens checks what outside checkers rely on: a bounded answer is
-// the beginning of the unbounded one, and another prompt or model has another
-// answer.
+// TestExpectedTokens checks what external checkers rely on: a truncated answer is a
+// prefix of the complete one, and a different prompt or model has a different answer.
 func TestExpectedTokens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		messages := asking("", rapid.String().Draw(t, "text"), 0).Messages
+		messages := newRequest("", rapid.String().Draw(t, "text"), 0).Messages
 		whole := ExpectedTokens("m", messages, 0)
 		n := rapid.IntRange(1, MaxAnswerTokens+10).Draw(t, "max")
 		part := ExpectedTokens("m", messages, n)
 		if len(part) != min(n, len(whole)) || !slices.Equal(part, whole[:len(part)]) {
-			t.Fatalf("%v does not begin %v", part, whole)
+			t.Fatalf("%v is not the expected prefix of %v", part, whole)
 		}
 		if len(whole) < MinAnswerTokens || len(whole) > MaxAnswerTokens {
 			t.Fatalf("%d tokens", len(whole))
 		}
-		other := asking("", messages[0].Content+"x", 0).Messages
+		other := newRequest("", messages[0].Content+"x", 0).Messages
 		if slices.Equal(whole, ExpectedTokens("m", other, 0)) || slices.Equal(whole, ExpectedTokens("n", messages, 0)) {
 			t.Fatal("another prompt or model has the same answer")
 		}
 	})
 }
 
-// naiveCache is the model of prefixCache: a list, the most recently used first.
+// naiveCache is the reference model of prefixCache: a list, most recently used first.
 type naiveCache struct {
 	order []string
 	size  int
@@ -55,8 +54,8 @@
 	return found
 }
 
-// TestPrefixCache compares the cache with the naive one over random chains, and
-// its feed, when nothing is dropped, with its content.
+// TestPrefixCache compares the cache with the naive one over random chains, and its
+// event feed, when no event is dropped, with its content.
 func TestPrefixCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := DefaultOptions()
@@ -78,7 +77,7 @@
 	})
 }
 
-// chainOf names the prefixes of a path in a binary tree of prompts.
+// chainOf returns the names of the prefixes of a path in a binary tree of prompts.
 func chainOf(path []int) []string {
 	hashes := make([]string, len(path))
 	for i := range path {
@@ -91,7 +90,7 @@
 	fed := map[string]bool{}
 	for _, e := range c.events {
 		if fed[e.Prefix] == e.Stored {
-			t.Fatalf("event %d tells nothing new", e.Seq)
+			t.Fatalf("event %d changes nothing", e.Seq)
 		}
 		fed[e.Prefix] = e.Stored
 	}
@@ -103,13 +102,13 @@
 	for _, k := range keys {
 		parent, _ := c.blocks.Peek(k)
 		if !fed[k] || (parent != "" && !c.blocks.Contains(parent)) {
-			t.Fatalf("%s: not told as stored, or its beginning is gone", k)
+			t.Fatalf("%s: not reported as stored, or its parent is not cached", k)
 		}
 	}
 }
 
-// TestEventGaps checks that dropped events leave gaps in the sequence numbers,
-// the same ones with the same seed.
+// TestEventGaps checks that dropped events leave gaps in the sequence numbers, and
+// that the gaps are the same for the same seed.
 func TestEventGaps(t *testing.T) {
 	feed := func(seed uint64) []target.CacheEvent {
 		o := DefaultOptions()
@@ -126,9 +125,9 @@
 	}
 	first := feed(1)
 	if len(first) < 30 || len(first) > 70 || first[len(first)-1].Seq <= int64(len(first)) {
-		t.Fatalf("%d of 100 events came", len(first))
+		t.Fatalf("received %d of 100 events", len(first))
 	}
 	if !slices.Equal(first, feed(1)) || slices.Equal(first, feed(2)) {
-		t.Fatal("the gaps do not follow from the seed")
+		t.Fatal("the gaps are not determined by the seed")
 	}
 }
--- a/standin/engine/respond.go
+++ b/standin/engine/respond.go
@@ -10,7 +10,7 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// errorBody is every error's JSON form.
+// errorBody is the JSON body of every error response.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -30,7 +30,8 @@
 	writeJSON(w, status, errorBody{errorDetail{code, message}})
 }
 
-// refusal is an answer to a request that the engine has not run.
+// refusal is the response to a request that the engine has not run. after is the
+// Retry-After time; 0 omits the header.
 type refusal struct {
 	status  int
 	code    string
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -6,32 +6,33 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// event is one thing that a stream's handler writes: a token, or the finish.
+// event is what a stream's handler writes next: a token or the finish.
 type event struct {
 	token  target.Token
 	finish *target.Finish
 }
 
-// sequence is a request in the queue or in the batch. The server's lock guards
-// all but events.
+// sequence is a request in the queue or in the batch. Server.mu guards all fields but
+// events.
 type sequence struct {
 	req    target.GenerateRequest
 	record *Record
-	// answer is the whole answer, next the index of the token to come.
+	// answer is the complete answer, next the index of the next token to emit, and
+	// sent the number of tokens emitted.
 	answer []string
 	next   int
 	sent   int
-	// prompt and cached count tokens; prefill those still to be taken in, and
-	// chunk those taken in by the step under way.
+	// prompt and cached are numbers of tokens. prefill is the number of prompt tokens
+	// still to be processed, chunk the number processed in the current step.
 	prompt  int
 	cached  int
 	prefill int
 	chunk   int
 	crashes bool
-	// cancelled takes the sequence out at the next step.
+	// cancelled makes the next step remove the sequence.
 	cancelled bool
-	// events has room for everything the sequence can ever emit: a slow reader
-	// never holds up the batch.
+	// events is buffered for everything that the sequence can emit, so that a slow
+	// reader never blocks the batch.
 	events chan event
 }
 
@@ -43,12 +44,12 @@
 	return q
 }
 
-// hashes returns the prefixes of all that was taken in or generated so far.
+// hashes returns the block hashes of the prompt and the tokens generated so far.
 func (q *sequence) hashes() []string {
 	return target.BlockHashes(target.PromptBytes(q.req.Messages, q.answer[:q.next]))
 }
 
-// admit sets how much of the prompt has to be prefilled.
+// admit looks the prompt up in the cache and sets how much of it has to be prefilled.
 func (q *sequence) admit(cache *prefixCache) {
 	b := target.PromptBytes(q.req.Messages, q.req.ResumeTokens)
 	q.prompt = (len(b) + target.TokenBytes - 1) / target.TokenBytes
@@ -58,7 +59,7 @@
 	q.prefill = q.prompt - q.cached
 }
 
-// step advances by one step of the batch and tells whether the sequence ended.
+// step advances the sequence by one step of the batch and reports whether it ended.
 func (q *sequence) step(now time.Time) bool {
 	q.prefill -= q.chunk
 	if q.prefill > 0 {
@@ -68,12 +69,12 @@
 		q.events <- event{token: target.Token{Index: q.next, Text: q.answer[q.next]}}
 		q.next++
 		q.sent++
-		q.record.token(now)
+		q.record.addToken(now)
 	}
 	return q.next == len(q.answer)
 }
 
-// end emits the finish.
+// end emits the finish event.
 func (q *sequence) end(reason string) {
 	q.events <- event{finish: &target.Finish{Reason: reason, Usage: target.Usage{
 		PromptTokens: q.prompt, CachedTokens: q.cached, CompletionTokens: q.sent,
--- a/standin/engine/serve.go
+++ b/standin/engine/serve.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// relistenPause is the pause between attempts to listen again after a crash.
+// relistenPause is the time between attempts to listen again after a crash.
 const relistenPause = 20 * time.Millisecond
 
-// Serve serves the handler on ln until Close. Unlike the handler alone, it also
-// closes the listener and all idle connections for the time of a crash, as the
-// death of a process does: new connections are refused, not hung up on.
+// Serve serves the handler on ln until Close. Unlike the handler alone, it closes the
+// listener and all idle connections while the engine is down after a crash, as when a
+// process dies: new connections are refused instead of accepted and closed.
 func (s *Server) Serve(ln net.Listener) error {
 	address := ln.Addr().String()
 	for {
@@ -33,13 +33,13 @@
 func (s *Server) serveOnce(ln net.Listener) error {
 	hs := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: time.Minute}
 	s.mu.Lock()
-	life := s.life
+	crashed := s.crashed
 	s.mu.Unlock()
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
 		select {
-		case <-life:
+		case <-crashed:
 		case <-s.done:
 		case <-ended:
 		}
@@ -48,13 +48,13 @@
 	return hs.Serve(ln)
 }
 
-// relisten waits until the crashed engine is back and opens its address again;
-// nil after Close.
+// relisten waits until the crashed engine has restarted and listens on its address
+// again. It returns nil if the engine closes first.
 func (s *Server) relisten(address string) net.Listener {
 	s.mu.Lock()
 	wait := time.Until(s.downUntil)
 	s.mu.Unlock()
-	for s.pause(wait) {
+	for s.sleep(wait) {
 		if ln, err := net.Listen("tcp", address); err == nil {
 			return ln
 		}
@@ -63,6 +63,7 @@
 	return nil
 }
 
+// closed reports whether Close has been called.
 func (s *Server) closed() bool {
 	select {
 	case <-s.done:
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Server is one engine.
+// Server is a simulated engine.
 type Server struct {
 	opts Options
 	wake chan struct{}
@@ -21,10 +21,11 @@
 	records []*Record
 	stats   Stats
 	control Control
-	// thaw is closed when the engine goes on after being frozen; nil unless frozen.
-	thaw chan struct{}
-	// life is closed by a crash: all handlers of that life cut their connections.
-	life      chan struct{}
+	// unfrozen is closed when a frozen engine resumes; it is nil unless frozen.
+	unfrozen chan struct{}
+	// crashed is closed and replaced at a crash; all handlers that were running then
+	// abort their connections.
+	crashed   chan struct{}
 	downUntil time.Time
 	served    served
 }
@@ -35,10 +36,10 @@
 		return nil, err
 	}
 	s := &Server{
-		opts: o,
-		wake: make(chan struct{}, 1),
-		done: make(chan struct{}),
-		life: make(chan struct{}),
+		opts:    o,
+		wake:    make(chan struct{}, 1),
+		done:    make(chan struct{}),
+		crashed: make(chan struct{}),
 	}
 	s.cache = newPrefixCache(o, s.scaled(o.EventDelayMs))
 	s.stats.TokensByUrgency = map[string]int{}
@@ -48,7 +49,7 @@
 	return s, nil
 }
 
-// Close stops the engine and cuts its open connections.
+// Close stops the engine and aborts its open connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	select {
@@ -60,51 +61,53 @@
 	s.wg.Wait()
 }
 
-// Handler returns the engine's HTTP surface. Without Serve, a crashed engine
-// hangs up on new calls: to a client each of them looks like a crash of its own,
-// while a dead process would refuse the connection. Use Serve wherever crashes
-// are counted.
+// Handler returns the engine's HTTP handler. When it is used without Serve, a crashed
+// engine accepts and then closes the connections of new calls. To a client each of
+// them looks like another crash, while a dead process would refuse the connection.
+// Use Serve wherever crashes are counted.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", s.alive(s.handleGenerate))
-	mux.HandleFunc("DELETE /v1/streams/{id}", s.alive(s.handleCancel))
-	mux.HandleFunc("GET /v1/load", s.alive(s.handleLoad))
-	mux.HandleFunc("GET /v1/cache/events", s.alive(s.handleEvents))
-	mux.HandleFunc("GET /v1/kv/{prefix}", s.alive(s.handleExport))
-	mux.HandleFunc("PUT /v1/kv/{prefix}", s.alive(s.handleImport))
-	mux.HandleFunc("POST /v1/orders", s.alive(s.handleOrder))
-	mux.HandleFunc("GET /health", s.alive(s.handleHealth))
+	mux.HandleFunc("POST /v1/chat/completions", s.injectFaults(s.handleGenerate))
+	mux.HandleFunc("DELETE /v1/streams/{id}", s.injectFaults(s.handleCancel))
+	mux.HandleFunc("GET /v1/load", s.injectFaults(s.handleLoad))
+	mux.HandleFunc("GET /v1/cache/events", s.injectFaults(s.handleEvents))
+	mux.HandleFunc("GET /v1/kv/{prefix}", s.injectFaults(s.handleExport))
+	mux.HandleFunc("PUT /v1/kv/{prefix}", s.injectFaults(s.handleImport))
+	mux.HandleFunc("POST /v1/orders", s.injectFaults(s.handleOrder))
+	mux.HandleFunc("GET /health", s.injectFaults(s.handleHealth))
 	mux.HandleFunc("GET /record", s.handleRecord)
 	mux.HandleFunc("GET /stats", s.handleStats)
 	mux.HandleFunc("PUT /control", s.handleControl)
 	return mux
 }
 
-// alive hangs up while the engine is down or refuses, and holds the request
-// while it is frozen, as a stopped process does.
-func (s *Server) alive(next http.HandlerFunc) http.HandlerFunc {
+// injectFaults wraps a handler with the injected faults: it aborts the connection
+// while the engine is down or refusing, and holds the request while the engine is
+// frozen, as a stopped process does.
+func (s *Server) injectFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		down := s.control.Refuse || time.Now().Before(s.downUntil)
-		thaw, life := s.thaw, s.life
+		unfrozen, crashed := s.unfrozen, s.crashed
 		s.mu.Unlock()
 		if down {
 			panic(http.ErrAbortHandler)
 		}
-		if thaw != nil {
-			s.hold(thaw, life)
+		if unfrozen != nil {
+			s.awaitUnfrozen(unfrozen, crashed)
 		}
 		next(w, r)
 	}
 }
 
-// hold returns at the thaw; a crash before it cuts the connection.
-func (s *Server) hold(thaw, life <-chan struct{}) {
+// awaitUnfrozen blocks until the engine is unfrozen. If it crashes or closes first,
+// awaitUnfrozen aborts the connection.
+func (s *Server) awaitUnfrozen(unfrozen, crashed <-chan struct{}) {
 	s.countHeld(1)
 	defer s.countHeld(-1)
 	select {
-	case <-thaw:
-	case <-life:
+	case <-unfrozen:
+	case <-crashed:
 		panic(http.ErrAbortHandler)
 	case <-s.done:
 		panic(http.ErrAbortHandler)
@@ -117,11 +120,12 @@
 	s.mu.Unlock()
 }
 
+// scaled converts milliseconds to a duration, with TimeScale applied.
 func (s *Server) scaled(ms float64) time.Duration {
 	return time.Duration(ms / s.opts.TimeScale * float64(time.Millisecond))
 }
 
-// Records returns copies of all calls seen, in order of arrival.
+// Records returns copies of the records of all calls, in order of arrival.
 func (s *Server) Records() []Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +136,7 @@
 	return records
 }
 
-// Stats returns the counts so far.
+// Stats returns a snapshot of the engine's state and counts.
 func (s *Server) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/suite_test.go
+++ b/standin/engine/suite_test.go
@@ -23,15 +23,16 @@
 
 const bound = 10 * time.Second
 
-func fast() Options {
+func fastOptions() Options {
 	o := DefaultOptions()
 	o.TimeScale = 20
 	o.EventDropShare = 0
 	return o
 }
 
-// start serves the bare handler and returns the engine, its address and a client.
-func start(o Options) (*Server, string, *target.EngineClient) {
+// startEngine serves the handler without Serve and returns the engine, its address
+// and a client.
+func startEngine(o Options) (*Server, string, *target.EngineClient) {
 	s, err := New(o)
 	Expect(err).NotTo(HaveOccurred())
 	hs := httptest.NewServer(s.Handler())
@@ -44,15 +45,15 @@
 	return s, strings.TrimPrefix(hs.URL, "http://"), c
 }
 
-func asking(id, text string, maxTokens int) target.GenerateRequest {
+func newRequest(id, text string, maxTokens int) target.GenerateRequest {
 	messages := []target.Message{{Role: "user", Content: text}}
 	return target.GenerateRequest{StreamID: id, Model: "ordering", Messages: messages, MaxTokens: maxTokens}
 }
 
 func discard(target.Token) error { return nil }
 
-// begin starts a generation and returns once the engine has received it.
-func begin(ctx context.Context, s *Server, c target.Engine, address string, req target.GenerateRequest) <-chan error {
+// startGenerate starts a generate call and returns once the engine has received it.
+func startGenerate(ctx context.Context, s *Server, c target.Engine, address string, req target.GenerateRequest) <-chan error {
 	before := len(s.Records())
 	ended := make(chan error, 1)
 	go func() {
--- a/standin/engine/tokens.go
+++ b/standin/engine/tokens.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// MinAnswerTokens and MaxAnswerTokens bound an answer that MaxTokens does
-	// not cut.
+	// MinAnswerTokens is the shortest answer that the request's MaxTokens does not
+	// truncate.
 	MinAnswerTokens = 16
-	// MaxAnswerTokens is the upper one of the two.
+	// MaxAnswerTokens is the longest answer.
 	MaxAnswerTokens = 127
 
 	syllablesPerToken = 3
@@ -23,14 +23,14 @@
 	"ba", "ce", "di", "fo", "gu", "ha", "je", "ki", "lo", "mu", "na", "pe", "ri", "so", "tu", "va",
 }
 
-// Fingerprint is the hex hash of a model and a prompt.
+// Fingerprint returns the hash of a model and a prompt in hex.
 func Fingerprint(model string, messages []target.Message) string {
 	return fmt.Sprintf("%016x", promptHash(model, messages))
 }
 
-// ExpectedTokens returns the whole answer to a prompt: it depends on nothing
-// but the arguments, so a checker can tell whether a token is doubled, missing
-// or another prompt's. maxTokens <= 0 does not bound it.
+// ExpectedTokens returns the complete answer to a prompt. It depends only on the
+// arguments, so that a checker can detect tokens that are duplicated, missing or from
+// another prompt's answer. maxTokens <= 0 means no limit.
 func ExpectedTokens(model string, messages []target.Message, maxTokens int) []string {
 	h := promptHash(model, messages)
 	n := MinAnswerTokens + int(h%(MaxAnswerTokens-MinAnswerTokens+1))
@@ -39,12 +39,12 @@
 	}
 	tokens := make([]string, n)
 	for i := range tokens {
-		tokens[i] = word(h, i)
+		tokens[i] = tokenText(h, i)
 	}
 	return tokens
 }
 
-// finishReason tells whether maxTokens cut the answer.
+// finishReason returns "length" if maxTokens truncated the answer, otherwise "stop".
 func finishReason(model string, messages []target.Message, maxTokens int) string {
 	natural := MinAnswerTokens + int(promptHash(model, messages)%(MaxAnswerTokens-MinAnswerTokens+1))
 	if maxTokens > 0 && maxTokens < natural {
@@ -61,8 +61,9 @@
 	return d.Sum64()
 }
 
-// word returns token i: a short word after a space, save for the first.
-func word(h uint64, i int) string {
+// tokenText returns token i of the answer with hash h: a short made-up word, preceded
+// by a space except for the first.
+func tokenText(h uint64, i int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], h)
 	binary.LittleEndian.PutUint64(b[8:], uint64(i))
