--- a/standin/faultproxy/conn.go
+++ b/standin/faultproxy/conn.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// chunkBytes is the most that is read at once.
+	// chunkBytes is the size of the read buffer.
 	chunkBytes = 32 << 10
-	// queuedChunks bounds what a delayed or stalled direction holds; past it
-	// the proxy stops reading and the sender's TCP window fills.
+	// queuedChunks bounds the chunks queued in a delayed or stalled direction. When
+	// the queue is full, the proxy stops reading and the sender's TCP window fills.
 	queuedChunks = 64
 )
 
-// chunk is a piece of one direction with the time at which it is due.
+// chunk is a piece of one direction's data with the time at which to deliver it.
 type chunk struct {
 	data []byte
 	due  time.Time
@@ -28,21 +28,22 @@
 	proxy  *Proxy
 	client net.Conn
 	target net.Conn
-	// from is the client's IP.
-	from string
-	done chan struct{}
-	once sync.Once
+	// clientIP is the IP that the client connects from.
+	clientIP string
+	done     chan struct{}
+	once     sync.Once
 
 	mu sync.Mutex
-	// request is the first chunk since the last answer; nil once answered.
+	// request is the first chunk from the client since the last answer, nil once the
+	// answer begins.
 	request []byte
 }
 
 func newConn(p *Proxy, client, target net.Conn) *conn {
-	return &conn{proxy: p, client: client, target: target, from: clientIP(client), done: make(chan struct{})}
+	return &conn{proxy: p, client: client, target: target, clientIP: clientIP(client), done: make(chan struct{})}
 }
 
-// abort resets both sides and ends all loops.
+// abort resets both sides and ends all loops. Further calls do nothing.
 func (c *conn) abort() {
 	c.once.Do(func() {
 		close(c.done)
@@ -51,7 +52,7 @@
 	})
 }
 
-// run forwards both ways until both have ended.
+// run forwards data in both directions until both have ended.
 func (c *conn) run() {
 	var wg sync.WaitGroup
 	for _, pump := range []struct {
@@ -73,8 +74,8 @@
 	c.abort()
 }
 
-// readLoop queues what comes from one side. The due time is set here and the
-// delay slept in writeLoop, so that a delay adds latency without cutting the rate.
+// readLoop queues the data read from one side. It sets the due time, and writeLoop
+// waits for it, so that a delay adds latency without reducing throughput.
 func (c *conn) readLoop(from net.Conn, d direction, chunks chan<- chunk) {
 	defer close(chunks)
 	buffer := make([]byte, chunkBytes)
@@ -83,19 +84,19 @@
 		if n > 0 {
 			data := bytes.Clone(buffer[:n])
 			if c.dropsAnswer(d, data) {
-				c.proxy.dropped()
+				c.proxy.countDropped()
 				c.abort()
 				return
 			}
 			faults, _ := c.proxy.faults.get()
 			select {
-			case chunks <- chunk{data: data, due: time.Now().Add(faults.on(c.from).delay(d))}:
+			case chunks <- chunk{data: data, due: time.Now().Add(faults.forClient(c.clientIP).delay(d))}:
 			case <-c.done:
 				return
 			}
 		}
 		if err != nil {
-			// A crashed peer's reset must not look like its orderly end.
+			// Pass a crashed peer's reset on as a reset, not as an orderly close.
 			if !errors.Is(err, io.EOF) {
 				c.abort()
 			}
@@ -104,8 +105,8 @@
 	}
 }
 
-// dropsAnswer tracks requests and answers and tells whether data is the start
-// of an answer that must not be delivered.
+// dropsAnswer tracks requests and answers and reports whether data is the start of an
+// answer that must be dropped.
 func (c *conn) dropsAnswer(d direction, data []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,23 +121,23 @@
 	if request == nil {
 		return false
 	}
-	return c.proxy.faults.takeDrop(c.from, func(text string) bool { return bytes.Contains(request, []byte(text)) })
+	return c.proxy.faults.consumeDrop(c.clientIP, func(text string) bool { return bytes.Contains(request, []byte(text)) })
 }
 
-// writeLoop delivers the chunks in order, each when it is due and its
-// direction flows, and passes an orderly end on.
+// writeLoop delivers the chunks in order, each when it is due and its direction is
+// not stalled, and then passes on an orderly close.
 func (c *conn) writeLoop(to net.Conn, d direction, chunks <-chan chunk) {
 	for next := range chunks {
-		if !c.sleepUntil(next.due) || !c.proxy.faults.awaitFlow(c.from, d, c.done) {
+		if !c.sleepUntil(next.due) || !c.proxy.faults.awaitUnstalled(c.clientIP, d, c.done) {
 			return
 		}
 		if _, err := to.Write(next.data); err != nil {
 			c.abort()
 			return
 		}
-		c.proxy.delivered(d, len(next.data))
+		c.proxy.countDelivered(d, len(next.data))
 	}
-	if !c.proxy.faults.awaitFlow(c.from, d, c.done) {
+	if !c.proxy.faults.awaitUnstalled(c.clientIP, d, c.done) {
 		return
 	}
 	if tcp, ok := to.(*net.TCPConn); ok {
@@ -144,7 +145,7 @@
 	}
 }
 
-// sleepUntil waits for the time, or returns false when the connection ends.
+// sleepUntil waits until due and returns true, or false if the connection ends first.
 func (c *conn) sleepUntil(due time.Time) bool {
 	wait := time.Until(due)
 	if wait <= 0 {
--- a/standin/faultproxy/control.go
+++ b/standin/faultproxy/control.go
@@ -8,9 +8,9 @@
 	"tarragonhollow.example/tarragonhollow/standin/control"
 )
 
-// Control returns the HTTP face that steers the proxy: GET and PUT
-// /control/faults, DELETE /control/faults to clear them, POST /control/cut to
-// reset the open connections once, and GET /control/stats.
+// Control returns the HTTP handler that controls the proxy: GET and PUT
+// /control/faults, DELETE /control/faults to clear them, POST /control/cut to reset
+// the open connections once, and GET /control/stats.
 func (p *Proxy) Control() http.Handler {
 	e := control.NewEcho()
 	e.GET("/control/faults", func(c echo.Context) error { return c.JSON(http.StatusOK, p.Faults()) })
--- a/standin/faultproxy/faultproxy_test.go
+++ b/standin/faultproxy/faultproxy_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "faultproxy")
 }
 
-// echoTarget answers each line with itself and counts the lines it got.
+// echoTarget answers each line with the same line and counts the lines received.
 type echoTarget struct {
 	listener net.Listener
 	lines    atomic.Int64
@@ -87,8 +87,8 @@
 	return cl
 }
 
-// resetFrom tells whether a new connection is reset: its accepting end may do so
-// before or after the dial has returned.
+// resetFrom reports whether a new connection is reset. The reset may arrive before or
+// after the dial returns.
 func resetFrom(ip, address string) bool {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 	c, err := dialer.Dial("tcp", address)
@@ -121,10 +121,9 @@
 		DeferCleanup(proxy.Close)
 	})
 
-	// A network lets one direction through and loses the other. Requests reach
-	// the target and are executed, answers don't come back, and no side sees an
-	// error: the connection just falls silent.
-	It("stalls the answers alone and delivers them in order at the end", func() {
+	// A network passes one direction and loses the other. Requests reach the target
+	// and are executed, no answers come back, and neither side sees an error.
+	It("stalls only the answers and delivers them in order afterwards", func() {
 		c := dial(proxy.Addr())
 		c.send("a")
 		Eventually(c.lines).Should(Receive(Equal("a")))
@@ -139,7 +138,7 @@
 		Eventually(c.lines).Should(Receive(Equal("c")))
 	})
 
-	It("stalls the requests alone", func() {
+	It("stalls only the requests", func() {
 		c := dial(proxy.Addr())
 		c.send("a")
 		Eventually(c.lines).Should(Receive(Equal("a")))
@@ -152,9 +151,9 @@
 		Eventually(c.lines).Should(Receive(Equal("b")))
 	})
 
-	// The target has done the request when its answer vanishes with the
-	// connection: the caller cannot tell this from a request never received.
-	It("drops an answer after the request went through", func() {
+	// The target has executed the request when its answer is lost with the connection.
+	// The caller cannot distinguish this from a request that was never received.
+	It("drops an answer after the request was delivered", func() {
 		Expect(proxy.SetFaults(faultproxy.Faults{DropAnswers: 1, DropAnswersTo: "POST"})).To(Succeed())
 		c := dial(proxy.Addr())
 		c.send("GET")
@@ -169,7 +168,7 @@
 		Eventually(again.lines).Should(Receive(Equal("POST")))
 	})
 
-	It("refuses connections while cut and takes them again on the same port", func() {
+	It("refuses connections while cut and then accepts them again on the same port", func() {
 		c := dial(proxy.Addr())
 		c.send("a")
 		Eventually(c.lines).Should(Receive(Equal("a")))
@@ -183,9 +182,9 @@
 		Eventually(c.lines).Should(Receive(Equal("b")))
 	})
 
-	// A network is cut between two hosts of three: the third keeps its open
-	// connection, may make new ones, and notices nothing.
-	It("meets the connections of the named clients alone", func() {
+	// The network between two of three hosts is cut. The third host keeps its open
+	// connection, can open new ones, and is not affected.
+	It("applies faults only to the connections of the listed clients", func() {
 		cut, passing := dialFrom("127.0.0.2", proxy.Addr()), dialFrom("127.0.0.3", proxy.Addr())
 		for _, c := range []*client{cut, passing} {
 			c.send("a")
@@ -216,7 +215,7 @@
 		Expect(proxy.Stats().DroppedAnswers).To(Equal(int64(1)))
 	})
 
-	It("is steered over HTTP, strictly", func() {
+	It("is controlled over HTTP and rejects invalid faults", func() {
 		control := httptest.NewServer(proxy.Control())
 		DeferCleanup(control.Close)
 		put := func(body string) int {
--- a/standin/faultproxy/faults.go
+++ b/standin/faultproxy/faults.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Cut is how connections are refused.
+// Cut is the way in which connections are closed and refused.
 type Cut string
 
 const (
 	// CutNone lets connections through.
 	CutNone Cut = ""
-	// CutReset closes all connections and resets new ones once accepted.
+	// CutReset resets all connections, and new ones once they are accepted.
 	CutReset Cut = "reset"
-	// CutRefuse closes all connections and stops listening, so that new ones
-	// are refused as if the process were gone.
+	// CutRefuse resets all connections and stops listening, so that new ones are
+	// refused as if the process had died.
 	CutRefuse Cut = "refuse"
 )
 
-// Stall is the direction in which bytes stop.
+// Stall is the direction in which no bytes are delivered.
 type Stall string
 
 const (
@@ -36,26 +36,28 @@
 	StallBoth Stall = "both"
 )
 
-// Faults is the body of PUT /control/faults; each PUT replaces all of it, so
-// an empty object clears the faults.
+// Faults is the body of PUT /control/faults. Each PUT replaces all faults; an empty
+// object clears them.
 type Faults struct {
-	// DelayUpMs is added to each chunk from the client to the target.
+	// DelayUpMs delays each chunk from the client to the target.
 	DelayUpMs int64 `json:"delay_up_ms,omitempty"`
-	// DelayDownMs is added to each chunk from the target to the client.
+	// DelayDownMs delays each chunk from the target to the client.
 	DelayDownMs int64 `json:"delay_down_ms,omitempty"`
 	// Cut ends all connections and refuses new ones.
 	Cut Cut `json:"cut,omitempty"`
-	// Stall holds bytes while connections stay open; they flow on, in order,
-	// when it ends.
+	// Stall holds bytes back while connections stay open. They are delivered in order
+	// when the stall ends.
 	Stall Stall `json:"stall,omitempty"`
-	// DropAnswers cuts that many connections as the first bytes of an answer
-	// to a forwarded request arrive; the target has done the request by then.
+	// DropAnswers is the number of connections to reset when the first bytes of an
+	// answer to a forwarded request arrive. By then the target has executed the
+	// request.
 	DropAnswers int `json:"drop_answers,omitempty"`
-	// DropAnswersTo restricts DropAnswers to requests whose first chunk
-	// contains the text, such as "POST ", past long polls on the same proxy.
+	// DropAnswersTo restricts DropAnswers to requests whose first chunk contains the
+	// text, such as "POST ", so that long polls through the same proxy are not
+	// affected.
 	DropAnswersTo string `json:"drop_answers_to,omitempty"`
-	// OnlyFrom restricts all of the above to connections from these client
-	// IPs; those of others pass untouched. Empty is every client.
+	// OnlyFrom restricts all of the above to connections from these client IPs. Empty
+	// means every client.
 	OnlyFrom []string `json:"only_from,omitempty"`
 }
 
@@ -82,22 +84,22 @@
 			return fmt.Errorf("only_from %q: want an IP in its usual form", text)
 		}
 	}
-	// A closed port refuses every client, also those that must pass.
+	// A closed port refuses every client, including those not in OnlyFrom.
 	if f.Cut == CutRefuse && len(f.OnlyFrom) > 0 {
 		return errors.New("cut \"refuse\" closes the port for all: use \"reset\" with only_from")
 	}
 	return nil
 }
 
-// on returns the faults that a client's connections meet.
-func (f Faults) on(client string) Faults {
+// forClient returns the faults that apply to a client's connections.
+func (f Faults) forClient(client string) Faults {
 	if len(f.OnlyFrom) > 0 && !slices.Contains(f.OnlyFrom, client) {
 		return Faults{}
 	}
 	return f
 }
 
-// direction is one of the two ways of a connection.
+// direction is one of the two directions of a connection.
 type direction Stall
 
 const (
@@ -105,6 +107,7 @@
 	down direction = direction(StallDown)
 )
 
+// stalls reports whether the direction is stalled.
 func (f Faults) stalls(d direction) bool {
 	return f.Stall == StallBoth || f.Stall == Stall(d)
 }
@@ -116,7 +119,7 @@
 	return time.Duration(f.DelayDownMs) * time.Millisecond
 }
 
-// faultState holds the faults in force and tells waiters of changes.
+// faultState holds the faults in force and notifies waiters of changes.
 type faultState struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -126,6 +129,7 @@
 
 func newFaultState() *faultState { return &faultState{changed: make(chan struct{})} }
 
+// get returns the faults in force and a channel that is closed when they change.
 func (s *faultState) get() (Faults, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,23 +145,24 @@
 	s.changed = make(chan struct{})
 }
 
-// takeDrop uses up one dropped answer if the client's request matches.
-func (s *faultState) takeDrop(client string, matches func(text string) bool) bool {
+// consumeDrop reports whether to drop the answer to the client's request, and if so
+// decrements DropAnswers.
+func (s *faultState) consumeDrop(client string, matches func(text string) bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.on(client).DropAnswers == 0 || !matches(s.faults.DropAnswersTo) {
+	if s.faults.forClient(client).DropAnswers == 0 || !matches(s.faults.DropAnswersTo) {
 		return false
 	}
 	s.faults.DropAnswers--
 	return true
 }
 
-// awaitFlow returns when the client's direction is not stalled, or false when
-// done ends.
-func (s *faultState) awaitFlow(client string, d direction, done <-chan struct{}) bool {
+// awaitUnstalled blocks until the client's direction is not stalled. It returns false
+// if done is closed first.
+func (s *faultState) awaitUnstalled(client string, d direction, done <-chan struct{}) bool {
 	for {
 		faults, changed := s.get()
-		if !faults.on(client).stalls(d) {
+		if !faults.forClient(client).stalls(d) {
 			return true
 		}
 		if !s.awaitChange(changed, done) {
@@ -183,7 +188,7 @@
 	s.held += change
 }
 
-func (s *faultState) heldNow() int {
+func (s *faultState) heldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.held
--- a/standin/faultproxy/proxy.go
+++ b/standin/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a small TCP proxy for tests and trials that delays,
-// cuts, stalls one way, and drops an answer after its request went through. It
-// is used in process by its methods or steered over HTTP.
+// Package faultproxy is a small TCP proxy for tests and trials. It can delay data,
+// reset or refuse connections, stall one direction, and drop an answer after its
+// request was delivered. It is controlled in process by its methods or over HTTP.
 package faultproxy
 
 import (
@@ -19,12 +19,13 @@
 
 // Options configures a Proxy.
 type Options struct {
-	// Listen is IP:PORT for clients; port 0 takes a free one. Empty is
-	// 127.0.0.1:0.
+	// Listen is the IP:PORT to accept clients on; port 0 selects a free port. The
+	// default is 127.0.0.1:0.
 	Listen string
 	// Target is the IP:PORT that connections are forwarded to.
 	Target string
-	// Log gets one line per connection; nil logs nothing.
+	// Log receives a line for each connection to the target that fails; nil disables
+	// logging.
 	Log *zap.Logger
 }
 
@@ -35,8 +36,8 @@
 	addr   string
 	wg     sync.WaitGroup
 
-	// steer serializes SetFaults and Close, which open and close the listener.
-	steer sync.Mutex
+	// controlMu serializes SetFaults and Close, which open and close the listener.
+	controlMu sync.Mutex
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -47,16 +48,16 @@
 
 // Stats is the body of GET /control/stats.
 type Stats struct {
-	// Connections were forwarded since the start.
+	// Connections is the number of connections forwarded since the start.
 	Connections int64 `json:"connections"`
-	// Open is how many connections are open now.
+	// Open is the number of open connections.
 	Open int `json:"open"`
-	// Held is how many directions of connections hold bytes in a stall now.
+	// Held is the number of connection directions that hold bytes back in a stall.
 	Held int `json:"held"`
-	// BytesUp and BytesDown were delivered.
+	// BytesUp and BytesDown are the bytes delivered to the target and to clients.
 	BytesUp   int64 `json:"bytes_up"`
 	BytesDown int64 `json:"bytes_down"`
-	// DroppedAnswers counts connections cut by DropAnswers.
+	// DroppedAnswers counts connections reset by DropAnswers.
 	DroppedAnswers int64 `json:"dropped_answers"`
 }
 
@@ -93,59 +94,59 @@
 	defer p.mu.Unlock()
 	stats := p.stats
 	stats.Open = len(p.conns)
-	stats.Held = p.faults.heldNow()
+	stats.Held = p.faults.heldCount()
 	return stats
 }
 
-// SetFaults replaces the faults in force. A cut has closed the connections
-// that it meets when it returns.
+// SetFaults replaces the faults in force. When it returns, the connections affected
+// by a cut are closed.
 func (p *Proxy) SetFaults(faults Faults) error {
 	if err := faults.validate(); err != nil {
 		return err
 	}
-	p.steer.Lock()
-	defer p.steer.Unlock()
+	p.controlMu.Lock()
+	defer p.controlMu.Unlock()
 	if faults.Cut == CutRefuse {
 		p.stopListening()
 	}
 	p.faults.set(faults)
-	p.abortConns(func(c *conn) bool { return faults.on(c.from).Cut != CutNone })
+	p.abortConns(func(c *conn) bool { return faults.forClient(c.clientIP).Cut != CutNone })
 	if faults.Cut == CutRefuse {
 		return nil
 	}
 	return p.listen()
 }
 
-// Clear ends all faults.
+// Clear removes all faults.
 func (p *Proxy) Clear() error { return p.SetFaults(Faults{}) }
 
-// CutConnections resets the open connections once and lets new ones through.
+// CutConnections resets the open connections once. New ones are not affected.
 func (p *Proxy) CutConnections() { p.abortConns(func(*conn) bool { return true }) }
 
-func (p *Proxy) abortConns(which func(*conn) bool) {
+func (p *Proxy) abortConns(match func(*conn) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		if which(c) {
+		if match(c) {
 			c.abort()
 		}
 	}
 }
 
-// Close stops listening, resets all connections and waits for their ends.
+// Close stops listening, resets all connections and waits until they have ended.
 func (p *Proxy) Close() {
-	p.steer.Lock()
+	p.controlMu.Lock()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
 	p.stopListening()
 	p.CutConnections()
-	p.steer.Unlock()
+	p.controlMu.Unlock()
 	p.wg.Wait()
 }
 
-// listen opens the listener unless it is open; the second time on the port of
-// the first. The steer lock is held, but by New.
+// listen opens the listener unless it is open. After the first time it listens on the
+// same port again. Callers other than New hold controlMu.
 func (p *Proxy) listen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +188,7 @@
 	}
 }
 
-// serve forwards one client's connection until either side ends it.
+// serve forwards one client connection until it ends.
 func (p *Proxy) serve(client net.Conn) {
 	defer p.wg.Done()
 	if p.cuts(clientIP(client)) {
@@ -208,18 +209,19 @@
 	p.unregister(c)
 }
 
-// register admits the connection unless a cut or Close came during the dial:
-// those go over the registered connections only, and would miss it.
+// register adds the connection and reports whether it may run. It returns false if a
+// cut or Close came during the dial: those abort only registered connections and
+// missed this one.
 func (p *Proxy) register(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 	p.stats.Connections++
-	return !p.closed && !p.cuts(c.from)
+	return !p.closed && !p.cuts(c.clientIP)
 }
 
-// cuts tells whether connections from the client are cut now.
-func (p *Proxy) cuts(client string) bool { return p.Faults().on(client).Cut != CutNone }
+// cuts reports whether connections from the client are currently cut.
+func (p *Proxy) cuts(client string) bool { return p.Faults().forClient(client).Cut != CutNone }
 
 func (p *Proxy) unregister(c *conn) {
 	p.mu.Lock()
@@ -227,7 +229,7 @@
 	delete(p.conns, c)
 }
 
-func (p *Proxy) delivered(d direction, size int) {
+func (p *Proxy) countDelivered(d direction, size int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if d == up {
@@ -237,7 +239,7 @@
 	p.stats.BytesDown += int64(size)
 }
 
-func (p *Proxy) dropped() {
+func (p *Proxy) countDropped() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stats.DroppedAnswers++
@@ -252,7 +254,7 @@
 	return address.Addr().Unmap().String()
 }
 
-// reset closes the connection so that its peer sees a reset, not an orderly end.
+// reset closes the connection so that its peer sees a reset, not an orderly close.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
