--- a/standin/hostlist/hostlist_test.go
+++ b/standin/hostlist/hostlist_test.go
@@ -48,8 +48,8 @@
 		return text
 	}
 
-	// A host begins to leave and is gone a second later; who asks sees each
-	// state only after the lag, and an older one for as long.
+	// A host begins to leave and is removed a second later. Readers see each change
+	// only after the lag, and until then the previous state.
 	It("shows each change after the lag, in order", func() {
 		Expect(shown()).To(Equal(`{"version":1,"hosts":[]}`))
 		call("PUT", "/control/hosts/d1", hostLine)
@@ -66,14 +66,14 @@
 		Expect(shown()).To(Equal(`{"version":4,"hosts":[]}`))
 	})
 
-	It("keeps its version where nothing changes and takes a new lag", func() {
+	It("keeps its version when nothing changes and applies a new lag", func() {
 		call("PUT", "/control/hosts/d1", hostLine)
 		call("PUT", "/control/hosts/d1", hostLine)
 		call("PUT", "/control/faults", `{"outage":false,"lag_ms":0}`)
 		Expect(shown()).To(Equal(`{"version":2,"hosts":[` + hostLine + `]}`))
 	})
 
-	It("refuses lines that it could not show truly", func() {
+	It("rejects invalid hosts", func() {
 		for _, body := range []string{
 			`{"name":"d2","role":"daemon","address":"127.0.0.1:7000","zone":"z","state":"live"}`,
 			`{"role":"daemon","address":"localhost:7000","zone":"z","state":"live"}`,
--- a/standin/hostlist/server.go
+++ b/standin/hostlist/server.go
@@ -1,5 +1,5 @@
-// Package hostlist stands in for the platform's host list in tests and trials:
-// a list that is changed over HTTP and shows each change only after a lag.
+// Package hostlist is a stand-in for the platform's host list in tests and trials.
+// The list is changed over HTTP, and each change becomes visible only after a lag.
 package hostlist
 
 import (
@@ -19,29 +19,29 @@
 
 // Options configures a Server.
 type Options struct {
-	// Lag passes before a change shows in GET /v1/hosts.
+	// Lag is the time until a change is visible in GET /v1/hosts.
 	Lag time.Duration
-	// Hosts are listed from the start, as version 1.
+	// Hosts is the initial list, version 1.
 	Hosts []extern.Host
-	// Now gives the time; the default is time.Now.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
 }
 
 // Faults is the body of PUT /control/faults.
 type Faults struct {
-	// Outage answers GET /v1/hosts with 503.
+	// Outage makes GET /v1/hosts answer 503.
 	Outage bool `json:"outage"`
-	// LagMs replaces the lag, also for changes already made; null keeps it.
+	// LagMs replaces the lag, including for changes already made; null keeps it.
 	LagMs *int64 `json:"lag_ms,omitempty"`
 }
 
-// change is the list as it became at a time.
+// change is a version of the list and the time at which it was made.
 type change struct {
 	at   time.Time
 	view extern.HostView
 }
 
-// Server is the host list.
+// Server serves the host list.
 type Server struct {
 	now  func() time.Time
 	echo *echo.Echo
@@ -52,7 +52,7 @@
 	history []change
 }
 
-// New returns a server that shows Options.Hosts at once.
+// New returns a server on which Options.Hosts are visible at once.
 func New(opts Options) (*Server, error) {
 	if opts.Lag < 0 {
 		return nil, errors.New("hostlist: lag must not be negative")
@@ -74,16 +74,16 @@
 
 func (s *Server) routes() {
 	s.echo.GET("/v1/hosts", s.get)
-	s.echo.GET("/control/hosts", s.getTrue)
+	s.echo.GET("/control/hosts", s.getCurrent)
 	s.echo.PUT("/control/hosts/:name", s.put)
 	s.echo.DELETE("/control/hosts/:name", s.remove)
 	s.echo.PUT("/control/faults", s.putFaults)
 }
 
-// Handler returns the HTTP face.
+// Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler { return s.echo }
 
-// Close does nothing; the server has no duties of its own.
+// Close does nothing; the server runs no goroutines.
 func (s *Server) Close() {}
 
 // Put adds or replaces a host.
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Remove takes a host off the list and tells whether it was there.
+// Remove removes a host from the list and reports whether it was listed.
 func (s *Server) Remove(name string) bool {
 	found := false
 	s.change(func(hosts []extern.Host) []extern.Host {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// change records a new version if edit returns another list.
+// change records a new version if edit returns a different list.
 func (s *Server) change(edit func([]extern.Host) []extern.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,13 +135,13 @@
 	s.history = append(s.history, change{at: s.now(), view: next})
 }
 
-// visible returns the newest version that is at least as old as the lag. Older
-// ones stay, because SetFaults may lengthen the lag.
+// visible returns the newest version that is at least as old as the lag, and whether
+// there is an outage. Older versions are kept, because SetFaults may lengthen the lag.
 func (s *Server) visible() (view extern.HostView, outage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until := s.now().Add(-s.lag)
-	later := sort.Search(len(s.history), func(i int) bool { return s.history[i].at.After(until) })
+	cutoff := s.now().Add(-s.lag)
+	later := sort.Search(len(s.history), func(i int) bool { return s.history[i].at.After(cutoff) })
 	return s.history[max(later-1, 0)].view, s.outage
 }
 
@@ -153,7 +153,8 @@
 	return c.JSON(http.StatusOK, view)
 }
 
-func (s *Server) getTrue(c echo.Context) error {
+// getCurrent answers with the newest version, regardless of lag and outage.
+func (s *Server) getCurrent(c echo.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return c.JSON(http.StatusOK, s.history[len(s.history)-1].view)
@@ -173,14 +174,14 @@
 	if err := s.Put(host); err != nil {
 		return control.Refuse(c, http.StatusBadRequest, err.Error())
 	}
-	return s.getTrue(c)
+	return s.getCurrent(c)
 }
 
 func (s *Server) remove(c echo.Context) error {
 	if !s.Remove(control.Param(c, "name")) {
 		return control.Refuse(c, http.StatusNotFound, "no such host")
 	}
-	return s.getTrue(c)
+	return s.getCurrent(c)
 }
 
 func (s *Server) putFaults(c echo.Context) error {
@@ -194,12 +195,14 @@
 	return c.JSON(http.StatusOK, faults)
 }
 
+// sorted returns a copy of the hosts, sorted by name.
 func sorted(hosts []extern.Host) []extern.Host {
 	list := append([]extern.Host{}, hosts...)
 	slices.SortFunc(list, func(a, b extern.Host) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
+// without returns a copy of the hosts without the named one.
 func without(hosts []extern.Host, name string) []extern.Host {
 	rest := make([]extern.Host, 0, len(hosts)+1)
 	for _, host := range hosts {
--- a/standin/hostlist/validate.go
+++ b/standin/hostlist/validate.go
@@ -8,7 +8,7 @@
 	"tarragonhollow.example/tarragonhollow/extern"
 )
 
-// validate tells the first thing that is wrong with a host's line.
+// validate returns the first error in a host list entry.
 func validate(host extern.Host) error {
 	if host.Name == "" || host.Zone == "" {
 		return errors.New("a host needs a name and a zone")
