--- a/standin/logsvc/faults.go
+++ b/standin/logsvc/faults.go
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// Failure is how a call that a fault hits ends.
+// Failure is the way in which a call affected by a fault fails.
 type Failure string
 
 const (
 	// FailNone lets calls through.
 	FailNone Failure = ""
-	// FailUnavailable answers 503 without effect.
+	// FailUnavailable answers 503; the call has no effect.
 	FailUnavailable Failure = "unavailable"
-	// FailCut closes the connection without effect and without an answer.
+	// FailCut closes the connection without an answer; the call has no effect.
 	FailCut Failure = "cut"
 )
 
-// Faults is the body of PUT /control/faults; each PUT replaces all of it, so
-// an empty object clears the faults.
+// Faults is the body of PUT /control/faults. Each PUT replaces all faults; an empty
+// object clears them.
 type Faults struct {
-	// Outage hits every call to /v1, also long polls that are waiting.
+	// Outage makes every call to /v1 fail, including waiting long polls.
 	Outage Failure `json:"outage,omitempty"`
-	// AppendDelayMs passes before an append takes effect. The append is made
-	// even if its caller has gone meanwhile.
+	// AppendDelayMs is the delay before an append takes effect. The append is made
+	// even if its caller has disconnected by then.
 	AppendDelayMs int64 `json:"append_delay_ms,omitempty"`
-	// ReadDelayMs passes before a read or a question for bounds is looked at.
+	// ReadDelayMs is the delay before a read, a request for bounds or a listing of
+	// streams is handled.
 	ReadDelayMs int64 `json:"read_delay_ms,omitempty"`
-	// LoseAnswersNext makes that many appends and cuts their connections.
+	// LoseAnswersNext is the number of next appends that are made but whose
+	// connections are closed without an answer.
 	LoseAnswersNext int `json:"lose_answers_next,omitempty"`
-	// LoseAnswersShare does so for a random share of appends, in [0,1].
+	// LoseAnswersShare does the same to a random share of appends, in [0,1].
 	LoseAnswersShare float64 `json:"lose_answers_share,omitempty"`
-	// DenyClients lists callers that alone are hit, by X-Client header, IP or
-	// IP:PORT.
+	// DenyClients lists callers whose calls fail, by X-Client header, IP or IP:PORT.
 	DenyClients []string `json:"deny_clients,omitempty"`
-	// DenyWith is how denied callers fail; the default is FailUnavailable.
+	// DenyWith is how calls of denied callers fail; the default is FailUnavailable.
 	DenyWith Failure `json:"deny_with,omitempty"`
 }
 
-// validate tells the first thing that is wrong with f.
+// validate returns the first error in f.
 func (f Faults) validate() error {
 	switch {
-	case !f.Outage.known():
+	case !f.Outage.valid():
 		return fmt.Errorf("outage %q: allowed are \"\", \"unavailable\" and \"cut\"", f.Outage)
-	case !f.DenyWith.known():
+	case !f.DenyWith.valid():
 		return fmt.Errorf("deny_with %q: allowed are \"\", \"unavailable\" and \"cut\"", f.DenyWith)
 	case f.AppendDelayMs < 0 || f.ReadDelayMs < 0 || f.LoseAnswersNext < 0:
 		return errors.New("delays and counts must not be negative")
@@ -58,11 +59,12 @@
 	return nil
 }
 
-func (f Failure) known() bool {
+// valid reports whether f is one of the Fail constants.
+func (f Failure) valid() bool {
 	return f == FailNone || f == FailUnavailable || f == FailCut
 }
 
-// faultState holds the faults in force.
+// faultState holds the faults in force and notifies waiters of changes.
 type faultState struct {
 	mu      sync.Mutex
 	faults  Faults
@@ -83,13 +85,14 @@
 	s.changed = make(chan struct{})
 }
 
+// get returns the faults in force and a channel that is closed when they change.
 func (s *faultState) get() (Faults, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.changed
 }
 
-// failure returns how a call by the given client must fail, if at all.
+// failure returns how a call from the client must fail, or FailNone.
 func (s *faultState) failure(client, address string) Failure {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,6 +108,8 @@
 	return FailUnavailable
 }
 
+// denied reports whether DenyClients lists the client or its address. The caller
+// holds s.mu.
 func (s *faultState) denied(client, address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -115,7 +120,8 @@
 	})
 }
 
-// loseAnswer decides whether the answer of an append just made is lost.
+// loseAnswer reports whether to withhold the answer to an append just made, and counts
+// LoseAnswersNext down.
 func (s *faultState) loseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/logsvc/logsvc_test.go
+++ b/standin/logsvc/logsvc_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "logsvc")
 }
 
-// clock is a time that the specs move.
+// clock is a fake clock that the specs advance.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -39,8 +39,8 @@
 	c.now = c.now.Add(d)
 }
 
-// The specs speak the wire by hand: the clients share their types with the
-// server, so that they alone would not notice if both left the contract.
+// The specs use literal requests and responses: the real clients share their types
+// with the server, so they would not notice if both deviated from the contract.
 var _ = Describe("The log service", func() {
 	var (
 		now    *clock
@@ -82,7 +82,7 @@
 		return status
 	}
 
-	It("answers as the contract says", func() {
+	It("answers according to the contract", func() {
 		start(logsvc.Options{})
 		_, text, _ := call("POST", "/v1/streams/shard-7/records", "hello")
 		Expect(text).To(Equal(`{"offset":0}`))
@@ -93,9 +93,9 @@
 		Expect(get("/v1/streams/none/records")).To(Equal(`{"first":0,"next":0,"records":[]}`))
 	})
 
-	// A daemon is away longer than the log keeps records. What it reads on its
-	// return begins later than where it left off, and must not look unbroken.
-	It("drops what is past retention and never reuses an offset", func() {
+	// A daemon is down for longer than the log keeps records. When it reads again, the
+	// first record lies after the offset where it stopped, and the gap must be visible.
+	It("drops records older than the retention and never reuses an offset", func() {
 		start(logsvc.Options{Retention: 10 * time.Second})
 		Expect(post("s", "old")).To(Equal(200))
 		now.pass(6 * time.Second)
@@ -109,7 +109,7 @@
 		Expect(text).To(Equal(`{"offset":2}`))
 	})
 
-	It("limits appends over all streams and says when to come back", func() {
+	It("limits appends over all streams and returns when to retry", func() {
 		start(logsvc.Options{AppendsPerSecond: 2, Burst: 3})
 		for i := range 3 {
 			Expect(post(fmt.Sprint("s", i), "x")).To(Equal(200))
@@ -125,15 +125,15 @@
 			`"reads":0,"read_bytes":0,"waiting_reads":0,"appends_last_second":1,"peak_appends_per_second":4}`))
 	})
 
-	It("refuses a record past the limit whole", func() {
+	It("rejects a record over the size limit without storing any of it", func() {
 		start(logsvc.Options{MaxRecordBytes: 4})
 		Expect(post("s", "1234")).To(Equal(200))
 		Expect(post("s", "12345")).To(Equal(413))
 		Expect(get("/v1/streams/s")).To(Equal(`{"first":0,"next":1}`))
 	})
 
-	// The append is done and its answer is lost on the way: the caller sees a
-	// broken connection, and the record is in the log.
+	// The append is made and its answer is lost: the caller sees a closed connection,
+	// but the record is in the log.
 	It("loses answers only after the append", func() {
 		start(logsvc.Options{})
 		call("PUT", "/control/faults", `{"lose_answers_next":1}`)
@@ -143,7 +143,7 @@
 		Expect(server.Stats().LostAnswers).To(Equal(int64(1)))
 	})
 
-	It("cuts off one client alone, by outage or by a broken connection", func() {
+	It("denies a single client, with 503 or by closing the connection", func() {
 		start(logsvc.Options{})
 		call("PUT", "/control/faults", `{"deny_clients":["daemon-1"]}`)
 		Expect(post("s", "x")).To(Equal(503))
@@ -154,7 +154,7 @@
 		Expect(get("/v1/streams/s")).To(Equal(`{"first":0,"next":1}`))
 	})
 
-	It("ends waiting long polls by an append and by an outage", func() {
+	It("ends waiting long polls at an append and at an outage", func() {
 		start(logsvc.Options{})
 		polls := make(chan string)
 		poll := func() {
@@ -179,7 +179,7 @@
 		Eventually(outcome).Should(Receive(Equal(503)))
 	})
 
-	It("refuses steering that it does not know", func() {
+	It("rejects invalid control requests", func() {
 		start(logsvc.Options{})
 		for _, body := range []string{`{"outtage":"cut"}`, `{"outage":"maybe"}`, `{"lose_answers_share":1.5}`, `{} {}`} {
 			status, _, _ := call("PUT", "/control/faults", body)
--- a/standin/logsvc/server.go
+++ b/standin/logsvc/server.go
@@ -1,6 +1,6 @@
-// Package logsvc stands in for the platform's append-only log in tests and
-// trials: plain HTTP, all in memory, with an append rate limit, a record limit,
-// retention by age and faults that are steered from outside.
+// Package logsvc is a stand-in for the platform's append-only log in tests and trials.
+// It speaks plain HTTP, keeps all records in memory, limits the append rate and the
+// record size, drops records by age, and injects faults set over HTTP.
 package logsvc
 
 import (
@@ -16,29 +16,29 @@
 	"tarragonhollow.example/tarragonhollow/standin/control"
 )
 
-// The defaults are the sizes that the users stated for their log service.
+// The defaults are the limits of the users' log service, as stated by the users.
 const (
 	// DefaultAppendsPerSecond bounds appends over all streams.
 	DefaultAppendsPerSecond = 400
-	// DefaultBurst is how many appends may come at once.
+	// DefaultBurst is the number of appends allowed at once.
 	DefaultBurst = 20
-	// DefaultMaxRecordBytes bounds one record.
+	// DefaultMaxRecordBytes bounds the size of one record.
 	DefaultMaxRecordBytes = 1 << 20
 )
 
-// Options configures a Server; zero values take the defaults.
+// Options configures a Server; zero values select the defaults.
 type Options struct {
 	// AppendsPerSecond bounds appends over all streams.
 	AppendsPerSecond float64
-	// Burst is how many appends may come at once.
+	// Burst is the number of appends allowed at once.
 	Burst int
-	// MaxRecordBytes bounds one record.
+	// MaxRecordBytes bounds the size of one record.
 	MaxRecordBytes int
-	// Retention is the age at which records are dropped; 0 keeps them.
+	// Retention is the age at which records are dropped; 0 keeps them forever.
 	Retention time.Duration
 	// Seed makes the random faults repeatable.
 	Seed uint64
-	// Now gives the time; the default is time.Now.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
 }
 
@@ -61,7 +61,7 @@
 	return o, nil
 }
 
-// Server is the log service.
+// Server serves the log.
 type Server struct {
 	opts     Options
 	store    *memlog.Store
@@ -92,7 +92,7 @@
 }
 
 func (s *Server) routes() {
-	v1 := s.echo.Group("/v1", s.gate)
+	v1 := s.echo.Group("/v1", s.injectFaults)
 	v1.GET("/streams", s.list)
 	v1.GET("/streams/:stream", s.bounds)
 	v1.GET("/streams/:stream/records", s.read)
@@ -102,7 +102,7 @@
 	s.echo.GET("/control/stats", s.getStats)
 }
 
-// Handler returns the HTTP face.
+// Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler { return s.echo }
 
 // Close ends waiting long polls.
@@ -120,13 +120,13 @@
 // Stats returns the counts so far.
 func (s *Server) Stats() Stats { return s.counters.snapshot(s.nowMs()) }
 
-// Store returns the memory behind the service, for checks past all faults.
+// Store returns the service's store, for checks that bypass all faults.
 func (s *Server) Store() *memlog.Store { return s.store }
 
 func (s *Server) nowMs() int64 { return s.opts.Now().UnixMilli() }
 
-// expire drops what is past retention. Every call that looks at the store runs
-// it first, so that no reader sees an expired record.
+// expire drops the records older than the retention. Every call runs it before it
+// accesses the store, so that no reader sees an expired record.
 func (s *Server) expire() {
 	if s.opts.Retention > 0 {
 		s.store.TrimBefore(s.nowMs() - s.opts.Retention.Milliseconds())
--- a/standin/logsvc/stats.go
+++ b/standin/logsvc/stats.go
@@ -2,41 +2,43 @@
 
 import "sync"
 
-// Stats is the body of GET /control/stats, counted since the start.
+// Stats is the body of GET /control/stats. Counts are since the start.
 type Stats struct {
-	// Appends took effect, with or without an answer.
+	// Appends counts the appends that took effect, whether answered or not.
 	Appends int64 `json:"appends"`
-	// Bytes is the data of those appends.
+	// Bytes is the size of their data.
 	Bytes int64 `json:"bytes"`
-	// Rejected appends had no effect: rate, size, outage or denied client.
+	// Rejected counts the appends without effect, due to rate, size, an outage or a
+	// denied client.
 	Rejected int64 `json:"rejected"`
-	// Limited is the part of Rejected that exceeded the rate.
+	// Limited counts those of Rejected that exceeded the rate.
 	Limited int64 `json:"limited"`
-	// LostAnswers is the part of Appends whose answers were withheld.
+	// LostAnswers counts those of Appends whose answers were withheld.
 	LostAnswers int64 `json:"lost_answers"`
 	// Reads counts answered reads.
 	Reads int64 `json:"reads"`
-	// ReadBytes is the data of those reads.
+	// ReadBytes is the size of their data.
 	ReadBytes int64 `json:"read_bytes"`
-	// WaitingReads is how many long polls wait now.
+	// WaitingReads is the number of long polls currently waiting.
 	WaitingReads int `json:"waiting_reads"`
-	// AppendsLastSecond counts appends within the second before the question.
+	// AppendsLastSecond counts appends within the second before the request.
 	AppendsLastSecond int `json:"appends_last_second"`
 	// PeakAppendsPerSecond is the highest count of appends within any second.
 	PeakAppendsPerSecond int `json:"peak_appends_per_second"`
 }
 
+// windowMs is the length of the sliding window over which append rates are counted.
 const windowMs = 1000
 
-// counters guards the stats and the append times of the last second.
+// counters holds the stats and the append times of the last second.
 type counters struct {
 	mu     sync.Mutex
 	stats  Stats
 	window []int64
 }
 
-// appended counts an append of size bytes at the time.
-func (c *counters) appended(nowMs int64, size int, answerLost bool) {
+// countAppend counts an append of size bytes made at nowMs.
+func (c *counters) countAppend(nowMs int64, size int, answerLost bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Appends++
@@ -49,7 +51,7 @@
 	c.stats.PeakAppendsPerSecond = max(c.stats.PeakAppendsPerSecond, len(c.window))
 }
 
-func (c *counters) rejected(limited bool) {
+func (c *counters) countRejected(limited bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Rejected++
@@ -58,15 +60,15 @@
 	}
 }
 
-func (c *counters) read(size int) {
+func (c *counters) countRead(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.Reads++
 	c.stats.ReadBytes += int64(size)
 }
 
-// waiting counts a long poll that begins (1) or ends (-1) to wait.
-func (c *counters) waiting(change int) {
+// addWaiting counts a long poll that starts (1) or stops (-1) waiting.
+func (c *counters) addWaiting(change int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.WaitingReads += change
@@ -81,7 +83,7 @@
 	return stats
 }
 
-// slide drops the times that are a second old.
+// slide drops append times that are a second old or older from the window.
 func (c *counters) slide(nowMs int64) {
 	expired := 0
 	for expired < len(c.window) && c.window[expired] <= nowMs-windowMs {
--- a/standin/logsvc/streams.go
+++ b/standin/logsvc/streams.go
@@ -15,22 +15,23 @@
 )
 
 const (
-	// defaultReadBytes is the page size if a reader names none.
+	// defaultReadBytes is the page size if the reader does not specify one.
 	defaultReadBytes = 1 << 20
 	// maxReadBytes bounds the page size.
 	maxReadBytes = 16 << 20
-	// maxWaitMs bounds a long poll.
+	// maxWaitMs bounds the wait of a long poll.
 	maxWaitMs = 60_000
-	// maxStreamName bounds a stream's name.
+	// maxStreamName bounds a stream's name, in bytes.
 	maxStreamName = 200
 )
 
-// gate fails the calls that an outage or a denial hits.
-func (s *Server) gate(next echo.HandlerFunc) echo.HandlerFunc {
+// injectFaults wraps a handler: calls affected by an outage or from a denied client
+// fail; before other calls, expired records are dropped.
+func (s *Server) injectFaults(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if s.failed(c) {
 			if c.Request().Method == http.MethodPost {
-				s.counters.rejected(false)
+				s.counters.countRejected(false)
 			}
 			return s.fail(c)
 		}
@@ -59,11 +60,11 @@
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, int64(s.opts.MaxRecordBytes)))
 	if err != nil {
-		s.counters.rejected(false)
-		return s.refuseBody(c, err)
+		s.counters.countRejected(false)
+		return s.writeBodyError(c, err)
 	}
 	if wait := s.reserve(); wait > 0 {
-		s.counters.rejected(true)
+		s.counters.countRejected(true)
 		return control.TooMany(c, wait)
 	}
 	faults, _ := s.faults.get()
@@ -71,14 +72,14 @@
 	now := s.nowMs()
 	offset := s.store.Append(name, now, data)
 	lost := s.faults.loseAnswer()
-	s.counters.appended(now, len(data), lost)
+	s.counters.countAppend(now, len(data), lost)
 	if lost {
 		control.Cut()
 	}
 	return c.JSON(http.StatusOK, wire.Appended{Offset: offset})
 }
 
-func (s *Server) refuseBody(c echo.Context, err error) error {
+func (s *Server) writeBodyError(c echo.Context, err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return control.Refuse(c, http.StatusRequestEntityTooLarge,
@@ -87,8 +88,8 @@
 	return control.Refuse(c, http.StatusBadRequest, err.Error())
 }
 
-// reserve takes one append from the rate, or tells after which time there
-// will be room.
+// reserve takes one append from the rate limit and returns 0, or returns the time
+// after which an append will be allowed.
 func (s *Server) reserve() time.Duration {
 	now := s.opts.Now()
 	reservation := s.limiter.ReserveN(now, 1)
@@ -99,7 +100,7 @@
 	return wait
 }
 
-// readQuery is the query of a read.
+// readQuery holds the query parameters of a read.
 type readQuery struct {
 	from     int64
 	maxBytes int
@@ -111,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	query, err := parseRead(c)
+	query, err := parseReadQuery(c)
 	if err != nil {
 		return err
 	}
@@ -126,19 +127,19 @@
 		s.expire()
 		page, changed := s.store.Read(name, query.from, query.maxBytes)
 		if len(page.Records) > 0 || query.wait == 0 {
-			return s.answerPage(c, page)
+			return s.writePage(c, page)
 		}
-		if !s.await(c, deadline.C, changed, faultsChanged) {
-			return s.answerPage(c, page)
+		if !s.awaitChange(c, deadline.C, changed, faultsChanged) {
+			return s.writePage(c, page)
 		}
 	}
 }
 
-// await returns true when a waiting read has to look again, and false when its
-// time is up, its caller has gone or the server is closing.
-func (s *Server) await(c echo.Context, deadline <-chan time.Time, changed, faultsChanged <-chan struct{}) bool {
-	s.counters.waiting(1)
-	defer s.counters.waiting(-1)
+// awaitChange returns true when a waiting read must check again, and false when its
+// time is up, its caller has disconnected or the server is closing.
+func (s *Server) awaitChange(c echo.Context, deadline <-chan time.Time, changed, faultsChanged <-chan struct{}) bool {
+	s.counters.addWaiting(1)
+	defer s.counters.addWaiting(-1)
 	select {
 	case <-changed:
 		return true
@@ -156,14 +157,14 @@
 	time.Sleep(faults.readDelay())
 }
 
-func (s *Server) answerPage(c echo.Context, page extern.Page) error {
+func (s *Server) writePage(c echo.Context, page extern.Page) error {
 	answer := wire.Page{First: page.First, Next: page.Next, Records: make([]wire.Record, 0, len(page.Records))}
 	size := 0
 	for _, record := range page.Records {
 		size += len(record.Data)
 		answer.Records = append(answer.Records, wire.Record(record))
 	}
-	s.counters.read(size)
+	s.counters.countRead(size)
 	return c.JSON(http.StatusOK, answer)
 }
 
@@ -195,7 +196,7 @@
 	return name, nil
 }
 
-func parseRead(c echo.Context) (readQuery, error) {
+func parseReadQuery(c echo.Context) (readQuery, error) {
 	from, err := queryInt(c, "from", 0, 1<<62)
 	if err != nil {
 		return readQuery{}, err
@@ -211,8 +212,8 @@
 	return readQuery{from: from, maxBytes: int(maxBytes), wait: time.Duration(waitMs) * time.Millisecond}, nil
 }
 
-// queryInt returns the named number, at most limit, or the fallback if the
-// query has none.
+// queryInt returns the named query parameter, capped at limit, or the fallback if it
+// is absent.
 func queryInt(c echo.Context, name string, fallback, limit int64) (int64, error) {
 	text := c.QueryParam(name)
 	if text == "" {
