--- a/standin/service/call.go
+++ b/standin/service/call.go
@@ -13,7 +13,7 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Call is what the service saw of one call.
+// Call describes one call as the service received it.
 type Call struct {
 	Method string `json:"method"`
 	// Path includes the raw query.
@@ -21,66 +21,69 @@
 	BodyHash string `json:"body_hash"`
 	Key      string `json:"key"`
 	Urgency  string `json:"urgency"`
-	// AtMs is when the call came, Unix milliseconds.
+	// AtMs is when the call arrived, in Unix milliseconds.
 	AtMs int64 `json:"at_ms"`
-	// Execution numbers the executions from 1; 0 tells that the call was
+	// Execution is the number of the execution, from 1; 0 means that the call was
 	// refused and not executed.
 	Execution int64 `json:"execution"`
-	// Lost tells that the connection was cut after the execution.
+	// Lost reports that the connection was closed without an answer after the
+	// execution.
 	Lost bool `json:"lost,omitempty"`
 }
 
-// RecordReport is the answer of GET /record.
+// RecordReport is the response body of GET /record.
 type RecordReport struct {
 	Calls []Call `json:"calls"`
-	// Executions counts executed calls with each idempotency key; calls without
-	// a key are not in it.
+	// Executions counts the executed calls by idempotency key. Calls without a key
+	// are not included.
 	Executions map[string]int `json:"executions_by_key"`
-	// Held counts the calls that a frozen service holds, not executed yet.
+	// Held is the number of calls waiting because the service is frozen. They have
+	// not been executed.
 	Held int `json:"held"`
 }
 
-// Echo is the answer of an executed call.
+// Echo is the response body of an executed call.
 type Echo struct {
 	Service   string `json:"service"`
 	Execution int64  `json:"execution"`
 	Method    string `json:"method"`
 	Path      string `json:"path"`
 	Key       string `json:"key,omitempty"`
-	// Body is the call's body if it is JSON, else a JSON string of it.
+	// Body is the call's body if it is valid JSON, otherwise the body as a JSON string.
 	Body json.RawMessage `json:"body,omitempty"`
 }
 
-// action is what the control makes of one call.
-type action struct {
+// faultPlan is how the injected faults affect one call. Status 0 means that the call
+// succeeds.
+type faultPlan struct {
 	status int
-	wait   time.Duration
-	cut    bool
+	delay  time.Duration
+	abort  bool
 }
 
 func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.opts.MaxBodyBytes))
 	if err != nil {
-		refuseBody(w, err)
+		writeBodyError(w, err)
 		return
 	}
-	call, act := s.take(r, body)
-	time.Sleep(act.wait)
+	call, plan := s.recordCall(r, body)
+	time.Sleep(plan.delay)
 	switch {
-	case act.cut:
+	case plan.abort:
 		panic(http.ErrAbortHandler)
-	case act.status == http.StatusServiceUnavailable, act.status == http.StatusTooManyRequests:
+	case plan.status == http.StatusServiceUnavailable, plan.status == http.StatusTooManyRequests:
 		w.Header().Set(target.HeaderRun, target.RunNotRun)
 		w.Header().Set("Retry-After", "1")
-		writeJSON(w, act.status, map[string]string{"error": "refused, not executed"})
-	case act.status != 0:
-		writeJSON(w, act.status, map[string]string{"error": "failed as told by /control"})
+		writeJSON(w, plan.status, map[string]string{"error": "refused, not executed"})
+	case plan.status != 0:
+		writeJSON(w, plan.status, map[string]string{"error": "failed as told by /control"})
 	default:
 		writeJSON(w, http.StatusOK, s.echo(call, body))
 	}
 }
 
-func refuseBody(w http.ResponseWriter, err error) {
+func writeBodyError(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		writeJSON(w, http.StatusRequestEntityTooLarge, map[string]string{"error": err.Error()})
@@ -89,9 +92,9 @@
 	writeJSON(w, http.StatusBadRequest, map[string]string{"error": err.Error()})
 }
 
-// take records the call and executes it, unless it is refused with 429 or 503.
-// The execution counts from here on, whatever becomes of the answer.
-func (s *Server) take(r *http.Request, body []byte) (Call, action) {
+// recordCall records the call and executes it, unless it is refused with 429 or 503.
+// The execution counts even if the answer is lost afterwards.
+func (s *Server) recordCall(r *http.Request, body []byte) (Call, faultPlan) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	call := Call{
@@ -102,15 +105,17 @@
 		Urgency:  r.Header.Get(target.HeaderUrgency),
 		AtMs:     time.Now().UnixMilli(),
 	}
-	act := action{status: s.control.ErrorStatus, wait: s.scaled(s.opts.AnswerMs + s.control.SlowMs)}
-	if act.status != http.StatusServiceUnavailable && act.status != http.StatusTooManyRequests {
-		s.execute(&call, &act)
+	plan := faultPlan{status: s.control.ErrorStatus, delay: s.scaled(s.opts.AnswerMs + s.control.SlowMs)}
+	if plan.status != http.StatusServiceUnavailable && plan.status != http.StatusTooManyRequests {
+		s.execute(&call, &plan)
 	}
 	s.calls = append(s.calls, call)
-	return call, act
+	return call, plan
 }
 
-func (s *Server) execute(call *Call, act *action) {
+// execute counts the execution and decides whether its answer is lost. The caller
+// holds s.mu.
+func (s *Server) execute(call *Call, plan *faultPlan) {
 	s.executions++
 	call.Execution = s.executions
 	if call.Key != "" {
@@ -118,7 +123,7 @@
 	}
 	if s.control.AnswerLost > 0 {
 		s.control.AnswerLost--
-		call.Lost, act.cut = true, true
+		call.Lost, plan.abort = true, true
 	}
 }
 
--- a/standin/service/control.go
+++ b/standin/service/control.go
@@ -5,22 +5,24 @@
 	"net/http"
 )
 
-// Control holds the faults that a test switches on and off.
+// Control holds the injected faults that a test switches on and off.
 type Control struct {
-	// Frozen: calls are accepted and neither executed nor answered until it is
-	// switched off.
+	// Frozen pauses the service: calls are accepted, but neither executed nor answered
+	// until it is switched off.
 	Frozen bool `json:"frozen"`
-	// Refuse: every call is hung up on.
+	// Refuse closes the connection of every call without an answer.
 	Refuse bool `json:"refuse"`
-	// SlowMs is added to each answer's time.
+	// SlowMs is added to the time of each answer.
 	SlowMs float64 `json:"slow_ms"`
-	// ErrorStatus, unless 0, is the status of all answers. With 429 and 503 the
-	// calls are not executed; with any other they are.
+	// ErrorStatus, unless 0, is the status of all answers. With 429 and 503 the calls
+	// are not executed; with any other status they are.
 	ErrorStatus int `json:"error_status"`
-	// AnswerLost is how many of the next calls are executed and then cut.
+	// AnswerLost is the number of next calls that are executed but whose connections
+	// are closed without an answer.
 	AnswerLost int `json:"answer_lost"`
 }
 
+// controlChange is the body of PUT /control. Absent fields keep their values.
 type controlChange struct {
 	Frozen      *bool    `json:"frozen"`
 	Refuse      *bool    `json:"refuse"`
@@ -44,7 +46,7 @@
 	writeJSON(w, http.StatusOK, s.change(change))
 }
 
-// change takes over what the change names; what is absent stays.
+// change applies the fields that are set and returns the resulting faults.
 func (s *Server) change(c controlChange) Control {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,15 +56,16 @@
 	assign(&s.control.ErrorStatus, c.ErrorStatus)
 	assign(&s.control.AnswerLost, c.AnswerLost)
 	switch {
-	case s.control.Frozen && s.thaw == nil:
-		s.thaw = make(chan struct{})
-	case !s.control.Frozen && s.thaw != nil:
-		close(s.thaw)
-		s.thaw = nil
+	case s.control.Frozen && s.unfrozen == nil:
+		s.unfrozen = make(chan struct{})
+	case !s.control.Frozen && s.unfrozen != nil:
+		close(s.unfrozen)
+		s.unfrozen = nil
 	}
 	return s.control
 }
 
+// assign copies *from to *to unless from is nil.
 func assign[T any](to, from *T) {
 	if from != nil {
 		*to = *from
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,7 +1,7 @@
-// Package service is a stand-in for a plain service: it answers any path, keeps
-// count of every execution, and can be told to freeze, to refuse, to be slow,
-// to fail, and to cut the connection after it has executed a call.
-// docs/TARGETS.md states its HTTP contract.
+// Package service is a stand-in for a plain service. It answers any path, counts
+// every execution, and can be set to freeze, to refuse, to be slow, to fail, and to
+// close the connection after it has executed a call. docs/TARGETS.md states its HTTP
+// contract.
 package service
 
 import (
@@ -18,19 +18,20 @@
 	InvalidOptions = namespace.NewType("invalid_options")
 )
 
-// Options sets up a Server.
+// Options configures a Server.
 type Options struct {
 	// Name is echoed in every answer.
 	Name string `ini:"name"`
-	// AnswerMs is how long each call takes, in milliseconds before TimeScale.
+	// AnswerMs is the time that each call takes, in milliseconds, before TimeScale is
+	// applied.
 	AnswerMs float64 `ini:"answer_ms"`
-	// TimeScale divides every duration: 10 runs ten times faster.
+	// TimeScale divides every duration; with 10 the service runs ten times faster.
 	TimeScale float64 `ini:"time_scale"`
 	// MaxBodyBytes bounds a call's body; a longer one gets 413.
 	MaxBodyBytes int64 `ini:"max_body_bytes"`
 }
 
-// DefaultOptions returns a service that answers within five milliseconds.
+// DefaultOptions returns the options of a service that answers in five milliseconds.
 func DefaultOptions() Options {
 	return Options{Name: "service", AnswerMs: 5, TimeScale: 1, MaxBodyBytes: 16 << 20}
 }
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// Server is one service.
+// Server is a simulated service.
 type Server struct {
 	opts Options
 	done chan struct{}
@@ -57,7 +58,7 @@
 	executions int64
 	byKey      map[string]int
 	control    Control
-	thaw       chan struct{}
+	unfrozen   chan struct{}
 	held       int
 }
 
@@ -69,7 +70,7 @@
 	return &Server{opts: o, done: make(chan struct{}), byKey: map[string]int{}}, nil
 }
 
-// Close cuts the calls that are being held.
+// Close aborts the connections of calls that wait because the service is frozen.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,40 +81,42 @@
 	}
 }
 
-// Handler returns the service's HTTP surface.
+// Handler returns the service's HTTP handler.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /record", s.handleRecord)
 	mux.HandleFunc("PUT /control", s.handleControl)
-	mux.HandleFunc("GET /health", s.alive(s.handleHealth))
-	mux.HandleFunc("/", s.alive(s.handleCall))
+	mux.HandleFunc("GET /health", s.injectFaults(s.handleHealth))
+	mux.HandleFunc("/", s.injectFaults(s.handleCall))
 	return mux
 }
 
-// alive hangs up while the service refuses, and holds the call while it is
-// frozen. A held call is executed after the thaw even if its client has given
-// up by then, as a stopped process does with what waits in its sockets.
-func (s *Server) alive(next http.HandlerFunc) http.HandlerFunc {
+// injectFaults wraps a handler with the injected faults: it aborts the connection
+// while the service is refusing, and holds the call while the service is frozen. A
+// held call is executed once the service is unfrozen, even if its client has given up
+// by then, as a stopped process does with requests buffered in its sockets.
+func (s *Server) injectFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		refuse, thaw := s.control.Refuse, s.thaw
+		refuse, unfrozen := s.control.Refuse, s.unfrozen
 		s.mu.Unlock()
 		if refuse {
 			panic(http.ErrAbortHandler)
 		}
-		if thaw != nil {
-			s.hold(thaw)
+		if unfrozen != nil {
+			s.awaitUnfrozen(unfrozen)
 		}
 		next(w, r)
 	}
 }
 
-// hold returns at the thaw; Close before it cuts the connection.
-func (s *Server) hold(thaw <-chan struct{}) {
+// awaitUnfrozen blocks until the service is unfrozen. If it closes first,
+// awaitUnfrozen aborts the connection.
+func (s *Server) awaitUnfrozen(unfrozen <-chan struct{}) {
 	s.countHeld(1)
 	defer s.countHeld(-1)
 	select {
-	case <-thaw:
+	case <-unfrozen:
 	case <-s.done:
 		panic(http.ErrAbortHandler)
 	}
@@ -125,6 +128,7 @@
 	s.mu.Unlock()
 }
 
+// scaled converts milliseconds to a duration, with TimeScale applied.
 func (s *Server) scaled(ms float64) time.Duration {
 	return time.Duration(ms / s.opts.TimeScale * float64(time.Millisecond))
 }
--- a/standin/service/service_test.go
+++ b/standin/service/service_test.go
@@ -59,10 +59,10 @@
 		Expect(s.Record().Calls[0].BodyHash).NotTo(Equal(s.Record().Calls[1].BodyHash))
 	})
 
-	// A planner stamps a revision at a service that hangs, and gives up. The
-	// service wakes and executes the stamp after all: who would have said "not
-	// run" would have lied.
-	It("executes after the thaw what it received while it was frozen", func() {
+	// A caller sends a non-repeatable call to a service that hangs, and gives up. The
+	// service resumes and executes the call after all, so reporting it as "not run"
+	// would have been wrong.
+	It("executes calls received while frozen once it is unfrozen", func() {
 		on, off := true, false
 		s.change(controlChange{Frozen: &on})
 		ctx, giveUp := context.WithCancel(context.Background())
@@ -80,12 +80,12 @@
 		Eventually(func() int { return s.Record().Executions["k"] }, bound).Should(Equal(1))
 	})
 
-	It("refuses a control body that it does not know", func() {
+	It("rejects invalid control requests", func() {
 		for _, body := range []string{`{"forzen":true}`, `{"error_status":200}`, `{`} {
 			w := httptest.NewRecorder()
 			s.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodPut, "/control", strings.NewReader(body)))
 			Expect(w.Code).To(Equal(http.StatusUnprocessableEntity))
 		}
-		Expect(s.change(controlChange{})).To(Equal(Control{}), "nothing is half accepted")
+		Expect(s.change(controlChange{})).To(Equal(Control{}), "a rejected request must change nothing")
 	})
 })
