--- a/standin/standinset/command.go
+++ b/standin/standinset/command.go
@@ -13,11 +13,11 @@
 
 // Exit codes of the command.
 const (
-	// ExitOK: stopped by a signal.
+	// ExitOK means that the command was stopped by a signal.
 	ExitOK = 0
-	// ExitFailure: it could not listen or serve.
+	// ExitFailure means that the command could not listen or serve.
 	ExitFailure = 1
-	// ExitUsage: wrong flags or settings.
+	// ExitUsage means invalid flags or settings.
 	ExitUsage = 2
 )
 
@@ -57,7 +57,7 @@
 	return root
 }
 
-// summaries is the one-line help of each sub-command.
+// summaries holds the one-line help of each sub-command.
 var summaries = map[Kind]string{
 	KindLog:        "Run the platform's append-only log",
 	KindHosts:      "Run the platform's host list",
@@ -84,7 +84,7 @@
 	}
 	cmd.Flags().StringVar(&path, "settings", "", "INI file with a section ["+string(kind)+"]")
 	if err := cmd.MarkFlagRequired("settings"); err != nil {
-		panic(err) // only if the line above named another flag
+		panic(err) // only if the flag name differs from the line above
 	}
 	return cmd
 }
--- a/standin/standinset/run.go
+++ b/standin/standinset/run.go
@@ -23,22 +23,22 @@
 
 var (
 	namespace = errorx.NewNamespace("standinset")
-	// InvalidSettings is the type of faults in a settings file.
+	// InvalidSettings is the type of errors in a settings file.
 	InvalidSettings = namespace.NewType("invalid_settings")
-	// CannotListen is the type of a listener that cannot be opened.
+	// CannotListen is the type of errors from opening a listener.
 	CannotListen = namespace.NewType("cannot_listen")
 )
 
 const (
-	// readHeaderTimeout ends connections that never finish a request's head.
+	// readHeaderTimeout closes connections that do not complete a request's headers.
 	readHeaderTimeout = 10 * time.Second
-	// shutdownTimeout bounds the wait for requests at a stop.
+	// shutdownTimeout bounds the wait for running requests at shutdown.
 	shutdownTimeout = 2 * time.Second
 )
 
-// Run runs the stand-in until ctx is done. Once it listens it prints
-// "event=listening address=IP:PORT standin=KIND" on stdout, and for the fault
-// proxy also control=IP:PORT.
+// Run runs the stand-in until ctx is done. Once it listens, it prints
+// "event=listening address=IP:PORT standin=KIND" to stdout; the line of the fault
+// proxy also has control=IP:PORT.
 func Run(ctx context.Context, kind Kind, s *Settings, stdout io.Writer, log *zap.Logger) error {
 	if kind == KindFaultProxy {
 		return runFaultProxy(ctx, s, stdout, log)
@@ -56,14 +56,14 @@
 	return serve(ctx, listener, server, log)
 }
 
-// server is what the stand-ins have in common.
+// server is the interface that the stand-ins share.
 type server interface {
 	Handler() http.Handler
 	Close()
 }
 
-// selfServing stand-ins close their listener themselves: an engine that crashes
-// refuses connections, as a dead process does.
+// selfServing is implemented by stand-ins that manage their listener themselves: a
+// crashed engine closes it and refuses connections, as a dead process does.
 type selfServing interface {
 	Serve(net.Listener) error
 }
@@ -93,18 +93,19 @@
 	return listener, nil
 }
 
-// serve answers on the listener until ctx is done. The stand-in is closed
-// first: its long polls and streams would keep the shutdown waiting.
+// serve serves the stand-in on the listener until ctx is done. It closes the stand-in
+// before shutting down HTTP, since open long polls and streams would delay the
+// shutdown.
 func serve(ctx context.Context, listener net.Listener, s server, log *zap.Logger) error {
-	web := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: zap.NewStdLog(log)}
+	httpServer := &http.Server{Handler: s.Handler(), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: zap.NewStdLog(log)}
 	ctx, cancel := context.WithCancel(ctx)
-	duties := duty.NewGroup(ctx)
+	group := duty.NewGroup(ctx)
 	var failure error
-	run := web.Serve
-	if own, ok := s.(selfServing); ok {
-		run = own.Serve
+	run := httpServer.Serve
+	if selfServer, ok := s.(selfServing); ok {
+		run = selfServer.Serve
 	}
-	duties.Go(func(context.Context) {
+	group.Go(func(context.Context) {
 		defer cancel()
 		if err := run(listener); err != nil && !errors.Is(err, http.ErrServerClosed) {
 			failure = err
@@ -112,20 +113,20 @@
 	})
 	<-ctx.Done()
 	s.Close()
-	shutdown(web)
-	duties.Wait()
+	shutdown(httpServer)
+	group.Wait()
 	return failure
 }
 
-func shutdown(web *http.Server) {
+func shutdown(httpServer *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if web.Shutdown(ctx) != nil {
-		web.Close()
+	if httpServer.Shutdown(ctx) != nil {
+		httpServer.Close()
 	}
 }
 
-// proxyControl makes the proxy's steering a server of its own.
+// proxyControl serves the proxy's control endpoints as a stand-in.
 type proxyControl struct{ proxy *faultproxy.Proxy }
 
 func (p proxyControl) Handler() http.Handler { return p.proxy.Control() }
--- a/standin/standinset/settings.go
+++ b/standin/standinset/settings.go
@@ -16,10 +16,10 @@
 	"tarragonhollow.example/tarragonhollow/standin/weights"
 )
 
-// Kind names a stand-in: its sub-command and its section of the settings.
+// Kind is the name of a stand-in, of its sub-command and of its settings section.
 type Kind string
 
-// The stand-ins.
+// Kinds of stand-ins.
 const (
 	KindLog        Kind = "log"
 	KindHosts      Kind = "hosts"
@@ -29,10 +29,10 @@
 	KindFaultProxy Kind = "fault-proxy"
 )
 
-// Kinds lists all stand-ins in the order of the command's help.
+// Kinds lists all stand-ins in the order in which the command's help shows them.
 var Kinds = []Kind{KindLog, KindHosts, KindWeights, KindEngine, KindService, KindFaultProxy}
 
-// Bounds of the values.
+// Bounds, defaults and allowed-value texts of the settings.
 const (
 	maxRate          = 1_000_000
 	maxBurst         = 1_000_000
@@ -47,13 +47,13 @@
 	defaultRetention = 24 * time.Hour
 )
 
-// Settings is the content of a file.
+// Settings is the content of a settings file.
 type Settings struct {
-	// File is the name for messages.
+	// File is the file's name, used in error messages.
 	File string
-	// Listen is each stand-in's address; port 0 takes a free one.
+	// Listen is the IP:PORT that each stand-in listens on; port 0 selects a free port.
 	Listen map[Kind]string
-	// Control is the fault proxy's second address, for steering.
+	// Control is the IP:PORT of the fault proxy's control endpoints.
 	Control string
 
 	Log        logsvc.Options
@@ -64,9 +64,9 @@
 	FaultProxy faultproxy.Options
 }
 
-// Load reads the file for running the given stand-in, whose listen address
-// must be given. Its errors tell every fault with file, line, section, key,
-// value and what is allowed.
+// Load reads the settings file to run the given stand-in, whose listen address is
+// required. The error lists every problem with file, line, section, key, value and
+// what is allowed.
 func Load(path string, kind Kind) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return Parse(path, string(text), kind)
 }
 
-// Parse is Load of a text.
+// Parse is like Load, but reads the settings from text. The name is used in errors.
 func Parse(name, text string, kind Kind) (*Settings, error) {
 	d := inifile.NewDecoder(inifile.Parse(name, text))
 	s := &Settings{
@@ -140,12 +140,12 @@
 			continue
 		}
 		for _, text := range inifile.SplitList(model.Text("versions", "")) {
-			held, err := parseVersion(model.Label, text)
+			version, err := parseVersion(model.Label, text)
 			if err != nil {
 				model.Fail("versions", err.Error(), versionsAllowed)
 				continue
 			}
-			s.Weights.Weights = append(s.Weights.Weights, held)
+			s.Weights.Weights = append(s.Weights.Weights, version)
 		}
 	}
 }
--- a/standin/standinset/standinset_test.go
+++ b/standin/standinset/standinset_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "standinset")
 }
 
-// output is a buffer that may be read while the command writes.
+// output is a buffer that can be read while the command writes to it.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -42,8 +42,8 @@
 	return o.b.String()
 }
 
-// start runs the command in this process; stop ends it as a signal does and
-// returns its exit code.
+// start runs the command in this process. stop cancels its context, as a signal does,
+// and returns its exit code.
 func start(args ...string) (stdout *output, stop func() int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	stdout = &output{}
@@ -57,7 +57,7 @@
 
 const examples = "../../examples/standin"
 
-// probe is a request that each stand-in answers once it runs, with its status.
+// probe is a request that a running stand-in answers, and the expected status.
 type probe struct {
 	path   string
 	status int
@@ -86,7 +86,7 @@
 		})
 	}
 
-	It("exits with 2 and tells the place of a fault", func() {
+	It("exits with 2 and reports the location of an error", func() {
 		path := filepath.Join(GinkgoT().TempDir(), "x.ini")
 		Expect(os.WriteFile(path, []byte("[log]\nlisten = 127.0.0.1:0\nburst = many\n"), 0o600)).To(Succeed())
 		var stderr bytes.Buffer
@@ -96,7 +96,7 @@
 			"allowed: whole number from 1 to 1000000\n"))
 	})
 
-	It("exits with 2 for a wrong flag or sub-command", func() {
+	It("exits with 2 for an invalid flag or sub-command", func() {
 		for _, args := range [][]string{{"logs"}, {"log"}, {"log", "--setting", "x"}} {
 			Expect(standinset.Main(context.Background(), args, GinkgoWriter, GinkgoWriter)).
 				To(Equal(standinset.ExitUsage), strings.Join(args, " "))
@@ -133,7 +133,7 @@
 		Expect(s.Engine).To(Equal(want))
 	})
 
-	DescribeTable("are refused with what is allowed", func(kind standinset.Kind, text, fault string) {
+	DescribeTable("are rejected with what is allowed", func(kind standinset.Kind, text, fault string) {
 		_, err := standinset.Parse("x.ini", text, kind)
 		Expect(err).To(MatchError(ContainSubstring(fault)))
 	},
--- a/standin/standinset/tagged.go
+++ b/standin/standinset/tagged.go
@@ -7,13 +7,13 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// maxTagged bounds the numbers of tagged options; the stand-in's own check
-// knows the finer bounds. An int64 is a size in bytes, an int a count.
+// maxTagged bounds the numeric values of tagged options; the stand-in itself checks
+// the narrower bounds. An int64 is a size in bytes, an int a count.
 const maxTagged = 1 << 40
 
-// readTagged fills the fields of the options that bear an ini tag; a field
-// keeps its value where the key is absent. By the tags the settings cannot
-// lag behind the options of the engine and the service.
+// readTagged sets the fields of options that have an ini tag. A field whose key is
+// absent keeps its value. Reading the tags ensures that the settings cover all options
+// of the engine and the service.
 func readTagged(section *inifile.Section, options any) {
 	value := reflect.ValueOf(options).Elem()
 	for i := range value.NumField() {
@@ -39,13 +39,13 @@
 	case reflect.Float64:
 		field.SetFloat(section.Float(key, field.Float(), 0, maxTagged))
 	default:
-		// Reached only if options gain a field of a new type.
+		// Reached only if an option of a new type is added.
 		panic(fmt.Sprintf("standinset: no settings of type %s for %s", field.Type(), key))
 	}
 }
 
-// readText reads a text of which "none" is the empty one, since an empty value
-// is more often a slip than a wish to switch something off.
+// readText reads a text; "none" stands for the empty text, since an empty value is
+// more often a mistake than an intention to disable something.
 func readText(section *inifile.Section, key, fallback string) string {
 	text := section.Text(key, fallback)
 	if text == "none" {
