--- a/standin/weights/server.go
+++ b/standin/weights/server.go
@@ -1,5 +1,5 @@
-// Package weights stands in for the platform's weight store in tests and
-// trials: it describes model versions and answers at a limited rate.
+// Package weights is a stand-in for the platform's weight store in tests and trials.
+// It serves the descriptions of model versions at a limited rate.
 package weights
 
 import (
@@ -15,40 +15,40 @@
 	"tarragonhollow.example/tarragonhollow/standin/control"
 )
 
-// The defaults keep a fleet that starts all at once waiting, as a real store would.
+// The defaults make a fleet that starts all at once wait, as a real store would.
 const (
-	// DefaultRequestsPerSecond bounds the answers a second.
+	// DefaultRequestsPerSecond bounds the rate of requests.
 	DefaultRequestsPerSecond = 5
-	// DefaultBurst is how many requests may come at once.
+	// DefaultBurst is the number of requests allowed at once.
 	DefaultBurst = 5
 )
 
-// Options configures a Server; zero values take the defaults.
+// Options configures a Server; zero values select the defaults.
 type Options struct {
-	// RequestsPerSecond bounds the answers a second.
+	// RequestsPerSecond bounds the rate of requests.
 	RequestsPerSecond float64
-	// Burst is how many requests may come at once.
+	// Burst is the number of requests allowed at once.
 	Burst int
-	// Weights are held from the start.
+	// Weights are the model versions in the store at the start.
 	Weights []extern.Weights
-	// Now gives the time; the default is time.Now.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
 }
 
-// version names one entry of the store.
+// version is the key of an entry of the store.
 type version struct{ model, version string }
 
-// Server is the weight store.
+// Server serves the weight store.
 type Server struct {
 	now     func() time.Time
 	limiter *rate.Limiter
 	echo    *echo.Echo
 
-	mu   sync.Mutex
-	held map[version]extern.Weights
+	mu     sync.Mutex
+	models map[version]extern.Weights
 }
 
-// New returns a server that holds Options.Weights.
+// New returns a server that serves Options.Weights.
 func New(opts Options) (*Server, error) {
 	if opts.RequestsPerSecond < 0 || opts.Burst < 0 {
 		return nil, errors.New("weights: limits must not be negative")
@@ -66,7 +66,7 @@
 		now:     opts.Now,
 		limiter: rate.NewLimiter(rate.Limit(opts.RequestsPerSecond), opts.Burst),
 		echo:    control.NewEcho(),
-		held:    map[version]extern.Weights{},
+		models:  map[version]extern.Weights{},
 	}
 	for _, weights := range opts.Weights {
 		if err := s.Put(weights); err != nil {
@@ -78,10 +78,10 @@
 	return s, nil
 }
 
-// Handler returns the HTTP face.
+// Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler { return s.echo }
 
-// Close does nothing; the server has no duties of its own.
+// Close does nothing; the server runs no goroutines.
 func (s *Server) Close() {}
 
 // Put adds or replaces a version of a model.
@@ -91,7 +91,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held[version{weights.Model, weights.Version}] = weights
+	s.models[version{weights.Model, weights.Version}] = weights
 	return nil
 }
 
@@ -103,7 +103,7 @@
 		return control.TooMany(c, wait)
 	}
 	s.mu.Lock()
-	weights, ok := s.held[version{control.Param(c, "model"), control.Param(c, "version")}]
+	weights, ok := s.models[version{control.Param(c, "model"), control.Param(c, "version")}]
 	s.mu.Unlock()
 	if !ok {
 		return control.Refuse(c, http.StatusNotFound, "no such model version")
@@ -111,7 +111,7 @@
 	return c.JSON(http.StatusOK, weights)
 }
 
-// size is the body of a PUT.
+// size is the body of a PUT of a model version.
 type size struct {
 	Bytes int64 `json:"bytes"`
 }
