--- a/load/arrivals_test.go
+++ b/load/arrivals_test.go
@@ -10,8 +10,8 @@
 	"tarragonhollow.example/tarragonhollow/load"
 )
 
-// Two policies are compared on the same arrivals: the same seed must give the
-// same ones, in order and within the round, and bursts must be in them.
+// Policies are compared on the same arrivals, so the same seed must give the same ones,
+// in ascending order and within the round.
 func TestArrivalsAreRepeatable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := load.Shape{
@@ -24,7 +24,7 @@
 		const round = 20 * time.Second
 		first := load.Arrivals(shape, round, seed)
 		if !slices.Equal(first, load.Arrivals(shape, round, seed)) {
-			t.Fatal("the same seed gave other arrivals")
+			t.Fatal("the same seed gave different arrivals")
 		}
 		if !slices.IsSorted(first) || (len(first) > 0 && first[len(first)-1] >= round) {
 			t.Fatalf("out of order or beyond the round: %v", first)
@@ -32,6 +32,7 @@
 	})
 }
 
+// The arrivals must include the bursts, and have the shape's rates in and between them.
 func TestArrivalsFollowTheShape(t *testing.T) {
 	shape := load.Shape{Rate: 10, BurstRate: 100, BurstEvery: 10 * time.Second, BurstLength: 2 * time.Second}
 	calm, burst := 0, 0
@@ -42,7 +43,7 @@
 			calm++
 		}
 	}
-	// 20 s of bursts at 100/s and 80 s at 10/s, within five standard deviations.
+	// 20 s of bursts at 100/s and 80 s at 10/s; the bounds are five standard deviations.
 	if burst < 1776 || burst > 2224 || calm < 658 || calm > 942 {
 		t.Fatalf("burst %d, calm %d", burst, calm)
 	}
--- a/load/client.go
+++ b/load/client.go
@@ -9,11 +9,11 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Client spreads calls over daemons in turn.
+// Client distributes calls over the daemons round-robin.
 type Client struct {
-	// Daemons are the fleet's entry points.
+	// Daemons are clients of the fleet's daemons.
 	Daemons []*caller.Client
-	// Engines are addresses for calls past the daemons.
+	// Engines are the addresses of engines for calls that bypass the daemons.
 	Engines []string
 
 	direct *target.EngineClient
@@ -30,25 +30,25 @@
 	return c
 }
 
-// Close ends the idle connections to engines.
+// Close closes the idle connections to engines.
 func (c *Client) Close() { c.direct.Close() }
 
-// Daemon returns the n-th daemon, in turn.
+// Daemon returns the client of daemon n modulo the number of daemons.
 func (c *Client) Daemon(n int) *caller.Client { return c.Daemons[n%len(c.Daemons)] }
 
-// Sample is what one streamed request showed.
+// Sample is the measurement of one streamed request.
 type Sample struct {
 	// FirstToken is the time from sending to the first token.
 	FirstToken time.Duration
-	// Gaps are the times between tokens.
+	// Gaps are the times between consecutive tokens.
 	Gaps []time.Duration
-	// Total is the time from sending to the end.
+	// Total is the time from sending to the end of the stream.
 	Total time.Duration
-	// Err tells why the request failed; nil when it succeeded.
+	// Err is the request's error; nil if it succeeded.
 	Err error
 }
 
-// stopwatch times the tokens of one stream into a sample.
+// stopwatch measures the token times of one stream.
 type stopwatch struct {
 	Sample
 	start, last time.Time
@@ -75,7 +75,7 @@
 	return w.Sample
 }
 
-// Chat streams one chat completion from the n-th daemon and times it.
+// Chat streams one chat completion from daemon n and measures it.
 func (c *Client) Chat(ctx context.Context, n int, profile, model string, maxTokens int, messages []target.Message) Sample {
 	w := newStopwatch()
 	chat := caller.Chat{Model: model, MaxTokens: maxTokens, Messages: messages}
@@ -83,7 +83,7 @@
 	return w.end(err)
 }
 
-// Direct streams one chat completion from the n-th engine itself and times it.
+// Direct streams one chat completion directly from engine n and measures it.
 func (c *Client) Direct(ctx context.Context, n int, model string, maxTokens int, messages []target.Message) Sample {
 	w := newStopwatch()
 	req := target.GenerateRequest{
@@ -97,7 +97,7 @@
 	return w.end(err)
 }
 
-// PutJob submits a job of the given number of prompts.
+// PutJob submits a job with the given number of items to daemon n, one prompt each.
 func (c *Client) PutJob(ctx context.Context, n int, name, profile, model string, maxTokens, items int, prompts *Prompts) error {
 	lines := make([]caller.Line, items)
 	for i := range lines {
--- a/load/command.go
+++ b/load/command.go
@@ -14,7 +14,7 @@
 	"tarragonhollow.example/tarragonhollow/standin/deployment"
 )
 
-// Flags are the command's flags.
+// Flags are the flags of tarragonhollow-load.
 type Flags struct {
 	Daemons    []string
 	Token      string
@@ -39,12 +39,12 @@
 		Use:   "tarragonhollow-load",
 		Short: "Measure batch policies against a running fleet",
 		Long: `Sends the same open-loop online load to a running fleet under each policy in
-turn, with and without batch, and prints the online tail of each arm as a ratio
-to online load alone and its batch throughput as a share of batch load alone and
-of the idle capacity: batch load alone less what the online requests take. Online
-requests and batch items are drawn alike, so each request takes one item's place.
-Arms are switched by publishing the configuration with other settings; at the end
-the former configuration is published again.
+turn, with and without batch. It prints the online tail latency of each arm as a
+ratio to online load alone, and its batch throughput as a share of batch load alone
+and of the idle capacity, which is the throughput of batch load alone minus the rate
+of online requests: both are of the same size, so a request uses one item's capacity.
+For each arm the configuration is published with the arm's settings; at the end the
+original configuration is published again.
 Exit codes: 0 measured, 1 the measurement failed.`,
 		SilenceUsage: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -61,18 +61,18 @@
 	flags.StringVar(&f.Token, "token", os.Getenv("TARRAGONHOLLOW_TOKEN"), "operators' bearer token")
 	flags.StringVar(&f.Deployment, "deployment", deployment.DaNang, "da-nang or isarwerk: names of profiles and model")
 	flags.StringSliceVar(&f.Policies, "policy", []string{"naive", "reserve", "give-way"}, "batch policies to compare")
-	flags.StringArrayVar(&f.Arms, "arm", nil, "further arm as NAME:KEY=VALUE,...; keys kind (online, batch, both, direct), base (an arm's name), else settings to publish; repeat for each")
+	flags.StringArrayVar(&f.Arms, "arm", nil, "additional arm as NAME:KEY=VALUE,...; keys kind (online, batch, both, direct), base (an arm's name), else settings to publish; repeat for each")
 	flags.StringSliceVar(&f.Engines, "engine", nil, "address of an engine, for arms of kind direct; repeat for each")
-	flags.IntVar(&f.Rounds, "rounds", 3, "how often the arms run in turn")
-	flags.DurationVar(&f.Round, "round", 10*time.Second, "how long an arm sends")
-	flags.DurationVar(&f.Settle, "settle", 2*time.Second, "pause before an arm sends")
+	flags.IntVar(&f.Rounds, "rounds", 3, "number of rounds; each round runs every arm once")
+	flags.DurationVar(&f.Round, "round", 10*time.Second, "how long an arm sends load in a round")
+	flags.DurationVar(&f.Settle, "settle", 2*time.Second, "pause before an arm sends load")
 	flags.Uint64Var(&f.Seed, "seed", 1, "seed of arrivals and prompts")
 	flags.Float64Var(&f.Shape.Rate, "rate", 20, "online requests a second")
 	flags.Float64Var(&f.Shape.BurstRate, "burst-rate", 60, "online requests a second in a burst")
 	flags.DurationVar(&f.Shape.BurstEvery, "burst-every", 5*time.Second, "time between bursts")
 	flags.DurationVar(&f.Shape.BurstLength, "burst-length", 1500*time.Millisecond, "length of a burst")
-	flags.IntVar(&f.Tokens, "tokens", 32, "longest answer, in tokens")
-	flags.IntVar(&f.JobItems, "job-items", 4000, "items of each arm's batch job")
+	flags.IntVar(&f.Tokens, "tokens", 32, "maximum length of an answer in tokens")
+	flags.IntVar(&f.JobItems, "job-items", 4000, "number of items of each arm's batch job")
 	flags.StringVar(&f.Out, "out", "", "directory for results.csv and tail.png")
 	_ = cmd.MarkFlagRequired("daemon")
 }
@@ -105,7 +105,7 @@
 	return f.write(results)
 }
 
-// Words of the prompts: a shared prefix as long as a menu, a short question.
+// Shape of the prompts, in words: a shared prefix as long as a menu, and a short question.
 const (
 	sharedPrefixes = 6
 	prefixWords    = 120
@@ -127,7 +127,7 @@
 	}, nil
 }
 
-// arms lists the two reference arms, an arm for each policy, and the further ones.
+// arms returns the two reference arms, one arm for each policy, and those of --arm.
 func (f *Flags) arms() ([]Arm, error) {
 	arms := []Arm{
 		{Name: "online-only", Online: true},
@@ -150,8 +150,8 @@
 	return arms, nil
 }
 
-// publisher returns a function that puts settings in force on top of the
-// configuration that is in force now, and one that brings that back.
+// publisher returns a function that publishes the current configuration with the given
+// settings applied, and one that publishes the current configuration again.
 func publisher(ctx context.Context, daemon *caller.Client, profile string) (Switcher, func(context.Context) error, error) {
 	original, err := daemon.Config(ctx)
 	if err != nil {
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -9,68 +9,70 @@
 	"tarragonhollow.example/tarragonhollow/caller"
 )
 
-// Arm is one way of running the fleet that an experiment compares.
+// Arm is one variant that an experiment compares: settings and kinds of load.
 type Arm struct {
 	// Name labels the arm in the output.
 	Name string
 	// Settings are published before each of the arm's rounds.
 	Settings []Setting
-	// Online and Batch switch the two kinds of load.
+	// Online and Batch enable the two kinds of load.
 	Online, Batch bool
-	// Direct sends the online load straight to engines, past the daemons.
+	// Direct sends the online load directly to the engines, bypassing the daemons.
 	Direct bool
-	// Base names the arm whose online tail this one's is compared with; "" is
-	// the first arm with online load alone.
+	// Base names the arm that this arm's online tail latency is compared with; "" is
+	// the first arm with online load only.
 	Base string
 }
 
-// Plan describes an experiment: every arm runs once in every round, in turn,
-// with the round's own seed, so that all arms of a round meet the same requests.
+// Plan describes an experiment. Every arm runs once in every round. The arms of a round
+// use the same seed for arrivals, so that all of them get requests at the same times.
 type Plan struct {
 	// Arms run in this order in each round.
 	Arms []Arm
-	// Rounds repeats the whole sequence.
+	// Rounds is how often the sequence of arms is run.
 	Rounds int
-	// Round is how long an arm sends; Settle is the pause before it.
+	// Round is how long an arm sends load in a round; Settle is the pause before that.
 	Round, Settle time.Duration
-	// Seed fixes arrivals and prompts.
+	// Seed is the seed of arrivals and prompts.
 	Seed uint64
-	// Online shapes the online arrivals.
+	// Online is the shape of the online arrivals.
 	Online Shape
-	// Model, OnlineProfile and BatchProfile name what is asked for.
+	// Model, OnlineProfile and BatchProfile are sent with the requests and jobs.
 	Model, OnlineProfile, BatchProfile string
-	// OnlineTokens and BatchTokens bound the answers.
+	// OnlineTokens and BatchTokens limit the answers, in tokens.
 	OnlineTokens, BatchTokens int
-	// Prefixes, PrefixWords and TailWords shape the prompts.
+	// Prefixes, PrefixWords and TailWords are passed to NewPrompts.
 	Prefixes, PrefixWords, TailWords int
 	// JobItems is the size of the job that keeps the fleet busy in a batch arm.
 	JobItems int
-	// Timeout bounds one online request.
+	// Timeout limits one online request.
 	Timeout time.Duration
 }
 
-// Switcher puts settings in force on the whole fleet, and only these.
+// SettingsPublisher publishes the original configuration with the given settings, and
+// no others, applied.
 type Switcher func(ctx context.Context, settings []Setting) error
 
 // Result is the outcome of one arm over all rounds.
 type Result struct {
 	Arm     Arm
 	Figures Figures
-	// Rounds are the figures of each round alone.
+	// Rounds are the summaries of the single rounds.
 	Rounds []Figures
 }
 
-// tally gathers one arm's rounds.
-type tally struct {
+// armTotals accumulates the rounds of one arm.
+type armTotals struct {
 	all     *Recorder
 	rounds  []Figures
 	batch   int
 	seconds float64
 }
 
-// Run runs the plan and returns one result per arm. Progress is told in lines.
+// Run runs the plan and returns one result per arm. It calls progress with a line of
+// text after each arm of each round.
 func Run(ctx context.Context, client *Client, plan Plan, apply Switcher, progress func(string)) ([]Result, error) {
-	tallies := make([]tally, len(plan.Arms))
+	tallies := make([]armTotals, len(plan.Arms))
 	for i := range tallies {
 		tallies[i].all = NewRecorder()
 	}
@@ -79,11 +81,12 @@
 	}
 	for round := range plan.Rounds {
 		for turn := range plan.Arms {
-			// Another arm begins each round, so that none always follows the same one.
+			// Each round begins with a different arm, so that no arm always runs after the
+			// same one.
 			i := (turn + round) % len(plan.Arms)
 			arm := plan.Arms[i]
 			if err := apply(ctx, arm.Settings); err != nil {
-				return nil, fmt.Errorf("putting the settings of arm %s in force: %w", arm.Name, err)
+				return nil, fmt.Errorf("publishing the settings of arm %s: %w", arm.Name, err)
 			}
 			if err := tallies[i].run(ctx, client, plan, arm, round, plan.tailSeed(round, i)); err != nil {
 				return nil, fmt.Errorf("arm %s, round %d: %w", arm.Name, round, err)
@@ -95,25 +98,26 @@
 	}
 	results := make([]Result, len(plan.Arms))
 	for i, t := range tallies {
-		results[i] = Result{Arm: plan.Arms[i], Figures: t.figures(t.all, t.batch, t.seconds), Rounds: t.rounds}
+		results[i] = Result{Arm: plan.Arms[i], Figures: t.summary(t.all, t.batch, t.seconds), Rounds: t.rounds}
 	}
 	return results, nil
 }
 
-// batchSeed sets the seeds of batch apart from those of online load.
+// batchSeed is added to the seeds of batch prompts so that they differ from those of
+// online prompts.
 const batchSeed = 1 << 32
 
 func (p Plan) prompts(prefixSeed, tailSeed uint64) *Prompts {
 	return NewPrompts(p.Prefixes, p.PrefixWords, p.TailWords, prefixSeed, tailSeed)
 }
 
-// tailSeed differs for each run of an arm.
+// tailSeed returns a seed that is different for each round of each arm.
 func (p Plan) tailSeed(round, arm int) uint64 {
 	return p.Seed + uint64((round+1)*(len(p.Arms)+1)+arm)
 }
 
-// warmUp sends one unrecorded round of online load and batch, so that the first
-// arm does not alone pay for filling the caches with the shared prefixes.
+// warmUp runs one round of online and batch load without recording it. Otherwise the
+// first arm alone would bear the cost of filling the caches with the shared prefixes.
 func warmUp(ctx context.Context, client *Client, plan Plan, apply Switcher) error {
 	if err := apply(ctx, nil); err != nil {
 		return err
@@ -123,7 +127,7 @@
 	return err
 }
 
-func (t *tally) run(ctx context.Context, client *Client, plan Plan, arm Arm, round int, tail uint64) error {
+func (t *armTotals) run(ctx context.Context, client *Client, plan Plan, arm Arm, round int, tail uint64) error {
 	rec := NewRecorder()
 	done, seconds, err := runArm(ctx, client, plan, arm, round, tail, rec)
 	if err != nil {
@@ -132,11 +136,11 @@
 	t.all.Merge(rec)
 	t.batch += done
 	t.seconds += seconds
-	t.rounds = append(t.rounds, t.figures(rec, done, seconds))
+	t.rounds = append(t.rounds, t.summary(rec, done, seconds))
 	return nil
 }
 
-func (t *tally) figures(rec *Recorder, done int, seconds float64) Figures {
+func (t *armTotals) summary(rec *Recorder, done int, seconds float64) Figures {
 	f := rec.Figures()
 	f.RoundSeconds = seconds
 	f.BatchCompleted = done
@@ -145,9 +149,9 @@
 	return f
 }
 
-// runArm runs one arm for one round and returns the batch items completed in it
-// and the seconds from the first count of them to the second. Stragglers of the
-// online load are waited for, so the time is measured.
+// runArm runs one arm for one round. It returns the number of batch items completed
+// between two counts, and the seconds between these counts. The time is measured since it
+// may exceed the round: runArm waits for online requests that are still running.
 func runArm(ctx context.Context, client *Client, plan Plan, arm Arm, round int, tail uint64, rec *Recorder) (int, float64, error) {
 	job := fmt.Sprintf("load-%s-%d-%d", arm.Name, round, time.Now().UnixNano())
 	if arm.Batch {
@@ -160,7 +164,7 @@
 	if err := sleep(ctx, plan.Settle); err != nil {
 		return 0, 0, err
 	}
-	before, err := completed(ctx, client, arm, job)
+	before, err := completedItems(ctx, client, arm, job)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -170,7 +174,7 @@
 	} else if err := sleep(ctx, plan.Round); err != nil {
 		return 0, 0, err
 	}
-	after, err := completed(ctx, client, arm, job)
+	after, err := completedItems(ctx, client, arm, job)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -183,7 +187,7 @@
 	return after - before, seconds, nil
 }
 
-func completed(ctx context.Context, client *Client, arm Arm, job string) (int, error) {
+func completedItems(ctx context.Context, client *Client, arm Arm, job string) (int, error) {
 	if !arm.Batch {
 		return 0, nil
 	}
@@ -191,8 +195,8 @@
 	return status.Completed, err
 }
 
-// sendOnline sends the round's arrivals open-loop: no request waits for an
-// earlier one. It returns when the round is over; stragglers are waited for.
+// sendOnline sends the round's requests open-loop: no request waits for an earlier one.
+// It returns when the round is over and all its requests have ended.
 func sendOnline(ctx context.Context, client *Client, plan Plan, arm Arm, seed, tail uint64, rec *Recorder) {
 	prompts := plan.prompts(plan.Seed, tail)
 	start := time.Now()
--- a/load/plot.go
+++ b/load/plot.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// addBars adds one series of bars, shifted by offset points.
+// addBars adds one series of bars to p, shifted horizontally by offset.
 func addBars(p *plot.Plot, name string, values plotter.Values, offset vg.Length, color int) error {
 	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
--- a/load/prompts.go
+++ b/load/prompts.go
@@ -8,23 +8,24 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Prompts draws prompts that share prefixes, as an assistant's system prompts do.
+// Prompts generates random prompts that share prefixes, like system prompts of an
+// assistant.
 type Prompts struct {
 	rng      *rand.Rand
 	prefixes []string
 	tail     int
 }
 
-// Streams of the generators, so that equal seeds give unrelated draws.
+// Stream numbers of the random generators, so that equal seeds give independent sequences.
 const (
 	prefixStream = 7
 	tailStream   = 11
 )
 
-// NewPrompts returns a source of prompts with the given number of shared
-// prefixes of prefixWords words, each followed by tailWords words of its own.
-// The prefixes depend on prefixSeed alone. tailSeed must differ between arms, or
-// the later one would find the earlier one's whole prompts in the caches.
+// NewPrompts returns a generator of prompts. Each prompt has one of the given number of
+// shared prefixes of prefixWords words, followed by tailWords words of its own. The
+// prefixes depend on prefixSeed only. tailSeed must differ between arms; otherwise the
+// caches would already have the whole prompts of an earlier arm.
 func NewPrompts(prefixes, prefixWords, tailWords int, prefixSeed, tailSeed uint64) *Prompts {
 	fixed := rand.New(rand.NewPCG(prefixSeed, prefixStream))
 	p := &Prompts{rng: rand.New(rand.NewPCG(tailSeed, tailStream)), tail: tailWords}
@@ -43,7 +44,7 @@
 	}
 }
 
-// words returns n words drawn from rng, the first one given.
+// words returns first followed by n words drawn from rng.
 func words(rng *rand.Rand, first string, n int) string {
 	var b strings.Builder
 	b.WriteString(first)
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// lowestMicros and highestMicros bound the recorded times: 1 µs to 10 min.
+	// lowestMicros and highestMicros are the range of the histograms: 1 µs to 10 min.
 	lowestMicros  = 1
 	highestMicros = 600_000_000
-	// significantDigits is the histograms' precision.
+	// significantDigits is the precision of the histograms.
 	significantDigits = 3
 )
 
@@ -20,7 +20,7 @@
 type Recorder struct {
 	mu         sync.Mutex
 	firstToken *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
+	interToken *hdrhistogram.Histogram
 	total      *hdrhistogram.Histogram
 	sent       int
 	errors     map[string]int
@@ -30,7 +30,7 @@
 func NewRecorder() *Recorder {
 	return &Recorder{
 		firstToken: newHistogram(),
-		between:    newHistogram(),
+		interToken: newHistogram(),
 		total:      newHistogram(),
 		errors:     map[string]int{},
 	}
@@ -52,18 +52,18 @@
 	record(r.firstToken, s.FirstToken)
 	record(r.total, s.Total)
 	for _, gap := range s.Gaps {
-		record(r.between, gap)
+		record(r.interToken, gap)
 	}
 }
 
-// Merge adds all that another recorder holds.
+// Merge adds the samples of another recorder.
 func (r *Recorder) Merge(other *Recorder) {
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.firstToken.Merge(other.firstToken)
-	r.between.Merge(other.between)
+	r.interToken.Merge(other.interToken)
 	r.total.Merge(other.total)
 	r.sent += other.sent
 	for text, n := range other.errors {
@@ -72,27 +72,28 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The range covers ten minutes; what lies above is recorded as its bound.
+	// Longer times are recorded as the upper bound.
 	micros := min(max(d.Microseconds(), lowestMicros), highestMicros)
 	_ = h.RecordValue(micros)
 }
 
-// Figures is the summary of an arm. Times are in milliseconds.
+// Summary is the measurement of an arm. Times are in milliseconds.
 type Figures struct {
 	Sent, Failed            int
 	FirstTokenP50, FirstP99 float64
 	BetweenP50, BetweenP99  float64
 	TotalP50, TotalP99      float64
-	// OnlinePerSecond counts answered requests, BatchPerSecond finished items.
+	// OnlinePerSecond is the rate of successful requests, BatchPerSecond that of
+	// completed items.
 	OnlinePerSecond float64
 	BatchCompleted  int
 	BatchPerSecond  float64
-	// RoundSeconds is the time measured.
+	// RoundSeconds is the measured duration.
 	RoundSeconds float64
 	FirstError   string
 }
 
-// Figures summarises what was recorded.
+// Summary returns the percentiles and counts of the recorded samples.
 func (r *Recorder) Figures() Figures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,8 +101,8 @@
 		Sent:          r.sent,
 		FirstTokenP50: millis(r.firstToken, 50),
 		FirstP99:      millis(r.firstToken, 99),
-		BetweenP50:    millis(r.between, 50),
-		BetweenP99:    millis(r.between, 99),
+		BetweenP50:    millis(r.interToken, 50),
+		BetweenP99:    millis(r.interToken, 99),
 		TotalP50:      millis(r.total, 50),
 		TotalP99:      millis(r.total, 99),
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -14,14 +14,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// tableHead names the columns. A ratio is to the arm's base; the bracket behind
-// it is the lowest and highest ratio of single rounds. share is that of batch
-// load alone, idle_share that of the idle capacity.
+// tableHead is the header of the table. A ratio is relative to the arm's base; the
+// brackets after it hold the lowest and highest ratio of single rounds. share is relative
+// to batch load alone, idle_share to the idle capacity.
 const tableHead = "arm\tsent\tfailed\tttft_p50_ms\tttft_p99_ms\tratio\tgap_p50_ms\tgap_p99_ms\tratio\tbatch_items/s\tshare\tidle_share\t"
 
-// WriteTable writes the results for people, each arm's tail also as a ratio to
-// its base, by default the first arm that sends online load only, and its batch
-// throughput as a share of the first arm that sends batch load only and of the
+// WriteTable writes the results as a table. It shows each arm's online tail latency also
+// as a ratio to its base, by default the first arm that sends online load only, and its
+// batch throughput as a share of the first arm that sends batch load only and of the
 // idle capacity.
 func WriteTable(w io.Writer, results []Result) error {
 	capacity := capacityOf(results)
@@ -32,8 +32,8 @@
 		base := baseOf(results, r.Arm)
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%.1f\t%.1f\t%s\t%.1f\t%.1f\t%s\t%.1f\t%s\t%s\t\n",
 			r.Arm.Name, f.Sent, f.Failed,
-			f.FirstTokenP50, f.FirstP99, spread(r, base, func(f Figures) float64 { return f.FirstP99 }),
-			f.BetweenP50, f.BetweenP99, spread(r, base, func(f Figures) float64 { return f.BetweenP99 }),
+			f.FirstTokenP50, f.FirstP99, ratioWithRange(r, base, func(f Figures) float64 { return f.FirstP99 }),
+			f.BetweenP50, f.BetweenP99, ratioWithRange(r, base, func(f Figures) float64 { return f.BetweenP99 }),
 			f.BatchPerSecond, ratio(f.BatchPerSecond, capacity),
 			ratio(f.BatchPerSecond, IdleCapacity(capacity, f)))
 	}
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// IdleCapacity is the batch throughput that the online load leaves over, in
-// items a second. Requests and items are drawn from the same lengths of prompts
-// and answers, so each answered request takes the place of one item.
+// IdleCapacity returns the batch throughput that the online load leaves available, in
+// items a second. Prompts and answers of requests and items are of the same lengths, so
+// each answered request uses the capacity of one item.
 func IdleCapacity(batchAlone float64, f Figures) float64 {
 	return max(batchAlone-f.OnlinePerSecond, 0)
 }
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// baseOf returns the arm's reference; an empty result if there is none.
+// baseOf returns the result of the arm's base, or an empty result if there is none.
 func baseOf(results []Result, arm Arm) Result {
 	for _, r := range results {
 		if arm.Base == r.Arm.Name || arm.Base == "" && r.Arm.Online && !r.Arm.Batch && !r.Arm.Direct {
@@ -74,8 +74,8 @@
 	return Result{}
 }
 
-// spread formats the ratio over all rounds, and the range over single ones.
-func spread(r, base Result, of func(Figures) float64) string {
+// ratioWithRange formats the ratio over all rounds and the range over single rounds.
+func ratioWithRange(r, base Result, of func(Figures) float64) string {
 	all := ratio(of(r.Figures), of(base.Figures))
 	if all == noRatio || len(r.Rounds) < 2 || len(base.Rounds) != len(r.Rounds) {
 		return all
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("%s [%.2f-%.2f]", all, low, high)
 }
 
-// noRatio stands where there is nothing to compare with.
+// noRatio is printed in place of a ratio if there is nothing to compare with.
 const noRatio = "-"
 
 func ratio(v, base float64) string {
@@ -139,21 +139,21 @@
 	barWidth   = 14
 )
 
-// WritePlot writes a PNG with the tails of all arms side by side.
+// WritePlot writes a PNG with the online tail latencies of all arms side by side.
 func WritePlot(path string, results []Result) error {
 	p := plot.New()
 	p.Title.Text = "online tail by arm"
 	p.Y.Label.Text = "milliseconds (p99)"
 	var names []string
 	first := make(plotter.Values, 0, len(results))
-	between := make(plotter.Values, 0, len(results))
+	interToken := make(plotter.Values, 0, len(results))
 	for _, r := range results {
 		if !r.Arm.Online {
 			continue
 		}
 		names = append(names, r.Arm.Name)
 		first = append(first, r.Figures.FirstP99)
-		between = append(between, r.Figures.BetweenP99)
+		interToken = append(interToken, r.Figures.BetweenP99)
 	}
 	if len(names) == 0 {
 		return nil
@@ -161,7 +161,7 @@
 	if err := addBars(p, "first token", first, -barWidth/2, 0); err != nil {
 		return err
 	}
-	if err := addBars(p, "between tokens", between, barWidth/2, 2); err != nil {
+	if err := addBars(p, "between tokens", interToken, barWidth/2, 2); err != nil {
 		return err
 	}
 	p.Legend.Top = true
--- a/load/variant.go
+++ b/load/variant.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Setting is one key that an arm puts into the operators' configuration.
+// Setting is a key and value that an arm sets in the operators' configuration.
 type Setting struct {
 	Key, Value string
 }
 
-// weightKey belongs to the batch profile; all other keys to the engine groups.
+// weightKey is a key of the batch profile; all other keys are set in the engine groups.
 const weightKey = "batch_weight"
 
 // Kinds of arms, as written in --arm.
@@ -21,9 +21,9 @@
 	kindDirect = "direct"
 )
 
-// ParseArm reads NAME:KEY=VALUE,KEY=VALUE. The keys kind (online, batch, both,
-// direct) and base (the arm whose online tail is the reference) describe the
-// arm; every other key is a setting that is published before its rounds.
+// ParseArm parses NAME:KEY=VALUE,KEY=VALUE. The keys kind (online, batch, both, direct)
+// and base (the arm whose online tail latency is the reference) describe the arm; every
+// other key is a setting that is published before the arm's rounds.
 func ParseArm(text string) (Arm, error) {
 	name, rest, _ := strings.Cut(text, ":")
 	if name == "" {
@@ -62,8 +62,8 @@
 	return nil
 }
 
-// withSettings returns the configuration text with the settings put in: the
-// batch weight into the batch profile, all else into every engine group.
+// withSettings returns the configuration text with the settings applied: the batch weight
+// in the section of the batch profile, all others in the section of every engine group.
 func withSettings(text, profile string, settings []Setting) string {
 	for _, s := range settings {
 		text = withSetting(text, profile, s)
@@ -75,7 +75,7 @@
 	var out []string
 	var section []string
 	flush := func() {
-		if concerns(section, profile, s.Key) {
+		if keyAppliesTo(section, profile, s.Key) {
 			section = replaceKey(section, s)
 		}
 		out = append(out, section...)
@@ -91,8 +91,8 @@
 	return strings.Join(out, "\n")
 }
 
-// concerns tells whether the key belongs into the section.
-func concerns(section []string, profile, key string) bool {
+// keyAppliesTo reports whether the key is set in the section.
+func keyAppliesTo(section []string, profile, key string) bool {
 	if len(section) == 0 {
 		return false
 	}
@@ -110,7 +110,8 @@
 	return false
 }
 
-// replaceKey puts the setting right below the section's head.
+// replaceKey removes the setting's key from the section and adds the setting right below
+// the section's header.
 func replaceKey(section []string, s Setting) []string {
 	out := []string{section[0], s.Key + " = " + s.Value}
 	for _, line := range section[1:] {
--- a/load/variant_test.go
+++ b/load/variant_test.go
@@ -14,8 +14,8 @@
 	"tarragonhollow.example/tarragonhollow/load"
 )
 
-// An arm that finds another arm's prompts in the engines' caches looks better
-// than it is: prompts of two arms must share their prefixes and nothing else.
+// An arm whose prompts are already in the engines' caches because of another arm is
+// measured as faster than it is, so the prompts of two arms must share only their prefixes.
 func TestArmsSharePrefixesAlone(t *testing.T) {
 	a, b := load.NewPrompts(1, 20, 5, 1, 100), load.NewPrompts(1, 20, 5, 1, 101)
 	first, second := a.Next(), b.Next()
@@ -39,8 +39,8 @@
 	}
 }
 
-// An arm's settings must reach the right sections, replace what stands there,
-// and be taken back by the next arm, or arms are compared that do not differ.
+// An arm's settings must be set in the right sections, replace the existing values, and be
+// removed before the next arm. Otherwise arms are compared that do not differ.
 func TestRunPublishesEachArmsSettings(t *testing.T) {
 	fleet := &fakeFleet{text: "[profile prep-sheets]\nurgency = batch\nbatch_weight = 0\n\n[target-group ordering]\nkind = engine\n\n[target-group kitchen-tickets]\nkind = service\n"}
 	server := httptest.NewServer(fleet)
@@ -63,7 +63,7 @@
 	}
 }
 
-// fakeFleet answers like a daemon that keeps every published configuration.
+// fakeFleet responds like a daemon and stores every published configuration.
 type fakeFleet struct {
 	mu    sync.Mutex
 	text  string
