--- a/caller/admin.go
+++ b/caller/admin.go
@@ -25,7 +25,7 @@
 	return config, json.Unmarshal(text, &config)
 }
 
-// PublishConfig publishes a configuration made from the base version.
+// PublishConfig publishes a configuration that was made from the base version.
 func (c *Client) PublishConfig(ctx context.Context, text string, base uint64) (Config, error) {
 	var config Config
 	header := http.Header{"If-Match": []string{strconv.FormatUint(base, 10)}}
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is a small client library for callers and operators of a
-// fleet: chat completions (streamed or whole), plain services, kept answers,
-// batch jobs and the configuration. The try command, the load tool and the
-// tests speak to the daemons through it.
+// Package caller is a small client library for callers and operators of a fleet: chat
+// completions (streamed or not), plain services, stored answers of keyed requests, batch
+// jobs and the configuration. The try command, the load tool and the tests use it to call
+// the daemons.
 package caller
 
 import (
@@ -18,10 +18,10 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// maxAnswerBytes bounds a whole answer in memory.
+// maxAnswerBytes limits a response that is read whole into memory.
 const maxAnswerBytes = 256 << 20
 
-// Client speaks to one daemon.
+// Client sends requests to one daemon.
 type Client struct {
 	// HTTP is the client used for all calls; nil is http.DefaultClient.
 	HTTP *http.Client
@@ -31,18 +31,20 @@
 	Token string
 }
 
-// Pooled returns an HTTP client with room for many connections to each daemon.
+// NewHTTPClient returns an HTTP client that keeps up to 1024 idle connections to each
+// daemon.
 func Pooled() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-// Refused is the error of an answer that is not 2xx.
+// RefusalError is the error for a response whose status is not 2xx.
 type Refused struct {
 	// Status is the HTTP status.
 	Status int
-	// Refusal is the daemon's word; its Run is "" if the body held none.
+	// Refusal is the refusal in the response's body; its Run is "" if the body has none.
 	outcome.Refusal
-	// Winner and Version are set when a configuration change lost its race.
+	// Winner and Version are the author and version of the change that was accepted
+	// first, if a configuration change was refused with a version conflict.
 	Winner  string
 	Version uint64
 }
@@ -53,7 +55,7 @@
 // Unwrap returns the daemon's refusal.
 func (r *Refused) Unwrap() error { return &r.Refusal }
 
-// wireRefusal is the body of every refusal.
+// wireRefusal is the JSON body of a refusal.
 type wireRefusal struct {
 	Error struct {
 		Code         outcome.Code     `json:"code"`
@@ -79,15 +81,16 @@
 	}
 }
 
-// Options are the headers of a caller's request; empty fields are not sent.
+// Options are sent as the headers of a caller's request; empty fields are not sent.
 type Options struct {
-	// Profile names the class of work.
+	// Profile is the name of the profile.
 	Profile string
 	// Key is the idempotency key.
 	Key string
-	// Caller is the account.
+	// Caller is the caller's account.
 	Caller string
-	// DeadlineMs may shorten the profile's deadline, in milliseconds.
+	// DeadlineMs is the request's deadline in milliseconds; it can only shorten the
+	// profile's deadline.
 	DeadlineMs int64
 }
 
@@ -105,8 +108,8 @@
 	}
 }
 
-// send sends a request; the caller closes the answer's body. The request's
-// body is hidden from net/http, which would otherwise send it again by itself.
+// send sends a request. The caller must close the response's body. GetBody is cleared so
+// that net/http does not resend the request on its own.
 func (c *Client) send(ctx context.Context, method, path string, body io.Reader, o Options, header http.Header) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, body)
 	if err != nil {
@@ -117,7 +120,7 @@
 		req.Header[name] = values
 	}
 	o.apply(req.Header)
-	// Elsewhere the bearer token would be taken for the caller's identity.
+	// On other paths the daemon would take the bearer token for the caller's identity.
 	if c.Token != "" && strings.HasPrefix(path, "/admin/") {
 		req.Header.Set("Authorization", "Bearer "+c.Token)
 	}
@@ -128,8 +131,8 @@
 	return client.Do(req)
 }
 
-// do sends a request and returns the whole body of a 2xx answer; other answers
-// are *Refused.
+// do sends a request and returns the status and the whole body. For a status that is not
+// 2xx the error is a *RefusalError.
 func (c *Client) do(ctx context.Context, method, path string, body io.Reader, o Options, header http.Header) (int, []byte, error) {
 	resp, err := c.send(ctx, method, path, body, o, header)
 	if err != nil {
@@ -146,18 +149,18 @@
 	return resp.StatusCode, text, nil
 }
 
-// Ready returns nil when the daemon serves callers.
+// Ready returns nil if the daemon is ready to serve callers.
 func (c *Client) Ready(ctx context.Context) error {
 	_, _, err := c.do(ctx, http.MethodGet, "/readyz", nil, Options{}, nil)
 	return err
 }
 
-// Service calls a plain service and returns its status and body.
+// Service calls a plain service and returns the status and body of the response.
 func (c *Client) Service(ctx context.Context, o Options, method, service, path string, body []byte) (int, []byte, error) {
 	return c.do(ctx, method, "/v1/services/"+service+path, bytes.NewReader(body), o, nil)
 }
 
-// Kept is the state of a keyed request.
+// KeyedRequest is the state of a request with an idempotency key.
 type Kept struct {
 	State    string `json:"state"`
 	Response *struct {
@@ -170,7 +173,8 @@
 	} `json:"error"`
 }
 
-// Kept returns the state of a keyed request of the caller in o.
+// KeyedRequest returns the state of the request with the given idempotency key and the
+// caller in o.
 func (c *Client) Kept(ctx context.Context, o Options, key string) (Kept, error) {
 	var kept Kept
 	_, text, err := c.do(ctx, http.MethodGet, "/v1/requests/"+key, nil, o, nil)
@@ -180,7 +184,7 @@
 	return kept, json.Unmarshal(text, &kept)
 }
 
-// IsRefused returns the refusal in err's chain, or nil.
+// AsRefusal returns the *RefusalError in err's chain, or nil if there is none.
 func IsRefused(err error) *Refused {
 	var refused *Refused
 	if errors.As(err, &refused) {
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -16,10 +16,10 @@
 // ChatPath is the path of chat completions.
 const ChatPath = "/v1/chat/completions"
 
-// maxEventBytes bounds one server-sent event.
+// maxEventBytes limits one server-sent event.
 const maxEventBytes = 1 << 20
 
-// Chat is the body of a chat completion.
+// Chat is the request body of a chat completion.
 type Chat struct {
 	Model     string           `json:"model"`
 	Stream    bool             `json:"stream,omitempty"`
@@ -39,7 +39,7 @@
 	} `json:"choices"`
 }
 
-// Content returns the text of a whole chat.completion body.
+// Content returns the text in the body of a chat completion that was not streamed.
 func Content(body []byte) (string, error) {
 	var whole completion
 	if err := json.Unmarshal(body, &whole); err != nil {
@@ -51,7 +51,7 @@
 	return whole.Choices[0].Message.Content, nil
 }
 
-// Chat returns the whole answer of a chat completion, not streamed.
+// Chat sends a chat completion without streaming and returns the text of the answer.
 func (c *Client) Chat(ctx context.Context, o Options, chat Chat) (string, error) {
 	chat.Stream = false
 	body, err := json.Marshal(chat)
@@ -65,8 +65,8 @@
 	return Content(text)
 }
 
-// StreamChat streams a chat completion; onToken sees each chunk's text. It
-// returns nil only after the whole stream came, [DONE] included.
+// StreamChat streams a chat completion and calls onToken with the text of each chunk. It
+// returns nil only after the whole stream was received, including [DONE].
 func (c *Client) StreamChat(ctx context.Context, o Options, chat Chat, onToken func(text string)) error {
 	chat.Stream = true
 	body, err := json.Marshal(chat)
--- a/caller/jobs.go
+++ b/caller/jobs.go
@@ -10,14 +10,14 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// Line is one line of a job.
+// Line is one line, that is one item, of a job's body.
 type Line struct {
 	CustomID string `json:"custom_id"`
 	URL      string `json:"url"`
 	Body     any    `json:"body"`
 }
 
-// EncodeLines returns a job's body.
+// EncodeLines encodes lines as a job's body in JSON lines.
 func EncodeLines(lines []Line) ([]byte, error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
@@ -29,7 +29,7 @@
 	return body.Bytes(), nil
 }
 
-// Job is a job's status. Times are Unix milliseconds, 0 is "not yet".
+// Job is a job's status. Times are Unix milliseconds; 0 means not set yet.
 type Job struct {
 	Job        string `json:"job"`
 	Profile    string `json:"profile"`
@@ -41,7 +41,7 @@
 	ForecastMs int64 `json:"forecast_ms"`
 }
 
-// Counts are a job's items by state.
+// Counts are the numbers of a job's items by state.
 type Counts struct {
 	Items     int `json:"items"`
 	Waiting   int `json:"waiting"`
@@ -51,7 +51,7 @@
 	Cancelled int `json:"cancelled"`
 }
 
-// Ended tells whether no item will run any more.
+// Ended reports whether the job has ended, so that no more items will run.
 func (j Job) Ended() bool { return j.State == "ended" || j.State == "cancelled" }
 
 // Result is one line of a job's results.
@@ -70,7 +70,7 @@
 	} `json:"error"`
 }
 
-// PutJob submits a job; created is false when the same job was there already.
+// PutJob submits a job. created is false if the same job already existed.
 func (c *Client) PutJob(ctx context.Context, o Options, name string, body []byte) (created bool, err error) {
 	status, _, err := c.do(ctx, http.MethodPut, "/v1/jobs/"+name, bytes.NewReader(body), o, nil)
 	return status == http.StatusAccepted, err
@@ -81,7 +81,7 @@
 	return c.job(ctx, http.MethodGet, o, name)
 }
 
-// CancelJob cancels a job; it returns once no new item will start anywhere.
+// CancelJob cancels a job. It returns once no daemon will start another of its items.
 func (c *Client) CancelJob(ctx context.Context, o Options, name string) (Job, error) {
 	return c.job(ctx, http.MethodDelete, o, name)
 }
@@ -95,7 +95,7 @@
 	return job, json.Unmarshal(text, &job)
 }
 
-// Results returns a job's results so far.
+// Results returns the results of the items that have ended so far.
 func (c *Client) Results(ctx context.Context, o Options, name string) ([]Result, error) {
 	_, text, err := c.do(ctx, http.MethodGet, "/v1/jobs/"+name+"/results", nil, o, nil)
 	if err != nil {
