--- a/try/fleet.go
+++ b/try/fleet.go
@@ -14,17 +14,17 @@
 	"tarragonhollow.example/tarragonhollow/standin/deployment"
 )
 
-// adminToken guards the daemons' operators' paths for the run's length.
+// adminToken is the bearer token for the daemons' operator paths.
 const adminToken = "try-operator-token"
 
 // fleet is the running deployment.
 type fleet struct {
-	shape   deployment.Shape
-	stand   *deployment.Deployment
-	daemons []*member
+	shape    deployment.Shape
+	standins *deployment.Deployment
+	daemons  []*member
 }
 
-// member is one daemon and the way to reach it.
+// member is one daemon with a client for it.
 type member struct {
 	daemon *daemon.Daemon
 	client *caller.Client
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{shape: shape, stand: stand}
+	f := &fleet{shape: shape, standins: stand}
 	for i, zone := range shape.Zones {
 		if err := f.startDaemon(fmt.Sprintf("entry-%d", i+1), zone, logs); err != nil {
 			f.stop()
@@ -52,9 +52,9 @@
 func (f *fleet) startDaemon(name, zone string, logs io.Writer) error {
 	s := settings.Default()
 	s.Host = settings.Host{Name: name, Zone: zone, HTTPAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0"}
-	s.Platform.LogURL = f.stand.LogURL
-	s.Platform.HostsURL = f.stand.HostsURL
-	s.Platform.WeightsURL = f.stand.WeightsURL
+	s.Platform.LogURL = f.standins.LogURL
+	s.Platform.HostsURL = f.standins.HostsURL
+	s.Platform.WeightsURL = f.standins.WeightsURL
 	s.Admin.Token = adminToken
 	s.Drain.Grace = time.Millisecond
 	s.Drain.Timeout = 5 * time.Second
@@ -75,7 +75,7 @@
 		_ = d.Run(ctx)
 	}()
 	f.daemons = append(f.daemons, m)
-	return f.stand.Hosts.Put(extern.Host{
+	return f.standins.Hosts.Put(extern.Host{
 		Name:    name,
 		Role:    extern.RoleDaemon,
 		Address: d.PeerAddress(),
@@ -84,12 +84,11 @@
 	})
 }
 
-// publish publishes the deployment's configuration and waits until every
-// daemon serves by it.
+// publish publishes the deployment's configuration and waits until every daemon is ready.
 func (f *fleet) publish(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	text := f.stand.ConfigText()
+	text := f.standins.ConfigText()
 	err := retry(ctx, func() error {
 		_, err := f.daemons[0].client.PublishConfig(ctx, text, 0)
 		if refused := caller.IsRefused(err); refused != nil && refused.Winner != "" {
@@ -108,13 +107,14 @@
 	return nil
 }
 
-// kill ends the daemon as a lost host would, and the platform notices.
+// kill stops the i-th daemon abruptly, like the loss of its host, and removes it from the
+// platform's host list.
 func (f *fleet) kill(i int) {
 	m := f.daemons[i]
 	m.killed = true
 	m.daemon.Kill()
 	<-m.done
-	f.stand.Hosts.Remove(fmt.Sprintf("entry-%d", i+1))
+	f.standins.Hosts.Remove(fmt.Sprintf("entry-%d", i+1))
 }
 
 // live returns the clients of the daemons that were not killed.
@@ -135,13 +135,14 @@
 	for _, m := range f.daemons {
 		<-m.done
 	}
-	f.stand.Close()
+	f.standins.Close()
 }
 
-// retryEvery is the pause between tries at something that takes its time.
-const retryEvery = 50 * time.Millisecond
+// retryInterval is the pause between attempts of retry.
+const retryInterval = 50 * time.Millisecond
 
-// retry calls f until it succeeds or ctx ends; it returns f's last error then.
+// retry calls f until it succeeds or ctx is done. In the latter case it returns f's last
+// error.
 func retry(ctx context.Context, f func() error) error {
 	for {
 		err := f()
@@ -151,7 +152,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/try/load.go
+++ b/try/load.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// chatEvery and orderEvery pace the online requests.
-	chatEvery  = 40 * time.Millisecond
-	orderEvery = 150 * time.Millisecond
-	// maxTokens bounds each answer.
+	// chatInterval and orderInterval are the intervals between online requests of each kind.
+	chatInterval  = 40 * time.Millisecond
+	orderInterval = 150 * time.Millisecond
+	// maxTokens limits each answer.
 	maxTokens = 24
-	// jobName is the batch job; impossibleItem is its item that no engine can do.
+	// jobName is the name of the batch job; impossibleItem is the index of its item that
+	// no engine can do.
 	jobName        = "night-batch"
 	impossibleItem = batchItems / 2
 )
 
-// runLoad sends everything, kills a daemon in the middle and waits for the
-// batch job to end.
+// runLoad submits the batch job, sends the online requests, kills a daemon meanwhile and
+// waits until the job and the online load have ended.
 func runLoad(ctx context.Context, f *fleet, count *tally, p *progress) error {
 	body, err := jobBody(f.shape.Model)
 	if err != nil {
@@ -43,10 +44,10 @@
 	p.step("batch job accepted: %d items, one of which can never complete", batchItems)
 
 	var wg sync.WaitGroup
-	sendFor := time.Now().Add(onlineFor)
+	sendUntil := time.Now().Add(onlineDuration)
 	wg.Add(2)
-	go func() { defer wg.Done(); sendChats(ctx, f, count, sendFor) }()
-	go func() { defer wg.Done(); sendOrders(ctx, f, count, sendFor) }()
+	go func() { defer wg.Done(); sendChats(ctx, f, count, sendUntil) }()
+	go func() { defer wg.Done(); sendOrders(ctx, f, count, sendUntil) }()
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
@@ -58,7 +59,8 @@
 	return err
 }
 
-// watch shows the counters until the online load and the job have ended.
+// watch prints the counters until the online load and the job have ended. It returns an
+// error if ctx is done before that.
 func watch(ctx context.Context, f *fleet, count *tally, p *progress, killed <-chan struct{}) error {
 	begin := time.Now()
 	for {
@@ -74,14 +76,14 @@
 		if err == nil {
 			p.tick(fmt.Sprintf("online %s; batch %d/%d completed, %d failed", count.progress(), job.Completed, job.Items, job.Failed))
 		}
-		if err == nil && job.Ended() && killed == nil && time.Since(begin) > onlineFor {
+		if err == nil && job.Ended() && killed == nil && time.Since(begin) > onlineDuration {
 			p.step("batch job %s: %d completed, %d failed of %d", job.State, job.Completed, job.Failed, job.Items)
 			return nil
 		}
 	}
 }
 
-// prompt is the n-th prompt of a kind; prompts of a kind share their prefix.
+// prompt returns the n-th prompt of a kind; the prompts of a kind share their prefix.
 func prompt(kind string, n int) []target.Message {
 	return []target.Message{
 		{Role: "system", Content: "You answer for the house " + kind},
@@ -107,19 +109,19 @@
 
 func itemID(i int) string { return fmt.Sprintf("sheet-%03d", i) }
 
-// sendChats sends streamed chat completions, open-loop, to the daemons in turn.
+// sendChats sends streamed chat completions, open-loop, to the daemons round-robin.
 func sendChats(ctx context.Context, f *fleet, count *tally, until time.Time) {
 	var wg sync.WaitGroup
 	for n := 0; time.Now().Before(until); n++ {
 		wg.Add(1)
 		go func() { defer wg.Done(); sendChat(ctx, f, count, n) }()
-		time.Sleep(chatEvery)
+		time.Sleep(chatInterval)
 	}
 	wg.Wait()
 }
 
-// sendChat sends one chat completion; a caller whose daemon dies asks the next
-// daemon by the same key.
+// sendChat sends one chat completion. If it fails, for instance because the daemon was
+// killed, it is sent to the next daemon with the same key.
 func sendChat(ctx context.Context, f *fleet, count *tally, n int) {
 	messages := prompt("room", n)
 	chat := caller.Chat{Model: f.shape.Model, MaxTokens: maxTokens, Messages: messages}
@@ -136,11 +138,11 @@
 		}
 	}
 	want := join(engine.ExpectedTokens(f.shape.Model, messages, maxTokens))
-	count.chat(time.Since(begin), text, want, err)
+	count.recordChat(time.Since(begin), text, want, err)
 }
 
-// sendOrders sends non-repeatable calls, each one twice: the second time to
-// another daemon with the same key, as an impatient caller would.
+// sendOrders sends non-repeatable calls. Each one is sent twice with the same key, to two
+// daemons at once, like the retry of a caller that does not wait for the first response.
 func sendOrders(ctx context.Context, f *fleet, count *tally, until time.Time) {
 	var wg sync.WaitGroup
 	for n := 0; time.Now().Before(until); n++ {
@@ -150,7 +152,7 @@
 			wg.Add(1)
 			go func() { defer wg.Done(); sendOrder(ctx, f, count, key, n+copies) }()
 		}
-		time.Sleep(orderEvery)
+		time.Sleep(orderInterval)
 	}
 	wg.Wait()
 }
--- a/try/progress.go
+++ b/try/progress.go
@@ -9,18 +9,19 @@
 	"github.com/mattn/go-isatty"
 )
 
-// progress tells how the run goes: on a terminal the counters stay on one line
-// that is written over, in a pipe every message is a line.
+// progress prints the progress of the run. On a terminal the counters are overwritten on
+// one line; otherwise every message is a line.
 type progress struct {
 	out      io.Writer
 	terminal bool
 	started  time.Time
 	lastTick time.Time
-	open     bool
+	lineOpen bool
 }
 
-// tickEvery is the pause between counter lines in a pipe.
-const tickEvery = 2 * time.Second
+// minTickInterval is the minimum time between lines of counters if the output is not a
+// terminal.
+const minTickInterval = 2 * time.Second
 
 func newProgress(out io.Writer) *progress {
 	file, ok := out.(*os.File)
@@ -31,29 +32,29 @@
 	}
 }
 
-// step tells one event.
+// step prints one event as a line with the time since the start.
 func (p *progress) step(format string, args ...any) {
 	p.end()
 	fmt.Fprintf(p.out, "%6.1fs  %s\n", time.Since(p.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// tick shows the counters.
+// tick prints the counters.
 func (p *progress) tick(text string) {
 	if p.terminal {
 		fmt.Fprintf(p.out, "\r\033[K%6.1fs  %s", time.Since(p.started).Seconds(), text)
-		p.open = true
+		p.lineOpen = true
 		return
 	}
-	if time.Since(p.lastTick) >= tickEvery {
+	if time.Since(p.lastTick) >= minTickInterval {
 		p.lastTick = time.Now()
 		p.step("%s", text)
 	}
 }
 
-// end closes the line that is written over.
+// end ends the line of counters that is overwritten on a terminal.
 func (p *progress) end() {
-	if p.open {
+	if p.lineOpen {
 		fmt.Fprintln(p.out)
-		p.open = false
+		p.lineOpen = false
 	}
 }
--- a/try/tally.go
+++ b/try/tally.go
@@ -15,7 +15,8 @@
 	"tarragonhollow.example/tarragonhollow/standin/service"
 )
 
-// tally counts what callers saw and, at the end, what the targets saw.
+// tally counts the results that callers received, and at the end checks them against the
+// targets' records.
 type tally struct {
 	mu        sync.Mutex
 	latency   *hdrhistogram.Histogram
@@ -30,9 +31,9 @@
 
 // order is one non-repeatable call, sent twice.
 type order struct {
-	// answers are the execution numbers that callers were told.
+	// answers are the execution numbers in the responses that the callers received.
 	answers []int64
-	// unknown tells that a caller was told that it may have run.
+	// unknown is set if a caller received a refusal that says the order may have run.
 	unknown bool
 }
 
@@ -56,9 +57,9 @@
 	t.accepted += items
 }
 
-// chat counts one chat completion by what its caller read. A text that is not
-// the expected one has lost or doubled tokens.
-func (t *tally) chat(d time.Duration, text, want string, err error) {
+// recordChat counts one chat completion by the text that its caller received. A text that
+// differs from the expected one has lost or doubled tokens.
+func (t *tally) recordChat(d time.Duration, text, want string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.accepted++
@@ -120,17 +121,18 @@
 	return fmt.Sprintf("%d answered, %d orders, %d failed", t.completed, len(t.orders), t.failed)
 }
 
-// check settles the orders and the job from the targets' records and from what
-// callers can read now.
+// check verifies the orders against the targets' records, and the job against the results
+// that callers can read now.
 func (t *tally) check(ctx context.Context, f *fleet) error {
 	t.checkOrders(f)
 	return t.checkJob(ctx, f)
 }
 
-// checkOrders compares what callers were told with what the services executed.
+// checkOrders compares the responses that callers received with the services' records of
+// executions.
 func (t *tally) checkOrders(f *fleet) {
 	executions := map[string]int{}
-	for _, s := range f.stand.Services {
+	for _, s := range f.standins.Services {
 		for key, n := range s.Record().Executions {
 			executions[key] += n
 		}
@@ -151,7 +153,7 @@
 		case len(o.answers) > 0:
 			t.completed++
 		case o.unknown || ran == 0:
-			// Its callers were told the truth: it may have run, or it did not.
+			// The callers were informed correctly: it may have run, or it did not run.
 			t.failed++
 		default:
 			t.lost++
@@ -160,7 +162,7 @@
 	}
 }
 
-// checkJob reads the job's results from every live daemon.
+// checkJob reads the job's results from every live daemon and checks them.
 func (t *tally) checkJob(ctx context.Context, f *fleet) error {
 	for _, client := range f.live() {
 		var results []caller.Result
@@ -174,7 +176,8 @@
 		}
 		t.checkResults(f.shape.Model, results)
 	}
-	// Every live daemon told the same job: count its items once.
+	// Every live daemon returned the results of the same job, so its items are counted
+	// once.
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.completed += batchItems - 1
@@ -182,7 +185,8 @@
 	return nil
 }
 
-// checkResults compares one daemon's results with what the engines must answer.
+// checkResults compares the results that one daemon returned with the engines' expected
+// answers.
 func (t *tally) checkResults(model string, results []caller.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +210,7 @@
 	}
 }
 
-// itemProblem tells what is wrong with an item's result, "" if nothing.
+// itemProblem returns what is wrong with an item's result, or "" if it is as expected.
 func itemProblem(model string, i int, r caller.Result) string {
 	if i == impossibleItem {
 		if r.State != "failed" {
@@ -227,8 +231,8 @@
 	return ""
 }
 
-// line is the last line of the run.
-func (t *tally) line() string {
+// summary returns the notes and the last line of the run's output.
+func (t *tally) summary() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var b strings.Builder
--- a/try/try.go
+++ b/try/try.go
@@ -1,8 +1,8 @@
-// Package try is the demonstration behind the README's first command: a whole
-// deployment in one process, on free loopback ports, with real sockets between
-// its parts. It sends online requests, orders that must not run twice and a
-// batch job, kills one daemon in the middle, and counts what was lost or
-// doubled from what the targets saw and what callers can read.
+// Package try implements the demonstration that the README starts with: a whole
+// deployment in one process, on free loopback ports, with real sockets between its parts.
+// It sends online requests, orders that must not run twice and a batch job, and kills one
+// daemon during the run. From the targets' records and from what callers can read it
+// counts what was lost or doubled.
 package try
 
 import (
@@ -18,22 +18,23 @@
 )
 
 const (
-	// batchItems is the size of the job; one of its items can never complete.
+	// batchItems is the number of items of the job, one of which can never complete.
 	batchItems = 300
-	// onlineFor is how long online requests are sent.
-	onlineFor = 12 * time.Second
-	// killAfter is when one daemon is killed.
+	// onlineDuration is how long online requests are sent.
+	onlineDuration = 12 * time.Second
+	// killAfter is the time from the start of the load until one daemon is killed.
 	killAfter = 5 * time.Second
-	// readyWithin bounds the start of the fleet, endWithin the whole run.
-	readyWithin = 15 * time.Second
-	endWithin   = 55 * time.Second
+	// readyTimeout limits the time until all daemons are ready, runTimeout the time
+	// from then on to the end of the run.
+	readyTimeout = 15 * time.Second
+	runTimeout   = 55 * time.Second
 )
 
-// errUnsound is returned when something was lost or doubled.
-var errUnsound = errors.New("an item was lost or doubled")
+// errLostOrDoubled is returned if anything was lost or doubled.
+var errLostOrDoubled = errors.New("an item was lost or doubled")
 
-// Run runs the demonstration; it returns an error if it could not be run or if
-// anything was lost or doubled.
+// Run runs the demonstration. It returns an error if the demonstration could not run, or
+// if anything was lost or doubled.
 func Run(ctx context.Context, o cli.TryOptions) error {
 	shape, err := deployment.ShapeOf(o.Deployment)
 	if err != nil {
@@ -55,7 +56,7 @@
 	if o.Stay {
 		return stay(ctx, fleet, o.Out)
 	}
-	ctx, cancel := context.WithTimeout(ctx, endWithin)
+	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	count := &tally{}
 	if err := runLoad(ctx, fleet, count, progress); err != nil {
@@ -65,9 +66,9 @@
 		return err
 	}
 	progress.end()
-	fmt.Fprintln(o.Out, count.line())
+	fmt.Fprintln(o.Out, count.summary())
 	if count.lost != 0 || count.doubled != 0 {
-		return errUnsound
+		return errLostOrDoubled
 	}
 	return nil
 }
--- a/try/try_test.go
+++ b/try/try_test.go
@@ -14,9 +14,9 @@
 
 var lastLine = regexp.MustCompile(`(?m)^accepted=\d+ completed=\d+ failed=\d+ lost=0 doubled=0 online_p50_ms=[0-9.]+ online_p99_ms=[0-9.]+\n\z`)
 
-// A newcomer runs the README's first command. One daemon dies in the middle;
-// every request still gets its answer, no order runs twice, and each item of
-// the batch job has exactly one right result but the one that never can.
+// The README's first command must succeed: although one daemon is killed during the run,
+// every request gets its answer, no order runs twice, and each item of the batch job has
+// exactly one correct result, except the one that can never complete.
 func TestRun(t *testing.T) {
 	for _, name := range deployment.Names() {
 		t.Run(name, func(t *testing.T) {
