--- a/bench/capacity/control_test.go
+++ b/bench/capacity/control_test.go
@@ -15,8 +15,8 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// BenchmarkHostList gives the size of one answer of the host list and the time
-// to decode it, which every daemon does once a second.
+// BenchmarkHostList reports the size of one response of the host list in bytes, and the
+// time to decode it as a percentage of a core: every daemon decodes it once a second.
 func BenchmarkHostList(b *testing.B) {
 	for _, size := range []struct{ daemons, targets int }{{12, 14}, {85, 150}, {340, 600}} {
 		b.Run(fmt.Sprintf("daemons=%d/targets=%d", size.daemons, size.targets), func(b *testing.B) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// BenchmarkSignalBytes gives the bytes of one signal with its answer on a warm
-// connection, by the number of targets it tells about.
+// BenchmarkSignalBytes reports the bytes of one signal and its reply on a warm connection,
+// by the number of targets in the signal.
 func BenchmarkSignalBytes(b *testing.B) {
 	for _, targets := range []int{1, 2, 8, 50} {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkPullBytes gives the bytes of one pull that finds nothing.
+// BenchmarkPullBytes reports the bytes of one pull that returns no items.
 func BenchmarkPullBytes(b *testing.B) {
 	meter := newGobMeter()
 	req := ledger.PullRequest{Steward: "entry-000/1760000000000000000", Group: "ordering", Max: 16, MaxBytes: 1 << 20}
@@ -89,7 +89,8 @@
 	b.ReportMetric(float64(meter.bytes-before)/float64(n), "bytes")
 }
 
-// configText is a configuration of so many target groups of 50 targets each.
+// configText returns a configuration with the given number of target groups of 50 targets
+// each.
 func configText(groups int) string {
 	var text strings.Builder
 	text.WriteString("[profile room-chat]\nurgency = online\nrepeatable = true\ndeadline = 30s\n")
@@ -106,8 +107,8 @@
 	return text.String()
 }
 
-// BenchmarkConfigChange folds and parses one change, as every daemon does, and
-// gives the size of its record.
+// BenchmarkConfigChange applies and parses one change, as every daemon does, and reports
+// the size of its record and of the resulting state.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, groups := range []int{1, 4, 12} {
 		b.Run(fmt.Sprintf("targets=%d", groups*50), func(b *testing.B) {
@@ -137,8 +138,8 @@
 	}
 }
 
-// BenchmarkBurn gives the memory of a daemon's counts after so many hours for
-// so many series, the bytes of all of them for a peer, and of one record of the log.
+// BenchmarkBurn reports the memory of a daemon's counts by hours and number of series, the
+// bytes of all of them as sent to a peer, and the bytes of one record on the log.
 func BenchmarkBurn(b *testing.B) {
 	profile := &config.Profile{Name: "p", SLO: config.SLO{Availability: 0.999}}
 	for _, size := range []struct{ hours, series int }{{1, 4}, {6, 4}, {72, 4}, {72, 12}, {72, 36}} {
--- a/bench/capacity/drive/config.go
+++ b/bench/capacity/drive/config.go
@@ -10,16 +10,17 @@
 	"github.com/spf13/cobra"
 )
 
-// versionPoll is how often each daemon is asked for its version.
-const versionPoll = 5 * time.Millisecond
+// versionPollInterval is the interval at which each daemon's configuration version is
+// polled.
+const versionPollInterval = 5 * time.Millisecond
 
-// configCommand publishes changes and takes the time until each is in force on
-// the last daemon, asking every daemon itself.
+// configCommand publishes changes and measures the time until each is in force on all
+// daemons, by polling every daemon.
 func configCommand(dir *string) *cobra.Command {
 	var changes int
 	cmd := &cobra.Command{Use: "config", Short: "Time until a change is in force everywhere"}
 	cmd.Flags().IntVar(&changes, "changes", 20, "changes to publish")
-	cmd.RunE = onFleet(dir, func(ctx context.Context, f *fleet) error {
+	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
 		var last, answered []time.Duration
 		for n := range changes {
 			whole, put, err := f.change(ctx, n)
@@ -38,8 +39,8 @@
 	return cmd
 }
 
-// change publishes one change at the n-th daemon. It returns the time until the
-// last daemon has it and the time until the operator is answered.
+// change publishes one change at daemon n. It returns the time until the last daemon has
+// applied it and the time until the operator received the response.
 func (f *fleet) change(ctx context.Context, n int) (last, answered time.Duration, err error) {
 	operator := f.daemons[n%len(f.daemons)].client
 	now, err := operator.Config(ctx)
@@ -72,6 +73,6 @@
 		if config, err := f.daemons[i].client.Config(ctx); err == nil && config.Version >= version {
 			return
 		}
-		time.Sleep(versionPoll)
+		time.Sleep(versionPollInterval)
 	}
 }
--- a/bench/capacity/drive/fleet.go
+++ b/bench/capacity/drive/fleet.go
@@ -14,7 +14,7 @@
 	"tarragonhollow.example/tarragonhollow/caller"
 )
 
-// clockTicks is the kernel's unit of processor time, in ticks a second.
+// clockTicks is the number of ticks a second in which the kernel counts CPU time.
 const clockTicks = 100
 
 // daemon is one process of the fleet.
@@ -24,7 +24,7 @@
 	client *caller.Client
 }
 
-// fleet is a running bench/fleet.sh.
+// fleet is a fleet started by bench/fleet.sh.
 type fleet struct {
 	dir     string
 	daemons []daemon
@@ -62,8 +62,8 @@
 	return f, nil
 }
 
-// processorTime returns the processor time that all daemons together have used.
-func (f *fleet) processorTime() time.Duration {
+// cpuTime returns the CPU time that all daemons together have used.
+func (f *fleet) cpuTime() time.Duration {
 	ticks := 0
 	for _, d := range f.daemons {
 		text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.pid))
@@ -92,7 +92,7 @@
 	return largest
 }
 
-// logStats are the log stand-in's counts.
+// logStats are the counters of the log stand-in.
 type logStats struct {
 	Appends int64 `json:"appends"`
 	Bytes   int64 `json:"bytes"`
@@ -109,7 +109,7 @@
 	return stats
 }
 
-// status is the part of GET /admin/status that is looked at here.
+// status is the part of the response to GET /admin/status that is used here.
 type status struct {
 	Hosts []struct {
 		Host   string `json:"host"`
@@ -118,7 +118,7 @@
 	} `json:"hosts"`
 }
 
-// status asks a daemon for its view.
+// status returns the daemon's view of the fleet.
 func (d *daemon) status(ctx context.Context) (status, error) {
 	var s status
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, d.client.Base+"/admin/status", nil)
--- a/bench/capacity/drive/load.go
+++ b/bench/capacity/drive/load.go
@@ -19,7 +19,7 @@
 	onlineProfile = "room-chat"
 	batchProfile  = "prep-sheets"
 	account       = "capacity"
-	// promptWords gives a prompt of some 400 bytes.
+	// promptWords results in prompts of about 400 bytes.
 	promptWords = 80
 )
 
@@ -27,8 +27,8 @@
 	return []target.Message{{Role: "user", Content: fmt.Sprintf("%d %s", n, strings.Repeat("menu ", promptWords))}}
 }
 
-// onlineCommand sends requests at a fixed rate, none waiting for another, and
-// tells what the daemons spent beyond what they spend idle.
+// onlineCommand sends requests at a fixed rate, open-loop, and prints the CPU time of the
+// daemons beyond what they use when idle.
 func onlineCommand(dir *string) *cobra.Command {
 	var rate float64
 	var seconds, tokens int
@@ -38,11 +38,11 @@
 	cmd.Flags().IntVar(&seconds, "seconds", 10, "how long to send")
 	cmd.Flags().IntVar(&tokens, "tokens", 16, "tokens of an answer")
 	cmd.Flags().BoolVar(&keyed, "keyed", false, "give each request an Idempotency-Key")
-	cmd.RunE = onFleet(dir, func(ctx context.Context, f *fleet) error {
+	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
 		idle := f.idleShare(5 * time.Second)
 		var done, failed, got atomic.Int64
 		var requests sync.WaitGroup
-		cpu, stats, began := f.processorTime(), f.logStats(), time.Now()
+		cpu, stats, began := f.cpuTime(), f.logStats(), time.Now()
 		for n := range int(rate * float64(seconds)) {
 			time.Sleep(time.Until(began.Add(time.Duration(float64(n) / rate * float64(time.Second)))))
 			requests.Go(func() {
@@ -61,7 +61,7 @@
 		}
 		requests.Wait()
 		took := time.Since(began)
-		used := f.processorTime() - cpu - time.Duration(float64(took)*idle)
+		used := f.cpuTime() - cpu - time.Duration(float64(took)*idle)
 		after := f.logStats()
 		fmt.Printf("online rate=%.0f tokens=%d keyed=%v seconds=%.1f done=%d failed=%d tokens_got=%d idle_core=%.3f beyond_idle_core=%.3f us_per_request=%.0f appends_per_s=%.1f log_bytes_per_request=%.0f\n",
 			rate, tokens, keyed, took.Seconds(), done.Load(), failed.Load(), got.Load(), idle, used.Seconds()/took.Seconds(),
@@ -72,14 +72,14 @@
 	return cmd
 }
 
-// idleShare returns how much of a core all daemons together use now.
+// idleShare measures for d how many cores all daemons together use.
 func (f *fleet) idleShare(d time.Duration) float64 {
-	before, began := f.processorTime(), time.Now()
+	before, began := f.cpuTime(), time.Now()
 	time.Sleep(d)
-	return (f.processorTime() - before).Seconds() / time.Since(began).Seconds()
+	return (f.cpuTime() - before).Seconds() / time.Since(began).Seconds()
 }
 
-// putJob submits a job of n items.
+// putJob submits a job of n items to the first daemon.
 func (f *fleet) putJob(ctx context.Context, name string, n, tokens int) error {
 	lines := make([]caller.Line, n)
 	for i := range lines {
@@ -94,16 +94,17 @@
 	return err
 }
 
-// batchCommand runs one job to its end and tells what an item cost all daemons.
+// batchCommand runs one job to its end and prints the cost per item for all daemons
+// together.
 func batchCommand(dir *string) *cobra.Command {
 	var items, tokens int
 	cmd := &cobra.Command{Use: "batch", Short: "Processor time and appends of batch items"}
 	cmd.Flags().IntVar(&items, "items", 2000, "items of the job")
 	cmd.Flags().IntVar(&tokens, "tokens", 4, "tokens of an answer")
-	cmd.RunE = onFleet(dir, func(ctx context.Context, f *fleet) error {
+	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
 		idle := f.idleShare(5 * time.Second)
 		name := fmt.Sprint("job-", time.Now().UnixNano())
-		cpu, stats, began := f.processorTime(), f.logStats(), time.Now()
+		cpu, stats, began := f.cpuTime(), f.logStats(), time.Now()
 		if err := f.putJob(ctx, name, items, tokens); err != nil {
 			return err
 		}
@@ -113,7 +114,7 @@
 			return err
 		}
 		took := time.Since(began)
-		used := f.processorTime() - cpu - time.Duration(float64(took)*idle)
+		used := f.cpuTime() - cpu - time.Duration(float64(took)*idle)
 		after := f.logStats()
 		fmt.Printf("batch items=%d completed=%d failed=%d upload_s=%.2f seconds=%.1f items_per_s=%.0f us_per_item=%.0f appends_per_1000=%.0f log_bytes_per_item=%.0f largest_rss_mib=%.0f\n",
 			items, job.Completed, job.Failed, uploaded.Seconds(), took.Seconds(), float64(items)/took.Seconds(),
@@ -124,10 +125,10 @@
 	return cmd
 }
 
-// jobPoll is how often a job is asked about.
-const jobPoll = 50 * time.Millisecond
+// jobPollInterval is the interval at which a job's status is polled.
+const jobPollInterval = 50 * time.Millisecond
 
-// awaitJob asks the second daemon until the job satisfies done.
+// awaitJob polls the job's status at the second daemon until done returns true.
 func (f *fleet) awaitJob(ctx context.Context, name string, done func(caller.Job) bool) (caller.Job, error) {
 	for {
 		job, err := f.daemons[1].client.Job(ctx, caller.Options{Caller: account}, name)
@@ -137,7 +138,7 @@
 		select {
 		case <-ctx.Done():
 			return job, ctx.Err()
-		case <-time.After(jobPoll):
+		case <-time.After(jobPollInterval):
 		}
 	}
 }
--- a/bench/capacity/drive/main.go
+++ b/bench/capacity/drive/main.go
@@ -1,7 +1,7 @@
-// Command drive measures a running bench/fleet.sh for docs/CAPACITY.md: the
-// processor time of online requests and tokens and of batch items, the time
-// until a change of the configuration is in force on the last daemon, and the
-// time until a killed daemon's shards are held and its items run again.
+// Command drive measures a fleet started by bench/fleet.sh for docs/CAPACITY.md: the CPU
+// time of online requests and tokens and of batch items, the time until a configuration
+// change is in force on all daemons, and the time until a killed daemon's shards have new
+// owners and its items run again.
 package main
 
 import (
@@ -22,8 +22,8 @@
 	}
 }
 
-// onFleet opens the fleet and runs f on it.
-func onFleet(dir *string, f func(ctx context.Context, fleet *fleet) error) func(*cobra.Command, []string) error {
+// withFleet returns a command function that opens the fleet in dir and calls f with it.
+func withFleet(dir *string, f func(ctx context.Context, fleet *fleet) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, _ []string) error {
 		fleet, err := openFleet(*dir)
 		if err != nil {
--- a/bench/capacity/drive/recover.go
+++ b/bench/capacity/drive/recover.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// statusPoll is how often a survivor is asked for its view.
-	statusPoll = 20 * time.Millisecond
-	// recoverWait bounds the whole wait for a recovery.
-	recoverWait = 3 * time.Minute
+	// statusPollInterval is the interval at which a survivor's status is polled.
+	statusPollInterval = 20 * time.Millisecond
+	// recoverTimeout limits the whole measurement.
+	recoverTimeout = 3 * time.Minute
 )
 
-// recoverCommand kills daemons, among them the one that owns a running job, and
-// takes the time until its loss is known, all shards are held and the job's
-// items end again.
+// recoverCommand kills daemons, including the owner of a running job. It measures the time
+// until the loss is known, until all shards have owners, and until the job's items end
+// again.
 func recoverCommand(dir *string) *cobra.Command {
 	var items, tokens, kill int
 	cmd := &cobra.Command{Use: "recover", Short: "Time until a killed daemon's work goes on"}
 	cmd.Flags().IntVar(&items, "items", 2000, "items of the running job")
 	cmd.Flags().IntVar(&tokens, "tokens", 4, "tokens of an answer")
 	cmd.Flags().IntVar(&kill, "kill", 1, "daemons to kill at once")
-	cmd.RunE = onFleet(dir, func(ctx context.Context, f *fleet) error {
-		ctx, cancel := context.WithTimeout(ctx, recoverWait)
+	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
+		ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 		defer cancel()
 		return f.recoverOnce(ctx, items, tokens, kill)
 	})
@@ -38,7 +38,7 @@
 }
 
 func (f *fleet) recoverOnce(ctx context.Context, items, tokens, kill int) error {
-	// The first two daemons stay: they take the job and are asked.
+	// The first two daemons are not killed: they accept the job and are polled.
 	name := f.jobHeldElsewhere(ctx)
 	if err := f.putJob(ctx, name, items, tokens); err != nil {
 		return err
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	// What the next owner first tells is what it read back.
+	// The first status from the new owner shows what it read back from the log.
 	kept, err := f.awaitJob(ctx, name, func(caller.Job) bool { return true })
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return f.printFailures(ctx, name, ended.Failed)
 }
 
-// printFailures counts the failed items by what their refusals say.
+// printFailures prints the number of failed items by error.
 func (f *fleet) printFailures(ctx context.Context, name string, failed int) error {
 	if failed == 0 {
 		return nil
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// jobHeldElsewhere names a job whose shard none of the first two daemons holds.
+// jobHeldElsewhere returns the name for a job whose shard is held by neither of the first
+// two daemons.
 func (f *fleet) jobHeldElsewhere(ctx context.Context) string {
 	for n := 0; ; n++ {
 		name := fmt.Sprintf("job-%d-%d", time.Now().UnixNano(), n)
@@ -120,7 +121,8 @@
 	}
 }
 
-// victims picks the owner and further daemons, and counts the shards they hold.
+// victims returns the daemons to kill, the owner and others up to kill, and the number of
+// shards that they hold.
 func (f *fleet) victims(s status, owner string, kill int) (victims []daemon, taken int) {
 	for _, d := range f.daemons {
 		if d.host == owner {
@@ -146,10 +148,10 @@
 	return victims, taken
 }
 
-// awaitHeld waits until the second daemon lists no victim any more, and then
-// until it knows a holder for each shard.
+// awaitHeld polls the second daemon until it no longer lists any victim, and then until it
+// lists a holder for each shard. It returns the times of both since began.
 func (f *fleet) awaitHeld(ctx context.Context, began time.Time, victims []daemon) (known, held time.Duration, err error) {
-	gone := func(s status) bool {
+	victimsRemoved := func(s status) bool {
 		for _, h := range s.Hosts {
 			for _, d := range victims {
 				if h.Host == d.host {
@@ -161,7 +163,7 @@
 	}
 	for ctx.Err() == nil {
 		s, err := f.daemons[1].status(ctx)
-		if err == nil && gone(s) {
+		if err == nil && victimsRemoved(s) {
 			if known == 0 {
 				known = time.Since(began)
 			}
@@ -169,7 +171,7 @@
 				return known, time.Since(began), nil
 			}
 		}
-		time.Sleep(statusPoll)
+		time.Sleep(statusPollInterval)
 	}
 	return known, 0, ctx.Err()
 }
--- a/bench/capacity/ledger_test.go
+++ b/bench/capacity/ledger_test.go
@@ -9,14 +9,14 @@
 	"tarragonhollow.example/tarragonhollow/core/ledger"
 )
 
-// An item's prompt and answer, and a kept answer of a keyed request, in bytes:
+// Sizes in bytes of an item's prompt, and of the answer of an item or a keyed request:
 // short ones, as in the benchmarks of core/ledger.
 const (
 	promptBytes = 400
 	answerBytes = 600
 )
 
-// shardRun is one owner with its stream in memory.
+// shardRun is one shard's owner with its stream of records in memory.
 type shardRun struct {
 	now   int64
 	data  [][]byte
@@ -37,12 +37,12 @@
 	return r
 }
 
-func (r *shardRun) call() ledger.CallID {
+func (r *shardRun) nextCall() ledger.CallID {
 	r.calls++
 	return r.calls
 }
 
-// flush appends and reads back until nothing waits.
+// flush appends records and reads them back until none are pending.
 func (r *shardRun) flush() {
 	for {
 		r.now += 200
@@ -81,17 +81,17 @@
 			req.Items = append(req.Items, item)
 		}
 		chunks++
-		r.owner.AddItems(r.now, r.call(), req)
+		r.owner.AddItems(r.now, r.nextCall(), req)
 		r.flush()
 	}
-	r.owner.CommitJob(r.now, r.call(), ledger.JobCommitRequest{
+	r.owner.CommitJob(r.now, r.nextCall(), ledger.JobCommitRequest{
 		Job: name, Upload: "u", Chunks: chunks, Items: n, Fingerprint: "f",
 	})
 	r.flush()
 }
 
-// finish hands out and ends up to n items, as many at a time as one steward's
-// report of a busy target holds.
+// finish pulls and finishes n items, up to perPull at a time. It stands for a batch
+// dispatcher of a busy target, which reports that many ends at once.
 func (r *shardRun) finish(n, perPull int) {
 	answer := []byte(strings.Repeat("a", answerBytes))
 	for n > 0 {
@@ -105,13 +105,13 @@
 				Status: 200, ContentType: "application/json", Body: append([]byte(nil), answer...),
 			}})
 		}
-		r.owner.FinishItems(r.now, r.call(), ends)
+		r.owner.FinishItems(r.now, r.nextCall(), ends)
 		r.flush()
 		n -= len(reply.Items)
 	}
 }
 
-// heapBytes is the memory that is really in use.
+// heapBytes returns the live heap memory in bytes, after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -119,8 +119,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkItems gives what an item costs its shard's owner: memory while it
-// waits and once it has ended, log bytes, and processor time over its whole life.
+// BenchmarkItems reports the cost of an item to its shard's owner: memory while it waits
+// and after it has ended, log bytes, and CPU time from upload to end.
 func BenchmarkItems(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
@@ -143,8 +143,9 @@
 	}
 }
 
-// BenchmarkRequests gives what a keyed request costs its shard's owner: memory
-// while its answer is kept, log bytes, and processor time, 50 at a time.
+// BenchmarkRequests reports the cost of a keyed request to its shard's owner, with 50
+// requests at a time: memory while its answer is retained, log bytes, appends, and CPU
+// time.
 func BenchmarkRequests(b *testing.B) {
 	answer := []byte(strings.Repeat("a", answerBytes))
 	for _, n := range []int{10_000, 50_000, 200_000} {
@@ -156,8 +157,8 @@
 				for i := range n {
 					key := fmt.Sprintf("caller-%d/key-%d", i%18000, i)
 					begin := ledger.BeginRequest{Key: key, Nonce: key, Entry: "e", Fingerprint: "0123456789abcdef", Profile: "p", Repeatable: true}
-					r.owner.Begin(r.now, r.call(), begin)
-					r.owner.Finish(r.now, r.call(), ledger.FinishRequest{
+					r.owner.Begin(r.now, r.nextCall(), begin)
+					r.owner.Finish(r.now, r.nextCall(), ledger.FinishRequest{
 						Key: key, Nonce: key, Attempt: 1, Begin: begin,
 						Answer: &ledger.Answer{Status: 200, ContentType: "application/json", Body: append([]byte(nil), answer...)},
 					})
@@ -178,7 +179,7 @@
 	}
 }
 
-// BenchmarkReplay folds the stream of ended items, as the next owner does.
+// BenchmarkReplay applies the records of a stream of ended items, as a new owner does.
 func BenchmarkReplay(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprintf("items=%d", n), func(b *testing.B) {
@@ -201,8 +202,8 @@
 	}
 }
 
-// BenchmarkIdlePull asks an owner for items of a group while it has jobs of
-// others: what an idle steward's question costs.
+// BenchmarkIdlePull measures the cost of an idle batch dispatcher's request: it pulls items
+// of a group from an owner that has only jobs of another group.
 func BenchmarkIdlePull(b *testing.B) {
 	for _, jobs := range []int{1, 20, 400} {
 		b.Run(fmt.Sprintf("jobs=%d", jobs), func(b *testing.B) {
--- a/bench/capacity/membership_test.go
+++ b/bench/capacity/membership_test.go
@@ -11,22 +11,24 @@
 	"tarragonhollow.example/tarragonhollow/daemon/signal"
 )
 
-// Sizes of the fleets that are measured, and the shape of the planned one.
+// fleetSizes are the numbers of daemons in the measured fleets.
 var fleetSizes = []int{12, 48, 170, 340}
 
 const (
+	// shardCount and zoneCount are those of the planned fleet.
 	shardCount = 32
 	zoneCount  = 7
-	// settlePerDaemon is how many probe intervals per daemon a fleet that starts
-	// at once needs until no word of the start is spread any more.
-	settlePerDaemon = 2.4
-	minSettleTicks  = 120
-	// probeEvery and suspectAfter are the daemon's default settings.
-	probeEvery   = 500 * time.Millisecond
-	suspectAfter = 2 * time.Second
+	// convergeTicksPerDaemon is the number of probe intervals per daemon until a fleet
+	// whose daemons all start at once no longer spreads updates about the start;
+	// minConvergeTicks is the minimum for small fleets.
+	convergeTicksPerDaemon = 2.4
+	minConvergeTicks       = 120
+	// probeInterval and suspectAfter have the daemon's default values.
+	probeInterval = 500 * time.Millisecond
+	suspectAfter  = 2 * time.Second
 )
 
-// gobMeter counts what values take on a connection whose types are known.
+// gobMeter counts the bytes of gob-encoded values on one connection.
 type gobMeter struct {
 	bytes int
 	enc   *gob.Encoder
@@ -43,16 +45,16 @@
 	return len(p), nil
 }
 
-// add encodes a value. Its types are known afterwards, so that only the values
-// of later ones count; see warm.
+// add encodes a value. The first value of a type includes the type's description; later
+// ones do not, so callers add each type once before they measure.
 func (m *gobMeter) add(v any) {
 	if err := m.enc.Encode(v); err != nil {
 		panic(err)
 	}
 }
 
-// memberFleet runs membership machines over a network without losses, counting
-// messages, and bytes where metered is set.
+// memberFleet runs membership machines over a simulated network without losses. It counts
+// messages, and bytes if meter is set.
 type memberFleet struct {
 	now      time.Time
 	hosts    []string
@@ -62,8 +64,8 @@
 	meter    *gobMeter
 }
 
-// newMemberFleet starts n daemons in seven zones of which the first 32 hold a
-// shard each, and lets them agree.
+// newMemberFleet starts n daemons in seven zones and runs them until their views have
+// converged. The first 32 daemons hold one shard each.
 func newMemberFleet(n int) *memberFleet {
 	f := &memberFleet{now: time.UnixMilli(1e12), nodes: map[string]*membership.Machine{}, down: map[string]bool{}}
 	list := membership.HostList{Version: 1}
@@ -81,13 +83,13 @@
 		}
 		m := membership.New(membership.Options{
 			Self: self, Seeds: []string{hostAddress(0), hostAddress(1)}, Seed: uint64(i + 1),
-			ProbeEvery: probeEvery, SuspectAfter: suspectAfter,
+			ProbeEvery: probeInterval, SuspectAfter: suspectAfter,
 		})
 		m.SetHostList(f.now, list)
 		f.hosts = append(f.hosts, hostName(i))
 		f.nodes[hostAddress(i)] = m
 	}
-	f.run(max(minSettleTicks, int(settlePerDaemon*float64(n))))
+	f.run(max(minConvergeTicks, int(convergeTicksPerDaemon*float64(n))))
 	return f
 }
 
@@ -96,7 +98,7 @@
 
 func (f *memberFleet) run(ticks int) {
 	for range ticks {
-		f.now = f.now.Add(probeEvery)
+		f.now = f.now.Add(probeInterval)
 		for i := range f.hosts {
 			address := hostAddress(i)
 			if f.down[address] {
@@ -111,7 +113,7 @@
 	}
 }
 
-// send carries out one probe.
+// send delivers one probe and its reply, and returns the probes that follow from it.
 func (f *memberFleet) send(m *membership.Machine, p membership.Probe) []membership.Probe {
 	f.messages++
 	peer := f.nodes[p.Address]
@@ -130,25 +132,25 @@
 		m.AnsweredVia(f.now, p, peer.FinishVia(f.now, &reply))
 	case membership.ProbeSync:
 		reply := peer.AnswerSync(f.now, p.Request)
-		f.count(p.Request, reply)
+		f.meterBytes(p.Request, reply)
 		m.AnsweredSync(f.now, reply)
 	default:
 		reply := peer.AnswerProbe(f.now, p.Request)
-		f.count(p.Request, reply)
+		f.meterBytes(p.Request, reply)
 		return m.Answered(f.now, p, reply)
 	}
 	return nil
 }
 
-func (f *memberFleet) count(request, reply any) {
+func (f *memberFleet) meterBytes(request, reply any) {
 	if f.meter != nil {
 		f.meter.add(request)
 		f.meter.add(reply)
 	}
 }
 
-// stale counts the pairs of a running observer and a stopped host that it does
-// not hold dead yet.
+// stale counts the pairs of a running and a stopped host where the running one does not
+// yet consider the stopped one dead.
 func (f *memberFleet) stale() int {
 	n := 0
 	for i := range f.hosts {
@@ -164,7 +166,7 @@
 	return n
 }
 
-// wronglyDead counts the pairs of running hosts of which one holds the other dead.
+// wronglyDead counts the pairs of running hosts where one considers the other dead.
 func (f *memberFleet) wronglyDead() int {
 	running := len(f.hosts) - len(f.down)
 	n := 0
@@ -183,18 +185,17 @@
 	return n
 }
 
-// BenchmarkMembershipQuiet gives one daemon's share of a fleet in which nothing
-// happens: messages sent a second, bytes sent and received a second, and the
-// processor time of its own ticks and of answering the others, in percent of a
-// core (gob and sockets apart).
+// BenchmarkMembershipQuiet reports the cost per daemon in a fleet without changes: messages
+// sent a second, bytes sent and received a second, and the CPU time of its own ticks and
+// of its replies to other daemons, in percent of a core, without gob and sockets.
 func BenchmarkMembershipQuiet(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
 			f := newMemberFleet(n)
 			const ticks = 40
-			seconds := ticks * probeEvery.Seconds()
+			seconds := ticks * probeInterval.Seconds()
 			f.meter = newGobMeter()
-			f.run(4) // the types are sent once
+			f.run(4) // so that the type descriptions are not counted
 			f.messages, f.meter.bytes = 0, 0
 			f.run(ticks)
 			messages := float64(f.messages) / float64(n) / seconds
@@ -213,10 +214,10 @@
 	}
 }
 
-// BenchmarkMembershipLoss stops some daemons at once and gives the time until 99
-// in 100 and all pairs of a survivor and a lost daemon are settled, the messages
-// that a survivor sent a second until then, and the pairs of survivors of which
-// one held the other dead by mistake.
+// BenchmarkMembershipLoss stops some daemons at once. It reports the time until the
+// survivors consider the lost daemons dead, for 99 in 100 and for all pairs of a survivor
+// and a lost daemon, the messages a second that a survivor sent until then, and the pairs
+// of survivors where one wrongly considered the other dead.
 func BenchmarkMembershipLoss(b *testing.B) {
 	losses := []struct {
 		name string
@@ -244,10 +245,10 @@
 						f.run(1)
 						ticks++
 						if stale = f.stale(); most == 0 && stale <= pairs/100 {
-							most = float64(ticks) * probeEvery.Seconds()
+							most = float64(ticks) * probeInterval.Seconds()
 						}
 					}
-					seconds = float64(ticks) * probeEvery.Seconds()
+					seconds = float64(ticks) * probeInterval.Seconds()
 					lost = float64(len(f.down))
 					messages = float64(f.messages) / (float64(n) - lost) / seconds
 					wrong = float64(f.wronglyDead())
@@ -262,9 +263,9 @@
 	}
 }
 
-// BenchmarkMembershipFacts raises the configuration version of all daemons at
-// once, as a change of the configuration does, and gives the time until the
-// operator's daemon and until all daemons have heard it of every other one.
+// BenchmarkMembershipFacts raises the configuration version of all daemons at once, as a
+// configuration change does. It reports the time until the operator's daemon, and until
+// every daemon, has received the new version of all others.
 func BenchmarkMembershipFacts(b *testing.B) {
 	for _, n := range []int{12, 48, 340} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -279,11 +280,11 @@
 				first, all = 0, 0
 				for ticks := 1; all == 0 && ticks < 1000; ticks++ {
 					f.run(1)
-					seconds := float64(ticks) * probeEvery.Seconds()
+					seconds := float64(ticks) * probeInterval.Seconds()
 					if first == 0 && f.behind(0, version) == 0 {
 						first = seconds
 					}
-					if f.allHeard(version) {
+					if f.allUpToDate(version) {
 						all = seconds
 					}
 				}
@@ -294,7 +295,7 @@
 	}
 }
 
-// behind counts the daemons whose version the i-th has not heard yet.
+// behind counts the daemons whose new version daemon i has not received yet.
 func (f *memberFleet) behind(i int, version uint64) int {
 	n := 0
 	for _, member := range f.nodes[hostAddress(i)].Snapshot().Members() {
@@ -305,7 +306,7 @@
 	return n
 }
 
-func (f *memberFleet) allHeard(version uint64) bool {
+func (f *memberFleet) allUpToDate(version uint64) bool {
 	for i := range f.hosts {
 		if f.behind(i, version) > 0 {
 			return false
@@ -314,15 +315,15 @@
 	return true
 }
 
-// snapshotView makes a picture of a fleet a membership.View.
+// snapshotView returns the membership snapshot of one daemon in a fleet of n daemons.
 func snapshotView(n int) *membership.Snapshot {
 	return newMemberFleet(n).nodes[hostAddress(0)].Snapshot()
 }
 
 func targetAddress(i int) string { return fmt.Sprintf("10.30.%d.%d:9000", i/200, i%200+1) }
 
-// BenchmarkStewards looks the steward of every target up once, as each daemon
-// does ten times a second; core% is that.
+// BenchmarkStewards looks up the batch dispatcher of every target. core% is the CPU time of
+// the ten rounds a second that a daemon makes.
 func BenchmarkStewards(b *testing.B) {
 	const rounds = 10
 	for _, size := range []struct{ daemons, targets int }{{12, 14}, {12, 600}, {48, 85}, {170, 300}, {340, 600}} {
@@ -338,8 +339,8 @@
 	}
 }
 
-// BenchmarkClaimRound ranks the successors of every shard once, as each daemon
-// does in every look at its claims; core% is for the 20 looks a second it takes.
+// BenchmarkClaimRound ranks the successors of every shard, as each daemon does whenever it
+// checks its claims. core% is the CPU time of the 20 checks a second that a daemon makes.
 func BenchmarkClaimRound(b *testing.B) {
 	const rounds = 20
 	for _, n := range fleetSizes {
@@ -355,7 +356,7 @@
 	}
 }
 
-// BenchmarkSnapshot takes the picture that every change of the membership makes.
+// BenchmarkSnapshot takes a snapshot, as every change of the membership does.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
--- a/bench/capacity/peer_test.go
+++ b/bench/capacity/peer_test.go
@@ -13,10 +13,10 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// signalService answers signals as a steward does, without one.
+// signalService replies to signals like a batch dispatcher.
 type signalService struct{}
 
-// Deliver answers with a word for each target.
+// Deliver replies with one load report for each target.
 func (signalService) Deliver(s *signal.Signal, reply *signal.Reply) error {
 	for _, t := range s.Targets {
 		reply.Words = append(reply.Words, signal.Word{Address: t.Address, Steward: s.Entry})
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// BenchmarkPeerCall makes calls over a warm connection on loopback, one at a
-// time, and gives the processor time of both ends and the bytes on the wire.
+// BenchmarkPeerCall makes calls over a warm loopback connection, one at a time, and reports
+// the CPU time of client and server together and the bytes on the wire.
 func BenchmarkPeerCall(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,19 +53,19 @@
 			b.Fatal(err)
 		}
 	}
-	call() // connects and sends the types
-	bytes, used := sent.Get()+received.Get(), processorTime()
+	call() // connects and sends the gob type descriptions
+	bytes, used := sent.Get()+received.Get(), cpuTime()
 	n := 0
 	for b.Loop() {
 		call()
 		n++
 	}
-	b.ReportMetric(float64((processorTime()-used).Nanoseconds())/1000/float64(n), "cpu-us/call")
+	b.ReportMetric(float64((cpuTime()-used).Nanoseconds())/1000/float64(n), "cpu-us/call")
 	b.ReportMetric(float64(sent.Get()+received.Get()-bytes)/float64(n), "bytes/call")
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
