--- a/cmd/tarragonhollow-standin/main.go
+++ b/cmd/tarragonhollow-standin/main.go
@@ -1,5 +1,5 @@
-// Command tarragonhollow-standin runs one stand-in for the platform or a
-// target as a process; see docs/STANDINS.md.
+// Command tarragonhollow-standin runs one stand-in for a service of the platform or for
+// a target; see docs/STANDINS.md.
 package main
 
 import (
--- a/cmd/tarragonhollow/main.go
+++ b/cmd/tarragonhollow/main.go
@@ -1,4 +1,4 @@
-// Command tarragonhollow runs a daemon, checks its files and talks to it.
+// Command tarragonhollow runs a daemon, checks its files and is a client of it.
 package main
 
 import (
