--- a/extern/client_test.go
+++ b/extern/client_test.go
@@ -81,10 +81,10 @@
 		Expect([]int64{first, next}).To(Equal([]int64{1, 2}))
 	})
 
-	// The log takes a record in, and its answer is lost. Were the client to
-	// repeat the append by itself, the log would hold it twice; were it to call
-	// the append failed, the writer would.
-	It("calls a dropped answer unknown and does not repeat the append", func() {
+	// The log appends a record, and its response is lost. If the client retried the
+	// append or reported it as failed, so that the writer retried it, the log would
+	// hold the record twice.
+	It("reports a lost response as an unknown outcome and does not repeat the append", func() {
 		_, err := log.Append(ctx, "shard/1", []byte("first")) // leaves a connection to reuse
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proxy.SetFaults(faultproxy.Faults{DropAnswers: 1})).To(Succeed())
@@ -93,7 +93,7 @@
 		Expect(appended()).To(Equal(int64(2)))
 	})
 
-	It("calls an append unknown that its caller gave up in a stall", func() {
+	It("reports an unknown outcome for an append that is cancelled during a stall", func() {
 		Expect(proxy.SetFaults(faultproxy.Faults{Stall: faultproxy.StallUp})).To(Succeed())
 		short, cancel := context.WithCancel(ctx)
 		failed := make(chan error)
@@ -108,7 +108,7 @@
 		Expect(proxy.Clear()).To(Succeed())
 	})
 
-	It("calls the log unavailable where nothing can have been sent", func() {
+	It("reports the log as unavailable if nothing can have been sent", func() {
 		Expect(proxy.SetFaults(faultproxy.Faults{Cut: faultproxy.CutRefuse})).To(Succeed())
 		_, err := log.Append(ctx, "shard/1", []byte("x"))
 		Expect(extern.IsUnavailable(err)).To(BeTrue(), "%v", err)
@@ -125,7 +125,7 @@
 		Expect(appended()).To(BeZero())
 	})
 
-	It("tells limits apart", func() {
+	It("distinguishes the kinds of limits", func() {
 		_, err := log.Append(ctx, "shard/1", make([]byte, 101))
 		Expect(extern.IsTooLarge(err)).To(BeTrue(), "%v", err)
 		for range 5 {
@@ -138,16 +138,16 @@
 		Expect(retryAfter).To(Equal(time.Second))
 	})
 
-	It("never calls a failed read unknown", func() {
+	It("never reports a failed read as an unknown outcome", func() {
 		Expect(proxy.SetFaults(faultproxy.Faults{Cut: faultproxy.CutReset})).To(Succeed())
 		_, err := log.Read(ctx, "shard/1", 0, 100, 0)
 		Expect(extern.IsUnavailable(err)).To(BeTrue(), "%v", err)
 	})
 })
 
-// An idle connection is closed by the log's side just as an append is written
-// to it. net/http then decides alone whether to send the request again; the
-// append must reach the log once at most.
+// The log closes an idle connection just as an append is written to it. net/http then
+// decides on its own whether to resend the request; the append must reach the log at
+// most once.
 var _ = It("does not send an append again on a connection that the server closes", func() {
 	var posts atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -170,8 +170,8 @@
 	Expect(posts.Load()).To(Equal(int64(2)))
 })
 
-// answerOnceThenClose answers the first request of a connection, reads a second
-// one and closes without an answer.
+// answerOnceThenClose answers the first request of a connection, then reads a second
+// one and closes the connection without a response.
 func answerOnceThenClose(c net.Conn, posts *atomic.Int64) {
 	defer c.Close()
 	buffer := make([]byte, 4096)
--- a/extern/fakelog/fakelog.go
+++ b/extern/fakelog/fakelog.go
@@ -1,6 +1,6 @@
-// Package fakelog is an in-process extern.Log for tests: a memory log whose
-// faults are set by method calls and take effect at once. Each daemon of a test
-// may hold its own Client, so that one alone can be cut off.
+// Package fakelog is an in-process extern.Log for tests: an in-memory log whose faults
+// are set by method calls and take effect at once. Each daemon of a test can have its
+// own Client, so that a single daemon can be disconnected.
 package fakelog
 
 import (
@@ -12,35 +12,35 @@
 	"tarragonhollow.example/tarragonhollow/extern/memlog"
 )
 
-// DefaultMaxRecordBytes is the record limit unless Options says otherwise.
+// DefaultMaxRecordBytes is the default of Options.MaxRecordBytes.
 const DefaultMaxRecordBytes = 1 << 20
 
 // Options configures a Log; its zero value is usable.
 type Options struct {
-	// NowMs gives the time that records are stamped with, in Unix
-	// milliseconds. The default is the wall clock.
+	// NowMs returns the timestamp of appended records, in Unix milliseconds. The
+	// default is the wall clock.
 	NowMs func() int64
-	// MaxRecordBytes is the record limit; 0 takes DefaultMaxRecordBytes.
+	// MaxRecordBytes is the maximum size of a record; 0 means DefaultMaxRecordBytes.
 	MaxRecordBytes int
 }
 
-// Log is the memory log. It implements extern.Log itself as the client
-// named "". It is safe for concurrent use.
+// Log is the in-memory log. It implements extern.Log itself, through a Client of its
+// own. It is safe for concurrent use.
 type Log struct {
 	*Client
 	store *memlog.Store
 	opts  Options
 
-	mu       sync.Mutex
-	outage   bool
-	lost     int
-	vanished int
-	limited  int
-	retry    time.Duration
-	hold     chan struct{}
-	held     int
-	waiting  int
-	appends  int
+	mu             sync.Mutex
+	outage         bool
+	answersToLose  int
+	appendsToLose  int
+	appendsToLimit int
+	retryAfter     time.Duration
+	hold           chan struct{}
+	held           int
+	waiting        int
+	appends        int
 }
 
 // Client is one daemon's view of a Log.
@@ -67,47 +67,50 @@
 	return l
 }
 
-// NewClient returns another view of the same log that can be cut off alone.
+// NewClient returns another client of the same log, which can be disconnected
+// independently of the others.
 func (l *Log) NewClient() *Client { return &Client{log: l} }
 
-// SetCut cuts this client off or reconnects it: its calls fail as unavailable.
+// SetCut disconnects this client, so that its calls fail as LogUnavailable, or
+// reconnects it.
 func (c *Client) SetCut(cut bool) {
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	c.cut = cut
 }
 
-// SetOutage makes every call of every client fail as unavailable, or ends that.
+// SetOutage starts or ends an outage, in which every call of every client fails as
+// LogUnavailable.
 func (l *Log) SetOutage(outage bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outage = outage
 }
 
-// LoseAnswers lets the next n appends take effect and fail as OutcomeUnknown.
+// LoseAnswers makes the next n appends take effect but fail as OutcomeUnknown.
 func (l *Log) LoseAnswers(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lost = n
+	l.answersToLose = n
 }
 
-// LoseAppends lets the next n appends fail as OutcomeUnknown without effect.
+// LoseAppends makes the next n appends fail as OutcomeUnknown without effect.
 func (l *Log) LoseAppends(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.vanished = n
+	l.appendsToLose = n
 }
 
 // Limit refuses the next n appends as LogLimited with the given retry time.
 func (l *Log) Limit(n int, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.limited, l.retry = n, retryAfter
+	l.appendsToLimit, l.retryAfter = n, retryAfter
 }
 
-// HoldAppends stops appends, from now on, before they take effect until
-// release is called. A caller that gives up meanwhile gets OutcomeUnknown, and
-// its append still takes effect at release: the late arrival of a slow log.
+// HoldAppends blocks appends from now on, before they take effect, until release is
+// called. A caller whose context ends meanwhile gets OutcomeUnknown, and its append
+// still takes effect at release, as on a slow log.
 func (l *Log) HoldAppends() (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +129,8 @@
 	}
 }
 
-// Held returns how many appends wait for a release, given up or not.
+// Held returns how many appends wait for release, including those whose callers no
+// longer wait.
 func (l *Log) Held() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +150,7 @@
 	l.waiting += change
 }
 
-// Trim drops the stream's records below the offset first, as retention would.
+// Trim removes the stream's records below the offset first, as retention would.
 func (l *Log) Trim(stream string, first int64) { l.store.Trim(stream, first) }
 
 // Appends returns how many appends took effect.
@@ -156,7 +160,7 @@
 	return l.appends
 }
 
-// Records returns everything the stream keeps, past all faults.
+// Records returns all stored records of the stream, regardless of faults.
 func (l *Log) Records(stream string) []extern.Record {
 	const all = int(^uint(0) >> 1)
 	page, _ := l.store.Read(stream, 0, all)
@@ -177,17 +181,17 @@
 	if len(data) > l.opts.MaxRecordBytes {
 		return 0, extern.RecordTooLarge.New("record of %d bytes exceeds %d", len(data), l.opts.MaxRecordBytes)
 	}
-	if l.limited > 0 {
-		l.limited--
-		return 0, extern.NewLimited(l.retry, "append rate exceeded")
+	if l.appendsToLimit > 0 {
+		l.appendsToLimit--
+		return 0, extern.NewLimited(l.retryAfter, "append rate exceeded")
 	}
-	if l.vanished > 0 {
-		l.vanished--
+	if l.appendsToLose > 0 {
+		l.appendsToLose--
 		return 0, extern.OutcomeUnknown.New("connection lost")
 	}
-	lost := l.lost > 0
+	lost := l.answersToLose > 0
 	if lost {
-		l.lost--
+		l.answersToLose--
 	}
 	if l.hold != nil {
 		return l.appendHeld(ctx, stream, append([]byte(nil), data...), lost)
@@ -195,8 +199,8 @@
 	return l.append(stream, data, lost)
 }
 
-// appendHeld gives the lock back while the append is held; it returns with
-// the lock taken again.
+// appendHeld waits until held appends are released or ctx ends. It unlocks mu while it
+// waits and returns with mu locked.
 func (l *Log) appendHeld(ctx context.Context, stream string, data []byte, lost bool) (int64, error) {
 	hold := l.hold
 	l.held++
@@ -216,10 +220,10 @@
 		_, _ = l.append(stream, data, true)
 	}()
 	l.mu.Lock()
-	return 0, extern.OutcomeUnknown.New("append given up: %v", ctx.Err())
+	return 0, extern.OutcomeUnknown.New("append abandoned: %v", ctx.Err())
 }
 
-// append makes the append; the lock is held.
+// append appends the record. The caller holds mu.
 func (l *Log) append(stream string, data []byte, lost bool) (int64, error) {
 	offset := l.store.Append(stream, l.opts.NowMs(), data)
 	l.appends++
@@ -247,8 +251,8 @@
 	}
 }
 
-// await returns true when a waiting read has to look again: at its stream or,
-// once its context has ended, at that. It returns false when its time is up.
+// await blocks a waiting read. It returns true if the read has to check again, because
+// its stream changed or its context ended, and false when deadline fires.
 func (l *Log) await(ctx context.Context, deadline <-chan time.Time, changed <-chan struct{}) bool {
 	l.countWaiting(1)
 	defer l.countWaiting(-1)
@@ -277,7 +281,8 @@
 	return c.reachable(ctx)
 }
 
-// reachable reports an outage, a cut or an ended context; the lock is held.
+// reachable returns an error during an outage, while the client is disconnected or if
+// the context has ended. The caller holds mu.
 func (c *Client) reachable(ctx context.Context) error {
 	switch {
 	case ctx.Err() != nil:
--- a/extern/fakelog/fakelog_test.go
+++ b/extern/fakelog/fakelog_test.go
@@ -20,7 +20,7 @@
 var _ = Describe("The fake log", func() {
 	ctx := context.Background()
 
-	It("tells each fault as the real client would", func() {
+	It("reports each fault with the error type of the real client", func() {
 		log := fakelog.New(fakelog.Options{MaxRecordBytes: 4})
 		other := log.NewClient()
 		_, err := log.Append(ctx, "s", []byte("12345"))
@@ -50,10 +50,10 @@
 		Expect(offset).To(Equal(int64(1)))
 	})
 
-	// A writer gives an append up after its timeout; the slow log takes it in
-	// afterwards. The record shows up later than records that others appended
-	// meanwhile, so "not there yet" says nothing.
-	It("lets a given-up append arrive late", func() {
+	// A writer abandons an append after its timeout, and the slow log executes it
+	// afterwards. The record appears after records that others appended meanwhile, so
+	// a record that is not there yet may still be appended.
+	It("executes an abandoned append at release", func() {
 		log := fakelog.New(fakelog.Options{})
 		release := log.HoldAppends()
 		short, cancel := context.WithCancel(ctx)
--- a/extern/http.go
+++ b/extern/http.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// DefaultTimeout bounds a call, beside what a long poll waits.
+	// DefaultTimeout bounds a call, not counting the wait of a long poll.
 	DefaultTimeout = 5 * time.Second
 	// DefaultMaxConns bounds the connections of each kind of call.
 	DefaultMaxConns = 64
@@ -38,12 +38,12 @@
 	URL string
 	// Client names the calling daemon to the service; it may be empty.
 	Client string
-	// Timeout bounds each call beside the caller's deadline and a long poll's
-	// wait; 0 takes DefaultTimeout.
+	// Timeout bounds each call in addition to the context's deadline, not counting
+	// the wait of a long poll; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// MaxConns bounds the connections of each kind of call; 0 takes
-	// DefaultMaxConns. A log client needs one for each stream that it follows,
-	// for a long poll holds its connection.
+	// MaxConns bounds the connections of each kind of call; 0 means DefaultMaxConns.
+	// A log client needs one for each stream that it follows, since a long poll
+	// occupies its connection.
 	MaxConns int
 }
 
@@ -68,13 +68,13 @@
 	return o, nil
 }
 
-// caller sends one kind of call over connections of its own.
-type caller struct {
+// httpClient sends one kind of call over its own connection pool.
+type httpClient struct {
 	opts Options
 	http *http.Client
 }
 
-func newCaller(opts Options) *caller {
+func newHTTPClient(opts Options) *httpClient {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxConnsPerHost:     opts.MaxConns,
@@ -84,12 +84,12 @@
 	}
 	// A redirect with status 307 or 308 would send an append a second time.
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &caller{opts: opts, http: &http.Client{Transport: transport, CheckRedirect: noRedirect}}
+	return &httpClient{opts: opts, http: &http.Client{Transport: transport, CheckRedirect: noRedirect}}
 }
 
-func (c *caller) close() { c.http.CloseIdleConnections() }
+func (c *httpClient) close() { c.http.CloseIdleConnections() }
 
-// request is one call: the body, if any, makes it a POST.
+// request is one call. With post set it is a POST with the body.
 type request struct {
 	path  string
 	query url.Values
@@ -98,22 +98,22 @@
 	wait  time.Duration
 }
 
-// do sends the call and decodes a 2xx answer into v. Every error is of one of
-// this package's types; a failure that may have come after the request was
-// sent is OutcomeUnknown.
+// do sends the call and decodes a 2xx response into v. Every error has one of this
+// package's types; a failure that may have happened after the request was sent is
+// OutcomeUnknown.
 //
-// net/http repeats a request by itself if its reused connection turns out
-// closed. For an append that would show as the same record twice in the log.
-// It does so only for idempotent methods, for requests with an Idempotency-Key
-// or X-Idempotency-Key header, and where not one byte was written. A POST
-// without those headers falls only under the last rule, which is safe; hence
-// no such header may ever be set here.
-func (c *caller) do(ctx context.Context, r request, v any) error {
+// net/http retries a request automatically if a reused connection turns out to be
+// closed. For an append that could write the same record to the log twice. It does so
+// only for idempotent methods, for requests with an Idempotency-Key or
+// X-Idempotency-Key header, and if not a single byte was written. Only the last rule
+// applies to a POST without those headers, and it is safe. Such a header must
+// therefore never be set here.
+func (c *httpClient) do(ctx context.Context, r request, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout+r.wait)
 	defer cancel()
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		// A second attempt of an append means that the first wrote nothing.
+		// net/http makes a second attempt of an append only if the first wrote nothing.
 		GetConn: func(string) { connected.Store(false) },
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func (c *caller) newRequest(ctx context.Context, r request) (*http.Request, error) {
+func (c *httpClient) newRequest(ctx context.Context, r request) (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
 	if r.post {
@@ -160,8 +160,9 @@
 	return req, nil
 }
 
-// sendError types a failed exchange. Without a connection no byte can have
-// left, whatever ended the attempt: refused dial, timeout or cancelled caller.
+// sendError returns the typed error of a failed exchange. Without a connection no
+// byte can have been sent, whatever ended the attempt: a refused dial, a timeout or a
+// cancelled context.
 func sendError(err error, connected bool) error {
 	if !connected {
 		return LogUnavailable.Wrap(err, "not connected")
@@ -169,9 +170,10 @@
 	return OutcomeUnknown.Wrap(err, "no answer")
 }
 
-// statusError types an answer other than 2xx. A status that a service gives
-// only before any effect is a plain refusal; what an intermediary may have
-// said after passing the request on (500, 502, 504) leaves the outcome unknown.
+// statusError returns the typed error of a response other than 2xx. A status that a
+// service returns only before any effect is a plain refusal. A status that an
+// intermediary may return after it forwarded the request (500, 502, 504) leaves the
+// outcome unknown.
 func statusError(resp *http.Response) error {
 	refusal := readRefusal(resp)
 	switch status := resp.StatusCode; {
@@ -190,7 +192,8 @@
 	}
 }
 
-// readRefusal reads the error body; one that is not ours is shown as text.
+// readRefusal reads the error body. A body that is not a wire.Error is returned as
+// text, cut to maxShownRefusal bytes.
 func readRefusal(resp *http.Response) wire.Error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	var refusal wire.Error
@@ -200,7 +203,8 @@
 	return refusal
 }
 
-// retryAfter prefers the body's milliseconds to the header's whole seconds.
+// retryAfter returns the body's retry time in milliseconds or, if it has none, the
+// Retry-After header's in whole seconds.
 func retryAfter(resp *http.Response, refusal wire.Error) time.Duration {
 	if refusal.RetryAfterMs > 0 {
 		return time.Duration(refusal.RetryAfterMs) * time.Millisecond
@@ -212,8 +216,9 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// decodeAnswer reads the whole body, so that the connection can be reused, and
-// refuses one that is too large before it fills the memory.
+// decodeAnswer decodes the body into v. It reads the whole body, so that the
+// connection can be reused, but refuses one of more than maxAnswerBytes, which bounds
+// the memory used.
 func decodeAnswer(body io.Reader, v any) error {
 	text, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
--- a/extern/list_client.go
+++ b/extern/list_client.go
@@ -6,7 +6,7 @@
 )
 
 // HTTPHostList is the client of the platform's host list.
-type HTTPHostList struct{ caller *caller }
+type HTTPHostList struct{ client *httpClient }
 
 var _ HostList = (*HTTPHostList)(nil)
 
@@ -16,23 +16,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &HTTPHostList{caller: newCaller(opts)}, nil
+	return &HTTPHostList{client: newHTTPClient(opts)}, nil
 }
 
-// Close lets idle connections go.
-func (h *HTTPHostList) Close() { h.caller.close() }
+// Close closes idle connections.
+func (h *HTTPHostList) Close() { h.client.close() }
 
-// Hosts implements HostList. All failures to get an answer are LogUnavailable.
+// Hosts implements HostList. Its error is LogUnavailable whenever no valid response
+// was received.
 func (h *HTTPHostList) Hosts(ctx context.Context) (HostView, error) {
 	var view HostView
-	if err := h.caller.do(ctx, request{path: "/v1/hosts"}, &view); err != nil {
+	if err := h.client.do(ctx, request{path: "/v1/hosts"}, &view); err != nil {
 		return HostView{}, readError(err)
 	}
 	return view, nil
 }
 
 // HTTPWeightStore is the client of the platform's weight store.
-type HTTPWeightStore struct{ caller *caller }
+type HTTPWeightStore struct{ client *httpClient }
 
 var _ WeightStore = (*HTTPWeightStore)(nil)
 
@@ -42,21 +43,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &HTTPWeightStore{caller: newCaller(opts)}, nil
+	return &HTTPWeightStore{client: newHTTPClient(opts)}, nil
 }
 
-// Close lets idle connections go.
-func (w *HTTPWeightStore) Close() { w.caller.close() }
+// Close closes idle connections.
+func (w *HTTPWeightStore) Close() { w.client.close() }
 
-// Weights implements WeightStore. A version that the store does not hold is
-// NotFound, a rate limit LogLimited, no answer LogUnavailable.
+// Weights implements WeightStore. Its errors are NotFound if the store does not have
+// the version, LogLimited on a rate limit and LogUnavailable if no response was
+// received.
 func (w *HTTPWeightStore) Weights(ctx context.Context, model, version string) (Weights, error) {
 	if model == "" || version == "" {
 		return Weights{}, Invalid.New("model %q version %q", model, version)
 	}
 	path := "/v1/models/" + url.PathEscape(model) + "/versions/" + url.PathEscape(version)
 	var weights Weights
-	if err := w.caller.do(ctx, request{path: path}, &weights); err != nil {
+	if err := w.client.do(ctx, request{path: path}, &weights); err != nil {
 		return Weights{}, readError(err)
 	}
 	return weights, nil
--- a/extern/log_client.go
+++ b/extern/log_client.go
@@ -11,31 +11,31 @@
 
 // HTTPLog is the client of the platform's log service.
 type HTTPLog struct {
-	appends *caller
-	reads   *caller
+	appends *httpClient
+	reads   *httpClient
 }
 
 var _ Log = (*HTTPLog)(nil)
 
-// NewHTTPLog returns a client; nothing is sent before the first call. Appends
-// and reads have connections of their own, so that long polls, however many
-// streams are followed, never hold up an append.
+// NewHTTPLog returns a client; nothing is sent before the first call. Appends and
+// reads use separate connections, so that long polls never delay an append, however
+// many streams are followed.
 func NewHTTPLog(opts Options) (*HTTPLog, error) {
 	opts, err := opts.validate()
 	if err != nil {
 		return nil, err
 	}
-	return &HTTPLog{appends: newCaller(opts), reads: newCaller(opts)}, nil
+	return &HTTPLog{appends: newHTTPClient(opts), reads: newHTTPClient(opts)}, nil
 }
 
-// Close lets idle connections go.
+// Close closes idle connections.
 func (l *HTTPLog) Close() {
 	l.appends.close()
 	l.reads.close()
 }
 
-// Append implements Log. It sends the record at most once: it never repeats an
-// append, for only the writer can tell its own record when it reads back.
+// Append implements Log. It sends the record at most once and never retries an append,
+// since only the writer can recognize its own record when it reads the stream back.
 func (l *HTTPLog) Append(ctx context.Context, stream string, data []byte) (int64, error) {
 	path, err := streamPath(stream)
 	if err != nil {
@@ -47,16 +47,16 @@
 		return 0, err
 	}
 	if answer.Offset < 0 {
-		return 0, OutcomeUnknown.New("append answered without an offset")
+		return 0, OutcomeUnknown.New("append response has no offset")
 	}
 	return answer.Offset, nil
 }
 
-// noOffset marks an answer that named no offset.
+// noOffset marks a response without an offset.
 const noOffset = -1
 
-// Read implements Log. A read has no effect, so its failures are never
-// OutcomeUnknown: they are LogUnavailable, or LogLimited or Invalid as answered.
+// Read implements Log. A read has no effect, so its errors are never OutcomeUnknown:
+// they are LogUnavailable, or what the service returned, such as LogLimited or Invalid.
 func (l *HTTPLog) Read(ctx context.Context, stream string, from int64, maxBytes int, wait time.Duration) (Page, error) {
 	path, err := streamPath(stream)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return pageOf(answer, from)
 }
 
-// Bounds implements Log; its errors are those of Read.
+// Bounds implements Log. It returns the same types of errors as Read.
 func (l *HTTPLog) Bounds(ctx context.Context, stream string) (first, next int64, err error) {
 	path, err := streamPath(stream)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return "/v1/streams/" + url.PathEscape(stream), nil
 }
 
-// readError turns the unknown outcome of a call without effect into a plain
-// failure, so that no caller starts to look for an append.
+// readError turns OutcomeUnknown into LogUnavailable for a call without side effects,
+// so that no caller searches the log for an append.
 func readError(err error) error {
 	if IsUnknown(err) {
 		return LogUnavailable.Wrap(err, "read failed")
@@ -103,22 +103,22 @@
 	return err
 }
 
-// pageOf checks the offsets. Folding a page with a gap would show as daemons
-// that disagree about the same log; a gap is refused here instead, and the next
-// read starts from the same place. Only expiry may move a page's start, and it
-// shows as First.
+// pageOf converts a page and checks its offsets. If a page with a gap were applied,
+// daemons would disagree about the state of the same log. A gap is refused here
+// instead, and the next read starts at the same offset. Only expiry may move the start
+// of a page, and First shows it.
 func pageOf(answer wire.Page, from int64) (Page, error) {
 	page := Page{First: answer.First, Next: answer.Next, Records: make([]Record, 0, len(answer.Records))}
 	expected := max(from, answer.First)
 	for _, record := range answer.Records {
 		if record.Offset != expected {
-			return Page{}, Invalid.New("read gave offset %d where %d was due", record.Offset, expected)
+			return Page{}, Invalid.New("read returned offset %d, expected %d", record.Offset, expected)
 		}
 		expected++
 		page.Records = append(page.Records, Record(record))
 	}
 	if expected > page.Next && len(page.Records) > 0 {
-		return Page{}, Invalid.New("read gave records past the next offset %d", page.Next)
+		return Page{}, Invalid.New("read returned records past the next offset %d", page.Next)
 	}
 	return page, nil
 }
--- a/extern/memlog/store.go
+++ b/extern/memlog/store.go
@@ -1,6 +1,6 @@
-// Package memlog is the memory behind the stand-in log service and the fake
-// log of tests: streams of records with offsets, long-poll notices and
-// trimming. It injects no faults; its users do.
+// Package memlog is the in-memory store of the stand-in log service and of the fake
+// log for tests: streams of records with offsets, notification of long polls, and
+// trimming. It injects no faults; the packages that use it do.
 package memlog
 
 import (
@@ -17,7 +17,7 @@
 	streams map[string]*stream
 }
 
-// stream keeps the records from offset first on.
+// stream holds the records from offset first on.
 type stream struct {
 	first   int64
 	records []extern.Record
@@ -27,7 +27,7 @@
 // New returns an empty store.
 func New() *Store { return &Store{streams: map[string]*stream{}} }
 
-// Append copies data to the stream's end and returns its offset.
+// Append appends a copy of data to the stream and returns its offset.
 func (s *Store) Append(name string, atMs int64, data []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,10 +39,10 @@
 	return offset
 }
 
-// Read returns the kept records from the offset on: at most maxBytes of data,
-// but at least one record if there is any. The records' data is shared and
-// must not be changed. The channel is closed at the stream's next append, so
-// a reader that got nothing can wait without missing one.
+// Read returns the stored records from offset from on: at most maxBytes of data, but
+// at least one record if there is any. The records' data is shared and must not be
+// modified. The channel is closed at the stream's next append, so a reader that got no
+// records can wait on it without missing an append.
 func (s *Store) Read(name string, from int64, maxBytes int) (extern.Page, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +60,8 @@
 	return page, st.changed
 }
 
-// Bounds returns the stream's first kept and next offset; a stream that was
-// never appended to has 0 and 0.
+// Bounds returns the stream's first stored offset and its next offset: 0 and 0 for a
+// stream that was never appended to.
 func (s *Store) Bounds(name string) (first, next int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return names
 }
 
-// Trim drops the stream's records below the offset first.
+// Trim removes the stream's records below the offset first.
 func (s *Store) Trim(name string, first int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +94,8 @@
 	st.drop(int(min(first, st.next()) - st.first))
 }
 
-// TrimBefore drops the records that were appended before the time, in all
-// streams. Next offsets stay as they are.
+// TrimBefore removes the records of all streams that were appended before atMs, in
+// Unix milliseconds. It does not change the next offsets.
 func (s *Store) TrimBefore(atMs int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// stream returns the named stream, making it on first use. The lock is held.
+// stream returns the named stream and creates it on first use. The caller holds mu.
 func (s *Store) stream(name string) *stream {
 	st, ok := s.streams[name]
 	if !ok {
@@ -115,12 +115,12 @@
 	return st
 }
 
-// next is derived from first and never stored: dropping records moves first
-// by the same count, so an offset cannot be given out twice.
+// next returns the next offset. It is derived from first and never stored: removing
+// records advances first by the same count, so no offset can be used twice.
 func (st *stream) next() int64 { return st.first + int64(len(st.records)) }
 
-// drop forgets the first count records. Their data is let go at once, their
-// slots when append next moves the slice, so dropping costs no copy.
+// drop removes the first count records. Their data can be freed at once; their slots
+// are freed when append next reallocates the slice, so drop copies nothing.
 func (st *stream) drop(count int) {
 	if count <= 0 {
 		return
--- a/extern/memlog/store_test.go
+++ b/extern/memlog/store_test.go
@@ -18,14 +18,15 @@
 	os.Exit(m.Run())
 }
 
-// naive keeps every record ever appended, and the first offset that counts.
+// naive is the reference model. It keeps every record ever appended, and the first
+// offset that has not expired.
 type naive struct {
 	data  []string
 	atMs  []int64
 	first int64
 }
 
-// read is the slow, obvious reading of the Read contract.
+// read is a simple, slow implementation of the contract of Store.Read.
 func (n *naive) read(from int64, maxBytes int) []string {
 	var records []string
 	size := 0
@@ -45,9 +46,9 @@
 	}
 }
 
-// TestStoreAgainstNaive compares offsets, pages and bounds under any order of
-// appends, reads and trims: offsets are never reused, and expired records are
-// never shown.
+// TestStoreAgainstNaive compares offsets, pages and bounds with the reference model
+// under any order of appends, reads and trims: offsets are never reused, and expired
+// records are never returned.
 func TestStoreAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store, model, now := memlog.New(), &naive{}, int64(0)
--- a/extern/partlog/errors.go
+++ b/extern/partlog/errors.go
@@ -4,32 +4,32 @@
 
 var errorNamespace = errorx.NewNamespace("partlog")
 
-// Types of errors. Unavailable, Limited, Full, Conflict and Expired promise
-// that nothing was done.
+// Types of errors. Unavailable, Limited, Full, Conflict and Expired guarantee that the
+// call had no effect.
 var (
-	// Unavailable: the log refused or was not reached.
+	// Unavailable: the log refused the call or was not reached.
 	Unavailable = errorNamespace.NewType("unavailable")
-	// Limited: the log's rate limit; later it may succeed.
+	// Limited: the log's rate limit refused the call; a later one may succeed.
 	Limited = errorNamespace.NewType("limited")
 	// Full: the log's total size is used up.
 	Full = errorNamespace.NewType("full")
-	// Conflict: the partition ends elsewhere than the append demanded.
+	// Conflict: the partition does not end at the offset that the append required.
 	Conflict = errorNamespace.NewType("conflict")
-	// Expired: the records asked for are no longer kept.
+	// Expired: the requested records are no longer stored.
 	Expired = errorNamespace.NewType("expired")
-	// Unknown: no answer came; the call may have been executed, or may be
-	// executed later if its condition still holds.
+	// Unknown: no response was received. The call may have been executed, or may still
+	// be executed later if its condition holds then.
 	Unknown = errorNamespace.NewType("unknown")
-	// Invalid: an answer against the protocol, or a call that the log refuses
-	// for its content.
+	// Invalid: a response that violates the protocol, or a call that the log refused
+	// because of its content.
 	Invalid = errorNamespace.NewType("invalid")
 )
 
-// IsUnknown tells whether the call may have been executed.
+// IsUnknown reports whether the call may have been executed.
 func IsUnknown(err error) bool { return errorx.IsOfType(err, Unknown) }
 
-// IsConflict tells whether the partition ended elsewhere.
+// IsConflict reports whether the partition did not end at the required offset.
 func IsConflict(err error) bool { return errorx.IsOfType(err, Conflict) }
 
-// IsExpired tells whether the records asked for are gone.
+// IsExpired reports whether the requested records are no longer stored.
 func IsExpired(err error) bool { return errorx.IsOfType(err, Expired) }
--- a/extern/partlog/fakepartlog/fakepartlog.go
+++ b/extern/partlog/fakepartlog/fakepartlog.go
@@ -1,6 +1,6 @@
-// Package fakepartlog is a partitioned log in memory for tests, with the faults
-// that the real one has: outages, lost answers, appends that take effect later,
-// readers that hear nothing, and history that is dropped.
+// Package fakepartlog is an in-memory partitioned log for tests, with the faults of the
+// real one: outages, lost responses, appends that take effect later, readers that are
+// not notified of new records, and deleted history.
 package fakepartlog
 
 import (
@@ -13,7 +13,7 @@
 	"tarragonhollow.example/tarragonhollow/extern/partlog"
 )
 
-// MaxRecordBytes is the longest record that the log takes.
+// MaxRecordBytes is the maximum size of a record.
 const MaxRecordBytes = 256 << 10
 
 // Log implements partlog.Log and partlog.Groups.
@@ -21,22 +21,22 @@
 	mu     sync.Mutex
 	parts  map[partlog.Partition]*partition
 	groups map[string]*group
-	// pageSize bounds the records of a page of newest ones.
+	// pageSize is the maximum number of records in a NewestPage.
 	pageSize int
-	// count is the number of partitions that a group deals out per topic.
-	count int
-	news  chan struct{}
+	// partsPerTopic is the number of partitions that a group assigns per topic.
+	partsPerTopic int
+	appended      chan struct{}
 
 	down bool
 	// readsDown makes reads fail while appends are served.
 	readsDown bool
-	// serveEvery limits reads of newest records: one of so many is served.
-	serveEvery int
-	asked      int
-	deaf       bool
-	lose       int
-	late       int
-	held       []func()
+	// serveEvery limits reads of newest records: one of every serveEvery is served.
+	serveEvery        int
+	newestCalls       int
+	notificationsLost bool
+	answersToLose     int
+	appendsToDelay    int
+	delayed           []func()
 	// appends counts the appends that were executed.
 	appends int
 }
@@ -58,43 +58,43 @@
 	_ partlog.Groups = (*Log)(nil)
 )
 
-// New returns an empty log whose groups deal out count partitions of a topic.
-func New(count int) *Log {
-	return &Log{parts: map[partlog.Partition]*partition{}, groups: map[string]*group{}, count: count, news: make(chan struct{}), pageSize: smallPage}
+// New returns an empty log whose groups assign partsPerTopic partitions of each topic.
+func New(partsPerTopic int) *Log {
+	return &Log{parts: map[partlog.Partition]*partition{}, groups: map[string]*group{}, partsPerTopic: partsPerTopic, appended: make(chan struct{}), pageSize: smallPage}
 }
 
-// SetDown makes every call fail with nothing done.
+// SetDown makes every call fail without effect.
 func (l *Log) SetDown(down bool) { l.set(func() { l.down = down }) }
 
 // SetReadsDown makes reads of records fail while appends are served.
 func (l *Log) SetReadsDown(down bool) { l.set(func() { l.readsDown = down }) }
 
-// LimitNewest serves one of every n reads of newest records and refuses the
-// others for its rate; 0 serves all.
+// LimitNewest serves one of every n reads of newest records and refuses the others
+// with Limited; 0 serves all.
 func (l *Log) LimitNewest(n int) { l.set(func() { l.serveEvery = n }) }
 
-// SetDeaf makes waiting reads hear nothing of new records.
-func (l *Log) SetDeaf(deaf bool) { l.set(func() { l.deaf = deaf }) }
+// SetNotificationsLost makes waiting reads not wake up for new records.
+func (l *Log) SetDeaf(lost bool) { l.set(func() { l.notificationsLost = lost }) }
 
-// LoseAnswers executes the next n appends without answering them.
-func (l *Log) LoseAnswers(n int) { l.set(func() { l.lose = n }) }
+// LoseAnswers makes the next n appends take effect but fail as Unknown.
+func (l *Log) LoseAnswers(n int) { l.set(func() { l.answersToLose = n }) }
 
-// DelayAppends leaves the next n appends without answer and executes them at
-// Settle, if their condition still holds then.
-func (l *Log) DelayAppends(n int) { l.set(func() { l.late = n }) }
+// DelayAppends makes the next n appends fail as Unknown. RunDelayed executes them, if
+// their condition still holds then.
+func (l *Log) DelayAppends(n int) { l.set(func() { l.appendsToDelay = n }) }
 
-// Settle executes the delayed appends.
+// RunDelayed executes the delayed appends.
 func (l *Log) Settle() {
 	l.set(func() {
-		held := l.held
-		l.held = nil
-		for _, run := range held {
+		delayed := l.delayed
+		l.delayed = nil
+		for _, run := range delayed {
 			run()
 		}
 	})
 }
 
-// Expire drops the history of a partition; the newest record of each key stays.
+// Expire deletes the history of a partition except the newest record of each key.
 func (l *Log) Expire(p partlog.Partition) {
 	l.set(func() {
 		at := l.part(p)
@@ -134,14 +134,14 @@
 	if l.down {
 		return 0, partlog.Unavailable.New("down")
 	}
-	if l.late > 0 {
-		l.late--
-		l.held = append(l.held, func() { _, _ = l.execute(p, records, at) })
+	if l.appendsToDelay > 0 {
+		l.appendsToDelay--
+		l.delayed = append(l.delayed, func() { _, _ = l.execute(p, records, at) })
 		return 0, partlog.Unknown.New("no answer")
 	}
 	offset, err := l.execute(p, records, at)
-	if err == nil && l.lose > 0 {
-		l.lose--
+	if err == nil && l.answersToLose > 0 {
+		l.answersToLose--
 		return 0, partlog.Unknown.New("the answer is lost")
 	}
 	return offset, err
@@ -168,8 +168,8 @@
 		}
 	}
 	l.appends++
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	return offset, nil
 }
 
@@ -203,14 +203,14 @@
 		return partlog.Page{}, nil, partlog.Expired.New("first is %d", at.first)
 	}
 	records := slices.Clone(at.records[min(from-at.first, int64(len(at.records))):])
-	news := l.news
-	if l.deaf {
+	news := l.appended
+	if l.notificationsLost {
 		news = nil
 	}
 	return partlog.Page{Next: from + int64(len(records)), End: at.end(), Records: records, At: time.Now()}, news, nil
 }
 
-// smallPage is the size of a page unless it is set, so that tests meet several pages.
+// smallPage is the default page size. It is small so that tests read several pages.
 const smallPage = 3
 
 // SetPageSize sets how many newest records a page holds.
@@ -223,8 +223,8 @@
 	if l.down {
 		return partlog.NewestPage{}, partlog.Unavailable.New("down")
 	}
-	l.asked++
-	if l.serveEvery > 0 && l.asked%l.serveEvery != 0 {
+	l.newestCalls++
+	if l.serveEvery > 0 && l.newestCalls%l.serveEvery != 0 {
 		return partlog.NewestPage{}, partlog.Limited.New("too many calls")
 	}
 	at := l.part(p)
@@ -240,7 +240,7 @@
 	return page, nil
 }
 
-// Join implements partlog.Groups: partitions go round the members in turn.
+// Join implements partlog.Groups. It assigns partitions to the members round-robin.
 func (l *Log) Join(_ context.Context, name, member string, topics []string, _ time.Duration, _ int64) (partlog.Claim, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -258,10 +258,10 @@
 	}
 	g.topics = topics
 	claim := partlog.Claim{Generation: g.generation}
-	mine := slices.Index(g.members, member)
+	memberIndex := slices.Index(g.members, member)
 	for _, topic := range topics {
-		for part := range l.count {
-			if part%len(g.members) == mine {
+		for part := range l.partsPerTopic {
+			if part%len(g.members) == memberIndex {
 				claim.Parts = append(claim.Parts, partlog.Partition{Topic: topic, Part: part})
 			}
 		}
@@ -282,7 +282,7 @@
 		return owners, nil
 	}
 	for _, topic := range g.topics {
-		for part := range l.count {
+		for part := range l.partsPerTopic {
 			owners[partlog.Partition{Topic: topic, Part: part}] = g.members[part%len(g.members)]
 		}
 	}
--- a/extern/partlog/follow.go
+++ b/extern/partlog/follow.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// firstPause and longestPause bound the pause after a failed call. The first
-	// is near a call's own time; the longest keeps a fleet that waits for the log
-	// from using up its rate, and lies well within the second in which a change
-	// has to be seen.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 400 * time.Millisecond
+	// initialBackoff and maxBackoff bound the pause after a failed call. The initial
+	// backoff is about the duration of a call. The maximum keeps a fleet that waits for
+	// the log from using up its rate limit, and is well below the one second within
+	// which a change has to be seen.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
 )
 
-// Reader takes what Follow reads of one partition. Its methods are called by
-// one goroutine.
+// Reader consumes what Follow reads from one partition. Its methods are called from a
+// single goroutine.
 type Reader interface {
-	// Position is the offset of the next record wanted, negative if nothing was
-	// loaded yet.
+	// Position returns the offset of the next record to read, negative if nothing has
+	// been loaded yet.
 	Position() int64
-	// Load takes the newest record of each key, in log order, as of end.
+	// Load replaces the reader's state by the newest record of each key, in log order,
+	// as of the offset end.
 	Load(records []Kept, end int64)
-	// Take takes the records that follow.
+	// Apply applies the records that follow.
 	Take(page Page)
-	// Heard is told how each call ended. What lies before Position is all that the
-	// partition held at the moment asOf, which is zero if the call failed or more is
-	// known to follow.
+	// CallEnded is called after each call with its error. The records before Position
+	// are all that the partition contained at the time asOf, which is zero if the call
+	// failed or more records are known to follow.
 	Heard(asOf time.Time, err error)
 }
 
-// Pace sets how often a partition is read.
+// ReadOptions sets how often a partition is read.
 type Pace struct {
 	// Wait is how long a read waits for records.
 	Wait time.Duration
-	// Gather is the pause after each read that brought records, so that a busy
+	// Linger is the pause after each read that returned records, so that a busy
 	// partition is read in few calls.
 	Gather time.Duration
-	// LongestPause bounds the pause after failed calls; 0 stands for a pause within which
-	// a change has to be seen.
+	// MaxBackoff bounds the pause after failed calls; 0 means a default that is below the
+	// one second within which a change has to be seen.
 	LongestPause time.Duration
 }
 
-// Follow loads the partition and then keeps the reader up to date until ctx is
-// done.
-func Follow(ctx context.Context, log Log, p Partition, pace Pace, r Reader) {
-	if pace.LongestPause <= 0 {
-		pace.LongestPause = longestPause
+// Follow loads the partition into r and then keeps r up to date until ctx is done.
+func Follow(ctx context.Context, log Log, p Partition, opts Pace, r Reader) {
+	if opts.LongestPause <= 0 {
+		opts.LongestPause = maxBackoff
 	}
-	f := follower{log: log, partition: p, pace: pace, reader: r}
-	pause := firstPause
+	f := follower{log: log, partition: p, opts: opts, reader: r}
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		news, asOf, err := f.step(ctx)
+		received, asOf, err := f.step(ctx)
 		if ctx.Err() != nil {
 			return
 		}
@@ -62,32 +62,33 @@
 		f.failed = err != nil
 		switch {
 		case err != nil:
-			sleep(ctx, pause/2+rand.N(pause/2+1))
-			pause = min(2*pause, pace.LongestPause)
-		case news:
-			pause = firstPause
-			sleep(ctx, pace.Gather)
+			sleep(ctx, backoff/2+rand.N(backoff/2+1))
+			backoff = min(2*backoff, opts.LongestPause)
+		case received:
+			backoff = initialBackoff
+			sleep(ctx, opts.Gather)
 		default:
-			pause = firstPause
+			backoff = initialBackoff
 		}
 	}
 }
 
-// follower is one Follow.
+// follower is the state of one call of Follow.
 type follower struct {
 	log       Log
 	partition Partition
-	pace      Pace
+	opts      Pace
 	reader    Reader
-	// loading is the load that a failed call interrupted, if any.
+	// loading is the load that a failed call interrupted, nil if there is none.
 	loading *loader
-	// failed tells that the last call failed.
+	// failed reports whether the last call failed.
 	failed bool
 }
 
-// step makes one call, or loads the partition. What a first load gave may be
-// seconds old, so it counts as no news and no pause follows it.
-func (f *follower) step(ctx context.Context) (news bool, asOf time.Time, err error) {
+// step makes one read, or loads the partition. received reports whether the read
+// returned records, after which Follow pauses. The records of a first load may be
+// seconds old, so it returns false for them and Follow reads on without a pause.
+func (f *follower) step(ctx context.Context) (received bool, asOf time.Time, err error) {
 	from := f.reader.Position()
 	if from < 0 || f.loading != nil {
 		asOf, err = f.load(ctx)
@@ -108,21 +109,22 @@
 	return len(page.Records) > 0, asOf, nil
 }
 
-// read reads what follows. After a failed call it does not wait for records: that
-// the log is back shows at once, and not only when there is news.
+// read reads the records that follow. After a failed call it does not wait for new
+// records, so that the reader learns at once, rather than with the next record, that
+// the log is available again.
 //
-// Failure guarded against: what lapsed or changed while the log was away is judged by
-// when it came back; a second late, a target that left meanwhile gets work for a
-// second too long.
+// Failure guarded against: what expired or changed during an outage of the log is
+// judged by when the log came back. If that is noticed a second late, a target that
+// left during the outage gets work for a second too long.
 func (f *follower) read(ctx context.Context, from int64) (Page, error) {
-	wait := f.pace.Wait
+	wait := f.opts.Wait
 	if f.failed {
 		wait = 0
 	}
 	return f.log.Read(ctx, f.partition, from, wait)
 }
 
-// load begins a load or goes on with the interrupted one.
+// load starts a load or resumes the interrupted one.
 func (f *follower) load(ctx context.Context) (asOf time.Time, err error) {
 	if f.loading == nil {
 		f.loading = newLoader(f.partition)
@@ -130,7 +132,7 @@
 	if err := f.loading.run(ctx, f.log); err != nil {
 		return time.Time{}, err
 	}
-	f.loading.give(f.reader)
+	f.loading.deliver(f.reader)
 	asOf, f.loading = f.loading.at, nil
 	return asOf, nil
 }
@@ -141,21 +143,23 @@
 	if err := l.run(ctx, log); err != nil {
 		return err
 	}
-	l.give(r)
+	l.deliver(r)
 	return nil
 }
 
-// loader reads the newest record of every key. The pages are no snapshot: what
-// was appended after the first one is left out here and read from the end that
-// the first page told. So a load may take as long as it needs.
+// loader reads the newest record of every key. The pages are not a consistent snapshot:
+// records appended after the first page was read are skipped here and read afterwards,
+// from the partition end that the first page returned. A load may therefore take any
+// amount of time.
 //
-// Failure guarded against: after a loss of power all hosts load at once, and
-// the log's rate refuses a part of the calls. A load that begins anew at each
-// refusal hardly ever ends if it has many pages, and its calls take the rate
-// from the others: run goes on behind the last page that was read.
+// Failure guarded against: after a power loss all hosts load at once, and the log's
+// rate limit refuses some of the calls. A load of many pages that restarted at each
+// refusal would hardly ever finish, and its calls would use up the rate limit of the
+// others. run therefore resumes after the last page that was read.
 type loader struct {
 	partition Partition
-	// end is the partition's end as the first page told, and at when that page came.
+	// end is the partition's end according to the first page, and at is when that page
+	// was received.
 	end     int64
 	at      time.Time
 	after   string
@@ -164,7 +168,7 @@
 
 func newLoader(p Partition) *loader { return &loader{partition: p, end: -1} }
 
-// run reads to the last page. After an error it can be run again.
+// run reads up to the last page. It can be called again after an error.
 func (l *loader) run(ctx context.Context, log Log) error {
 	for {
 		page, err := log.Newest(ctx, l.partition, l.after)
@@ -173,8 +177,9 @@
 		}
 		before := l.after
 		l.add(page)
-		// A page behind which the next one can't be asked for is the last: keys that
-		// can't be read must not make a load go round for ever.
+		// A page that does not advance the key is treated as the last one, since the
+		// next page could not be requested: unreadable keys must not make a load loop
+		// forever.
 		if !page.More || l.after == before {
 			return nil
 		}
@@ -193,8 +198,8 @@
 	}
 }
 
-// give hands the records over in log order.
-func (l *loader) give(r Reader) {
+// deliver loads the records into r in log order.
+func (l *loader) deliver(r Reader) {
 	slices.SortFunc(l.records, func(a, b Kept) int { return cmp.Compare(a.Offset, b.Offset) })
 	r.Load(l.records, l.end)
 }
--- a/extern/partlog/follow_test.go
+++ b/extern/partlog/follow_test.go
@@ -20,15 +20,15 @@
 	RunSpecs(t, "partlog")
 }
 
-// recorder keeps the newest value of each key, and the order of keys.
+// recorder records the newest value of each key, and the order of the keys.
 type recorder struct {
 	mu       sync.Mutex
 	position int64
 	values   map[string]string
 	order    []string
-	lost     bool
-	// whole are the positions at which nothing more was known to follow.
-	whole []int64
+	failing  bool
+	// caughtUp holds the positions at which no more records were known to follow.
+	caughtUp []int64
 }
 
 func (r *recorder) Position() int64 {
@@ -62,19 +62,19 @@
 func (r *recorder) Heard(asOf time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = err != nil
-	if !asOf.IsZero() && !slices.Contains(r.whole, r.position) {
-		r.whole = append(r.whole, r.position)
+	r.failing = err != nil
+	if !asOf.IsZero() && !slices.Contains(r.caughtUp, r.position) {
+		r.caughtUp = append(r.caughtUp, r.position)
 	}
 }
 
-func (r *recorder) wholeAt() []int64 {
+func (r *recorder) caughtUpAt() []int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.whole)
+	return slices.Clone(r.caughtUp)
 }
 
-// shortPages is a log whose reads return one record.
+// shortPages is a log whose reads return at most one record.
 type shortPages struct{ *fakepartlog.Log }
 
 func (l shortPages) Read(ctx context.Context, p partlog.Partition, from int64, wait time.Duration) (partlog.Page, error) {
@@ -91,10 +91,10 @@
 	return r.values[key]
 }
 
-func (r *recorder) isLost() bool {
+func (r *recorder) isFailing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lost
+	return r.failing
 }
 
 var _ = Describe("Following a partition", func() {
@@ -127,24 +127,25 @@
 		pace.Gather = 0
 	})
 
-	// Guards against a reader that takes what it has read for all there is, while more follows.
+	// Guards against a reader that takes a partial read for the whole partition while more
+	// records follow.
 	It("is not up to date while more is known to follow", func() {
 		put("k", "0")
 		reading, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
 		go partlog.Follow(reading, shortPages{log}, p, pace, r)
-		Eventually(r.wholeAt).WithTimeout(limit).Should(Equal([]int64{1}))
+		Eventually(r.caughtUpAt).WithTimeout(limit).Should(Equal([]int64{1}))
 		var records []partlog.Record
 		for i := range 3 {
 			records = append(records, partlog.Record{Key: "k", Value: []byte(fmt.Sprint(i))})
 		}
 		_, err := log.Append(context.Background(), p, records, partlog.Anywhere)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(r.wholeAt).WithTimeout(limit).Should(Equal([]int64{1, 4}))
+		Eventually(r.caughtUpAt).WithTimeout(limit).Should(Equal([]int64{1, 4}))
 	})
 
-	// A long list takes seconds to load, and a target that left meanwhile is in it.
-	// Requests go to that target until the reader looks at what came since.
+	// A long list takes seconds to load, and still contains a target that left meanwhile.
+	// That target gets requests until the reader has read the records appended since.
 	It("reads on at once after the first load", func() {
 		put("k", "1")
 		pace.Gather = time.Hour
@@ -168,10 +169,10 @@
 		Eventually(func() string { return r.value("later") }).WithTimeout(limit).Should(Equal("x"))
 	})
 
-	// All hosts start at once after a loss of power and ask for the same lists. The
-	// store's rate serves a part of their calls, so one in a few of a long list's
-	// pages is refused; a host that begins anew each time never gets to the end
-	// and knows no target, while its callers wait.
+	// After a power loss all hosts start at once and load the same lists. The log's rate
+	// limit refuses some of their calls, so a few of a long list's pages are refused. A
+	// host that restarted the load each time would never finish it: it would know no
+	// target while its callers wait.
 	It("loads a long list although most calls are refused", func() {
 		for i := range 30 {
 			put(fmt.Sprintf("k%02d", i), "x")
@@ -182,21 +183,21 @@
 		Expect(r.value("k00")).To(Equal("x"))
 	})
 
-	// The store drops its history while a reader waits. The reader must not stop
-	// at the gap: a configuration would never come into force here.
+	// The log deletes its history while a reader waits. The reader must not stop at the
+	// gap, or a new configuration would never be applied on this host.
 	It("loads again when the history it needs was dropped", func() {
 		put("k", "1")
 		follow()
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("1"))
 		log.SetDown(true)
-		Eventually(r.isLost).WithTimeout(limit).Should(BeTrue())
+		Eventually(r.isFailing).WithTimeout(limit).Should(BeTrue())
 		log.SetDown(false)
 		put("k", "2")
 		log.Expire(p)
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("2"))
 	})
 
-	It("hears news within its wait although the waiting read is deaf", func() {
+	It("receives new records within its wait although the waiting read is not notified", func() {
 		log.SetDeaf(true)
 		follow()
 		Eventually(r.Position).WithTimeout(limit).Should(BeZero())
@@ -204,15 +205,15 @@
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("1"))
 	})
 
-	// The log was away and is back, and nothing new has come. The reader must hear
-	// of that at once and not at the end of a read that waits for news.
-	It("hears at once that the log is back", func() {
+	// The log was unavailable and is available again, without new records. The reader must
+	// learn of that at once and not at the end of a read that waits for records.
+	It("learns at once that the log is available again", func() {
 		pace.Wait = time.Hour
 		put("k", "1")
 		log.SetReadsDown(true)
 		follow()
-		Eventually(r.isLost).WithTimeout(limit).Should(BeTrue())
+		Eventually(r.isFailing).WithTimeout(limit).Should(BeTrue())
 		log.SetReadsDown(false)
-		Eventually(r.isLost).WithTimeout(limit).Should(BeFalse())
+		Eventually(r.isFailing).WithTimeout(limit).Should(BeFalse())
 	})
 })
--- a/extern/wire/wire.go
+++ b/extern/wire/wire.go
@@ -1,40 +1,40 @@
-// Package wire holds the JSON bodies of the platform's HTTP services, shared
-// by the clients and the stand-ins.
+// Package wire defines the JSON bodies of the platform's HTTP services, shared by
+// the clients and the stand-in services.
 package wire
 
 // ClientHeader names the calling daemon to the platform's services.
 const ClientHeader = "X-Client"
 
-// Appended answers an append.
+// Appended is the response to an append.
 type Appended struct {
-	// Offset is the record's place in the stream.
+	// Offset is the record's position in the stream.
 	Offset int64 `json:"offset"`
 }
 
 // Record is one record of a read; Data is base64 in JSON.
 type Record struct {
 	Offset int64 `json:"offset"`
-	// AtMs is when the log took the record, Unix milliseconds.
+	// AtMs is when the log appended the record, in Unix milliseconds.
 	AtMs int64  `json:"at_ms"`
 	Data []byte `json:"data"`
 }
 
-// Page answers a read.
+// Page is the response to a read.
 type Page struct {
 	First   int64    `json:"first"`
 	Next    int64    `json:"next"`
 	Records []Record `json:"records"`
 }
 
-// Bounds answers a question for one stream's offsets.
+// Bounds is the response to a request for one stream's offsets.
 type Bounds struct {
-	// First is the earliest offset still kept.
+	// First is the earliest offset still stored.
 	First int64 `json:"first"`
 	// Next is the offset that the next append will get.
 	Next int64 `json:"next"`
 }
 
-// Stream is one line of Streams.
+// Stream is one entry of Streams.
 type Stream struct {
 	Name string `json:"name"`
 	Bounds
@@ -45,11 +45,11 @@
 	Streams []Stream `json:"streams"`
 }
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every response that is not a success.
 type Error struct {
-	// Error explains the refusal to a person.
+	// Error is a human-readable reason for the refusal.
 	Error string `json:"error"`
-	// RetryAfterMs is finer than the Retry-After header, which has whole
-	// seconds only; 0 says nothing.
+	// RetryAfterMs is the time after which to retry, in milliseconds, since the
+	// Retry-After header has whole seconds only; 0 means not specified.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
 }
