--- a/chat/answer.go
+++ b/chat/answer.go
@@ -7,18 +7,18 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// Answer is the whole answer of a chat completion.
+// Answer is the complete response of a chat completion.
 type Answer struct {
 	// Text is the generated text.
 	Text string
-	// Finish tells how the generation ended.
+	// Finish is how the generation ended.
 	Finish target.Finish
 }
 
 // errCompletion is the type of errors of DecodeAnswer.
 var errCompletion = errorNamespace.NewType("completion")
 
-// completion is the OpenAI shape of a whole answer.
+// completion is a complete response in the OpenAI format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -28,7 +28,7 @@
 	Usage   completionUsage    `json:"usage"`
 }
 
-// completionChoice is the only choice of an answer.
+// completionChoice is the only choice of a response.
 type completionChoice struct {
 	Index        int            `json:"index"`
 	Message      target.Message `json:"message"`
@@ -43,13 +43,13 @@
 	Details          promptDetails `json:"prompt_tokens_details"`
 }
 
-// promptDetails tells how much of the prompt came from the engine's cache.
+// promptDetails counts the prompt tokens that came from the engine's cache.
 type promptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// DecodeAnswer reads back what EncodeAnswer wrote, so that an answer can be kept in
-// the very form in which its caller will read it.
+// DecodeAnswer decodes the output of EncodeAnswer, so that a response can be stored in
+// the same form in which its caller receives it.
 func DecodeAnswer(body []byte) (Answer, error) {
 	var c completion
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -68,7 +68,7 @@
 	}}, nil
 }
 
-// EncodeAnswer encodes a whole answer in the OpenAI shape.
+// EncodeAnswer encodes a complete response in the OpenAI format.
 func EncodeAnswer(id, model string, created time.Time, result Answer) []byte {
 	usage := result.Finish.Usage
 	body, err := json.Marshal(completion{
@@ -84,7 +84,7 @@
 		},
 	})
 	if err != nil {
-		// Strings and numbers always encode.
+		// Encoding strings and numbers cannot fail.
 		panic(err)
 	}
 	return body
--- a/chat/chat_test.go
+++ b/chat/chat_test.go
@@ -10,7 +10,8 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// A kept answer that reads back otherwise would answer a resend with another text.
+// TestAnswerReadsBack checks that a stored response decodes to the same value. Otherwise
+// a request that is sent again would get a different text.
 func TestAnswerReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 1000)
--- a/chat/fuzz_test.go
+++ b/chat/fuzz_test.go
@@ -10,9 +10,9 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// FuzzParseRequest checks that no body crashes the parser, that a refusal says
-// bad_request and not_run, and that a field which the daemon does not know,
-// like "Model" beside "model", is passed on and changes nothing else.
+// FuzzParseRequest checks that no body crashes the parser, that every refusal is
+// bad_request and not_run, and that a field which the daemon does not know, such as
+// "Model" next to "model", is forwarded and changes nothing else.
 func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","messages":[{"role":"user","content":"x"}],"max_tokens":4,"stream":true,"seed":7}`,
--- a/chat/request.go
+++ b/chat/request.go
@@ -1,5 +1,5 @@
-// Package chat reads and writes the OpenAI shape of chat completions: the
-// request as callers and job lines hold it, and the whole answer as it is kept.
+// Package chat decodes and encodes chat completions in the OpenAI format: the requests
+// of callers and job lines, and the complete response as it is stored.
 package chat
 
 import (
@@ -14,7 +14,7 @@
 
 var errorNamespace = errorx.NewNamespace("chat")
 
-// requestFields are the body's fields that the daemon understands.
+// requestFields are the fields of the body that the daemon interprets.
 type requestFields struct {
 	Model     string
 	Messages  []message
@@ -24,14 +24,14 @@
 	Stream              *bool
 }
 
-// field is a field's name and where its value goes.
+// field is a field's name and the pointer that its value is decoded into.
 type field struct {
 	name  string
 	value any
 }
 
-// understood names those fields; all others are passed on untouched.
-func (f *requestFields) understood() []field {
+// known returns the fields that the daemon interprets; all others are forwarded unchanged.
+func (f *requestFields) known() []field {
 	return []field{
 		{"model", &f.Model}, {"messages", &f.Messages}, {"stream", &f.Stream},
 		{"max_tokens", &f.MaxTokens}, {"max_completion_tokens", &f.MaxCompletionTokens},
@@ -44,7 +44,7 @@
 	Content content `json:"content"`
 }
 
-// errContent is the type of errors of a message's content.
+// errContent is the type of errors about a message's content.
 var errContent = errorNamespace.NewType("content")
 
 // content is the text of a message.
@@ -83,16 +83,16 @@
 
 // ParseRequest reads the body of a chat completion. The error is a *outcome.Refusal.
 //
-// Names are taken by the letter. Failure guarded against: encoding/json would
-// take "Stream" for "stream", so that a field which the daemon does not know
-// would change the answer's form and be passed on too.
+// Names of fields are case-sensitive. Failure guarded against: encoding/json matches
+// names case-insensitively and would take "Stream" for "stream", so that a field which
+// the daemon does not know would change the form of the response and also be forwarded.
 func ParseRequest(body []byte) (req target.GenerateRequest, stream bool, err error) {
 	extra := make(map[string]json.RawMessage)
 	if err := json.Unmarshal(body, &extra); err != nil {
 		return req, false, outcome.Refuse(outcome.BadRequest, "the body is not a JSON object: %v", err)
 	}
 	var f requestFields
-	for _, field := range f.understood() {
+	for _, field := range f.known() {
 		raw, given := extra[field.name]
 		delete(extra, field.name)
 		if !given {
@@ -112,7 +112,7 @@
 	return req, f.Stream != nil && *f.Stream, nil
 }
 
-// check refuses what no engine could answer.
+// check refuses a request that no engine could answer.
 func (f *requestFields) check() error {
 	if f.Model == "" {
 		return outcome.Refuse(outcome.BadRequest, "model is missing")
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// maxTokens returns the bound, 0 if none is stated.
+// maxTokens returns the requested maximum of tokens, 0 if there is none.
 func (f *requestFields) maxTokens() int {
 	if f.MaxTokens != nil {
 		return *f.MaxTokens
@@ -142,7 +142,7 @@
 	return 0
 }
 
-// messages returns the prompt as the targets take it.
+// messages returns the prompt in the form that targets accept.
 func (f *requestFields) messages() []target.Message {
 	out := make([]target.Message, len(f.Messages))
 	for i, m := range f.Messages {
