--- a/bodymemory/bodymemory.go
+++ b/bodymemory/bodymemory.go
@@ -1,5 +1,5 @@
-// Package bodymemory bounds the bodies of requests and answers that a daemon holds in
-// memory together.
+// Package bodymemory bounds the total memory that a daemon uses for the bodies of
+// requests and responses.
 package bodymemory
 
 import (
@@ -10,69 +10,71 @@
 )
 
 const (
-	// CallerShare is the part of the memory, 1/CallerShare, that one caller's
-	// requests may hold together.
+	// CallerShare is the divisor for the fraction of the memory, 1/CallerShare, that
+	// all requests of one caller may hold together.
 	CallerShare = 2
-	// smallReserve is the part of the memory, 1/smallReserve, that only claims
-	// of at most SmallClaim bytes may take.
+	// smallReserve is the divisor for the fraction of the memory, 1/smallReserve, that
+	// is reserved for claims of at most SmallClaimBytes.
 	smallReserve = 4
-	SmallClaim   = 64 << 10
-	// Step is how much memory a body reserves ahead of its bytes, so that a stated length
-	// alone holds nothing.
+	// SmallClaimBytes is the maximum size of a small claim.
+	SmallClaim = 64 << 10
+	// StepBytes is the step in which a body reserves memory as its bytes arrive, so that
+	// a declared length alone reserves nothing.
 	Step = 32 << 10
-	// BusyRetryMs is when a caller may come back after a full daemon.
+	// BusyRetryMs is the time after which a caller may retry if the daemon was full, in
+	// milliseconds.
 	BusyRetryMs = 1000
 )
 
-// Memory bounds the bodies held in memory together. It is safe for concurrent use.
+// Memory is a memory budget shared by all bodies. It is safe for concurrent use.
 //
-// Failure guarded against: a caller that begins many large bodies and finishes
-// none fills the bound for minutes, and everybody else is refused as
-// overloaded. A caller meets its own share first; and where several callers do
-// so, a quarter stays for small bodies, which most requests are. It holds no
-// entry for a caller without a body, so its size follows the requests.
+// Failure guarded against: a caller that starts many large bodies and finishes none
+// exhausts the budget for minutes, and every other caller is refused as overloaded. A
+// caller reaches its own limit, half of the budget, first. If several callers do so, a
+// quarter is still reserved for small bodies, which most requests have. Memory has no
+// entry for a caller without a body, so its size depends on the running requests.
 type Memory struct {
 	mu      sync.Mutex
-	most    int64
+	limit   int64
 	used    int64
 	callers map[string]int64
 }
 
-// New returns an empty memory of most bytes.
-func New(most int64) *Memory {
-	return &Memory{most: most, callers: make(map[string]int64)}
+// New returns an unused budget of limit bytes.
+func New(limit int64) *Memory {
+	return &Memory{limit: limit, callers: make(map[string]int64)}
 }
 
-// Total returns the bytes that are held.
+// Total returns the number of bytes reserved by all claims.
 func (m *Memory) Total() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.used
 }
 
-// Callers returns the number of callers that hold any.
+// Callers returns the number of callers that have reserved memory.
 func (m *Memory) Callers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.callers)
 }
 
-// Claim is what one request of a caller holds of the memory.
+// Claim is the memory reserved for one request of a caller.
 type Claim struct {
 	memory *Memory
 	caller string
 	held   int64
 }
 
-// Claim returns an empty claim.
+// Claim returns a claim of the caller that holds nothing yet.
 func (m *Memory) Claim(caller string) *Claim { return &Claim{memory: m, caller: caller} }
 
-// Held returns the bytes that are reserved.
+// Held returns the number of bytes that the claim has reserved.
 func (c *Claim) Held() int64 { return c.held }
 
-// ReadAll reads to the end, reserving the memory that it takes. size is the length as far
-// as it is known, negative for unknown. Errors are those of the reader, or a
-// *outcome.Refusal where the memory is full.
+// ReadAll reads from until EOF and reserves the memory for the body. size is the expected
+// length in bytes, negative if unknown. It returns the reader's errors, or a
+// *outcome.Refusal if the memory is exhausted.
 func (c *Claim) ReadAll(from io.Reader, size int64) ([]byte, error) {
 	var body []byte
 	if size >= 0 && size < Step {
@@ -99,19 +101,19 @@
 	}
 }
 
-// Grow reserves n bytes more, or refuses.
+// Grow reserves n more bytes, or returns a refusal and reserves nothing.
 func (c *Claim) Grow(n int64) *outcome.Refusal {
 	m := c.memory
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.callers[c.caller]+n > m.most/CallerShare {
+	if m.callers[c.caller]+n > m.limit/CallerShare {
 		return outcome.Refuse(outcome.CallerLimit, "the bodies of this caller hold %d bytes of memory here", m.callers[c.caller]).After(BusyRetryMs)
 	}
-	room := m.most
+	available := m.limit
 	if c.held+n > SmallClaim {
-		room -= m.most / smallReserve
+		available -= m.limit / smallReserve
 	}
-	if m.used+n > room {
+	if m.used+n > available {
 		return outcome.Refuse(outcome.Overloaded, "too many bodies are held in memory").After(BusyRetryMs)
 	}
 	c.held += n
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// Release gives everything back; a second call does nothing.
+// Release releases all reserved bytes; a second call does nothing.
 func (c *Claim) Release() {
 	m := c.memory
 	m.mu.Lock()
--- a/bodymemory/bodymemory_test.go
+++ b/bodymemory/bodymemory_test.go
@@ -9,8 +9,8 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// Four callers with slow, large bodies would leave nothing for a fifth: a quarter
-// stays for small ones, and no caller takes more than its half.
+// Without limits, four callers with slow, large bodies would leave no memory for a fifth.
+// A quarter is reserved for small bodies, and no caller gets more than half.
 func TestBodyMemoryKeepsRoomForOthers(t *testing.T) {
 	const most = 32 * SmallClaim
 	memory := New(most)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Hundreds of callers begin bodies of megabytes at once. What a host of 144 MB can't hold
-// is refused, and what was reserved for it is free again.
+// Hundreds of callers start bodies of several megabytes at once. A body that a host of
+// 144 MB can't hold is refused, and the memory reserved for it is released.
 func TestReadAllStopsWhereTheMemoryIsFull(t *testing.T) {
 	memory := New(8 * Step)
 	claim := memory.Claim("a")
