--- a/callerconns/listener.go
+++ b/callerconns/listener.go
@@ -1,6 +1,6 @@
-// Package callerconns keeps callers' connections: it bounds them, cuts callers
-// that stop reading, and closes them at a planned stop without interrupting a
-// request.
+// Package callerconns manages callers' connections: it bounds their number,
+// disconnects callers that stop reading, and closes connections at a graceful shutdown
+// without interrupting a request.
 package callerconns
 
 import (
@@ -13,55 +13,58 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// writeChunk is how much of one write must be taken within WriteStall: a slow
-// reader of a large answer is served, one that stopped reading is not.
+// writeChunk is the number of bytes that the caller must accept within the write
+// timeout: a slow reader of a large response is served, one that stopped reading is
+// disconnected.
 const writeChunk = 64 << 10
 
 // Metrics are the counters of a Listener.
 type Metrics struct {
-	// Evicted counts idle connections that made room, Stalled the writes that the
-	// caller did not take in time.
+	// Evicted counts idle connections closed in favour of new ones, Stalled writes that
+	// timed out.
 	Evicted, Stalled *metrics.Counter
 }
 
-// Listener bounds the open connections. At the bound the connection that
-// has been idle the longest makes room.
+// Listener bounds the number of open connections. At the limit it closes the connection
+// that has been idle the longest to admit a new one.
 //
-// Failure guarded against: thousands of connections without a request (a
-// caller's leaking pool, or an attack) would keep everybody else out until
-// their idle timeout. A connection with a request running is never closed, so
-// no request is interrupted; one that turns idle wakes a waiting accept.
+// Failure guarded against: thousands of connections without a request (from a caller's
+// leaking pool, or an attack) would lock out all other callers until the idle timeout.
+// A connection with a running request is never closed, so no request is interrupted;
+// one that becomes idle wakes a waiting Accept.
 type Listener struct {
 	net.Listener
-	stall   time.Duration
-	evicted *metrics.Counter
-	stalled *metrics.Counter
-
-	mu   sync.Mutex
-	room *sync.Cond
-	max  int
-	open map[net.Conn]*list.Element
-	idle *list.List // of net.Conn, longest idle first
-	shut bool
-	// queued holds what the kernel had completed when listening ended.
+	writeTimeout time.Duration
+	evicted      *metrics.Counter
+	stalled      *metrics.Counter
+
+	mu        sync.Mutex
+	slotFreed *sync.Cond
+	maxOpen   int
+	open      map[net.Conn]*list.Element
+	idle      *list.List // of net.Conn, longest idle first
+	closed    bool
+	// queued holds the connections that were in the kernel's accept queue when listening
+	// ended.
 	queued []net.Conn
 }
 
-// New wraps inner: at most most connections are open, and a write that the caller
-// does not take within stall ends its connection. The server's ConnState hook
-// must be Track.
-func New(inner net.Listener, most int, stall time.Duration, m Metrics) *Listener {
+// New wraps inner: at most maxOpen connections are open, and a write that the caller
+// does not accept within writeTimeout closes its connection. The server's ConnState
+// hook must be Track.
+func New(inner net.Listener, maxOpen int, writeTimeout time.Duration, m Metrics) *Listener {
 	l := &Listener{
-		Listener: inner, stall: stall, evicted: m.Evicted, stalled: m.Stalled, max: most,
+		Listener: inner, writeTimeout: writeTimeout, evicted: m.Evicted, stalled: m.Stalled, maxOpen: maxOpen,
 		open: make(map[net.Conn]*list.Element), idle: list.New(),
 	}
-	l.room = sync.NewCond(&l.mu)
+	l.slotFreed = sync.NewCond(&l.mu)
 	return l
 }
 
-// Accept makes room only for a connection that is really there: making it
-// ahead would evict an idle connection for nobody. While it waits for a
-// request to end it holds the one connection, so at most max+1 are open.
+// Accept implements net.Listener. It evicts an idle connection only after a new one was
+// accepted: evicting earlier could close a connection needlessly. While Accept waits
+// for a request to end it already holds the new connection, so at most maxOpen+1 are
+// open.
 func (l *Listener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -71,42 +74,43 @@
 		}
 		inner = queued
 	}
-	conn := &stallConn{Conn: inner, stall: l.stall, owner: l}
-	_ = conn.used() // nothing can be closing it yet
+	conn := &stallConn{Conn: inner, writeTimeout: l.writeTimeout, owner: l}
+	_ = conn.markUsed() // a new connection cannot be closing yet
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.makeRoomLocked()
+	l.waitForSlotLocked()
 	l.open[conn] = l.idle.PushBack(conn)
 	return conn, nil
 }
 
-// makeRoomLocked waits for room until the listener is closed: whoever is let in
-// by then may have sent a request, and is served.
-func (l *Listener) makeRoomLocked() {
-	for !l.shut && len(l.open) >= l.max {
+// waitForSlotLocked waits until fewer than maxOpen connections are open, evicting idle
+// ones, or until the listener is closed: a connection accepted by then may already
+// carry a request and is served.
+func (l *Listener) waitForSlotLocked() {
+	for !l.closed && len(l.open) >= l.maxOpen {
 		if front := l.idle.Front(); front != nil {
 			l.evictLocked(front)
 			continue
 		}
-		l.room.Wait()
+		l.slotFreed.Wait()
 	}
 }
 
 // evictLocked closes an idle connection.
 func (l *Listener) evictLocked(e *list.Element) {
 	conn := e.Value.(*stallConn)
-	l.forgetLocked(conn)
+	l.removeLocked(conn)
 	l.evicted.Inc()
 	_ = conn.Conn.Close()
 }
 
-// Close ends accepting. Closing it again does nothing: a server that is shut down
-// closes its listener too, unless its accept loop has ended before.
+// Close stops accepting connections. Further calls do nothing: http.Server's Shutdown
+// closes its listener too unless its accept loop has already ended.
 func (l *Listener) Close() error {
 	l.mu.Lock()
-	closed := l.shut
-	l.shut = true
-	l.room.Broadcast()
+	closed := l.closed
+	l.closed = true
+	l.slotFreed.Broadcast()
 	l.mu.Unlock()
 	if closed {
 		return nil
@@ -114,7 +118,7 @@
 	return l.Listener.Close()
 }
 
-// Track is the server's ConnState hook: it keeps the idle list.
+// Track is the server's ConnState hook: it maintains the list of idle connections.
 func (l *Listener) Track(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,11 +133,11 @@
 		}
 		l.open[conn] = nil
 	case http.StateIdle:
-		_ = conn.(*stallConn).used()
+		_ = conn.(*stallConn).markUsed()
 		l.open[conn] = l.idle.PushBack(conn)
-		l.room.Signal()
+		l.slotFreed.Signal()
 	case http.StateClosed, http.StateHijacked:
-		l.forgetLocked(conn)
+		l.removeLocked(conn)
 	}
 }
 
@@ -144,8 +148,8 @@
 	return len(l.open)
 }
 
-// forgetLocked drops a connection from the count.
-func (l *Listener) forgetLocked(conn net.Conn) {
+// removeLocked removes a connection from the open ones.
+func (l *Listener) removeLocked(conn net.Conn) {
 	e, ok := l.open[conn]
 	if !ok {
 		return
@@ -154,58 +158,59 @@
 		l.idle.Remove(e)
 	}
 	delete(l.open, conn)
-	l.room.Signal()
+	l.slotFreed.Signal()
 }
 
-// stallConn gives every write a deadline of its own.
+// stallConn sets a deadline for every write.
 //
-// Failure guarded against: a caller that stops reading its stream fills the
-// socket buffers, and the write then blocks for ever, with the target's slot
-// and the goroutine held. It shows as slots that never come free. The deadline
-// makes the write fail, which fails the token sink, which cancels the stream at
-// the target. Memory stays bounded, since a write never queues in this process.
+// Failure guarded against: a caller that stops reading its stream fills the socket
+// buffers, and the write then blocks forever and holds the goroutine and the target's
+// slot. The symptom is slots that never become free. The deadline makes the write fail,
+// which fails the token sink, which cancels the stream at the target. Memory stays
+// bounded, since writes are never queued in this process.
 type stallConn struct {
 	net.Conn
-	stall time.Duration
-	owner *Listener
+	writeTimeout time.Duration
+	owner        *Listener
 
 	mu sync.Mutex
-	// usedAt is when it was accepted, last read from or last ended an answer.
+	// usedAt is when the connection was accepted, last read from or last finished a
+	// response.
 	usedAt time.Time
-	// quit tells that it is being closed for having been quiet.
-	quit bool
+	// closing reports whether the connection is being closed because it was unused.
+	closing bool
 }
 
-// used notes that the caller is at work on the connection; false if the
-// connection is being closed.
-func (c *stallConn) used() bool {
+// markUsed records a use of the connection. It returns false if the connection is being
+// closed.
+func (c *stallConn) markUsed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.usedAt = time.Now()
-	return !c.quit
+	return !c.closing
 }
 
-// quitIfQuiet decides whether the connection is closed.
-func (c *stallConn) quitIfQuiet(before time.Time) bool {
+// markClosingIfUnused reports whether the connection has not been used since before, and
+// marks it as closing if so.
+func (c *stallConn) markClosingIfUnused(before time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.usedAt.After(before) {
 		return false
 	}
-	c.quit = true
+	c.closing = true
 	return true
 }
 
-// Read implements net.Conn. It notes the use before net/http does, which takes a
-// connection for idle until a request's whole header is there.
+// Read implements net.Conn. It records the use before net/http does, which treats a
+// connection as idle until the complete header of a request has arrived.
 //
-// Failure guarded against: bytes that arrive while the connection is being
-// closed would be taken for a request and forwarded, with nowhere to send the
-// answer. The use and the decision to close exclude each other, so such bytes
-// are dropped unread.
+// Failure guarded against: bytes that arrive while the connection is being closed would
+// be handled as a request and forwarded, though the response could not be sent. Marking
+// a use and deciding to close exclude each other, so such bytes are discarded.
 func (c *stallConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n > 0 && !c.used() {
+	if n > 0 && !c.markUsed() {
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -216,7 +221,7 @@
 	written := 0
 	for {
 		end := min(written+writeChunk, len(p))
-		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.stall)); err != nil {
+		if err := c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 			return written, err
 		}
 		n, err := c.Conn.Write(p[written:end])
@@ -231,7 +236,7 @@
 	}
 }
 
-// countStall counts writes that ran into the deadline.
+// countStall counts a write that exceeded its deadline.
 func (c *stallConn) countStall(err error) {
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		c.owner.stalled.Inc()
--- a/callerconns/listener_test.go
+++ b/callerconns/listener_test.go
@@ -18,9 +18,10 @@
 }
 
 var _ = Describe("The callers' listener", func() {
-	// A planned stop closes the listener and then shuts the server down, which closes
-	// it once more if its accept loop has not ended yet. The error of the second time
-	// would tell the operator that requests were cut, though none was.
+	// A graceful shutdown closes the listener and then shuts the server down, which closes
+	// the listener again if its accept loop has not ended yet. An error from the second
+	// Close would be reported to the operator as interrupted requests although there were
+	// none.
 	It("can be closed twice", func() {
 		inner, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/callerconns/queue_linux.go
+++ b/callerconns/queue_linux.go
@@ -6,17 +6,17 @@
 	"syscall"
 )
 
-// emptyQueue takes the connections that the kernel completed ahead of Accept,
-// gives them to keep and ends listening as soon as none is left.
+// acceptQueued accepts the connections in the kernel's accept queue, passes them to keep
+// and stops listening as soon as the queue is empty.
 //
-// Failure guarded against: a caller may have sent its request on a connection
-// that is still queued. Closing the listener resets it, and the caller can't
-// know whether the request ran. What is left is a connection that completes
-// between the last look and the end of listening, some microseconds.
-func emptyQueue(l net.Listener, keep func(net.Conn)) error {
+// Failure guarded against: a caller may have sent its request on a connection that is
+// still queued. Closing the listener resets that connection, and the caller can't know
+// whether the request ran. Only a connection that completes between the last accept and
+// the end of listening, a few microseconds, is still reset.
+func acceptQueued(l net.Listener, keep func(net.Conn)) error {
 	socket, ok := l.(syscall.Conn)
 	if !ok {
-		return errQueue.New("the listener is no socket")
+		return errQueue.New("the listener is not a socket")
 	}
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -27,7 +27,7 @@
 			accepted, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			switch err {
 			case nil:
-				keepDescriptor(accepted, keep)
+				wrapDescriptor(accepted, keep)
 			case syscall.EINTR, syscall.ECONNABORTED:
 			default:
 				_ = syscall.Shutdown(int(fd), syscall.SHUT_RD)
@@ -41,7 +41,8 @@
 	return nil
 }
 
-func keepDescriptor(fd int, keep func(net.Conn)) {
+// wrapDescriptor passes the connection of an accepted descriptor to keep.
+func wrapDescriptor(fd int, keep func(net.Conn)) {
 	file := os.NewFile(uintptr(fd), "accepted")
 	defer file.Close()
 	if conn, err := net.FileConn(file); err == nil {
--- a/callerconns/queue_other.go
+++ b/callerconns/queue_other.go
@@ -4,7 +4,8 @@
 
 import "net"
 
-// emptyQueue is known for Linux only; elsewhere the listener closes with its queue.
-func emptyQueue(net.Listener, func(net.Conn)) error {
-	return errQueue.New("not known on this system")
+// acceptQueued is implemented for Linux only; on other systems closing the listener
+// resets the queued connections.
+func acceptQueued(net.Listener, func(net.Conn)) error {
+	return errQueue.New("not supported on this system")
 }
--- a/callerconns/quiet.go
+++ b/callerconns/quiet.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// quietTime is how long a kept connection must have been unused before a stop
-	// closes it; a shorter grace bounds it.
-	quietTime = 500 * time.Millisecond
-	// quietPoll is the wait between two looks for such connections.
-	quietPoll = 10 * time.Millisecond
+	// unusedTime is how long a kept-alive connection must have been unused before a
+	// shutdown closes it; a shorter grace takes precedence.
+	unusedTime = 500 * time.Millisecond
+	// unusedPoll is the interval between checks for such connections.
+	unusedPoll = 10 * time.Millisecond
 )
 
-// CloseQuietly ends accepting and closes each kept connection once it has been
-// quiet for a while, grace at most, until none is open or ctx ends. An error
-// tells that connections which were still queued in the kernel were reset.
+// CloseGracefully stops accepting and closes each kept-alive connection once it has been
+// unused for unusedTime or, if that is shorter, grace, until no connection is open or
+// ctx ends. An error means that connections in the kernel's accept queue were reset.
 //
-// Failure guarded against: net/http's own Shutdown closes a connection the
-// moment it is idle, and after an answer that ends during the stop at once. A
-// caller whose stream began before the drain was told to keep its connection; it
-// sends the next request there the moment the answer ends, into the close, and
-// can't know whether that one ran. It shows as "server closed idle connection".
-// Such a caller is served, and told to close by that answer.
+// Failure guarded against: http.Server's Shutdown closes a connection as soon as it is
+// idle, that is, immediately after a response that ends during the shutdown. A caller
+// whose stream began before the drain still has a keep-alive connection. It sends the
+// next request there as soon as the response ends, while the connection is being closed,
+// and can't know whether that request ran. The symptom is "server closed idle
+// connection". Here such a request is served, and its response asks the caller to close
+// the connection.
 //
-// A queued connection is served like any other; see emptyQueue.
+// A connection from the accept queue is served like any other; see acceptQueued.
 //
-// What remains is HTTP/1.1's own race: a caller that comes back to a kept
-// connection just as it is closed for having been quiet that long. No server can
-// tell it apart from a caller that stays away.
+// One race remains, which is inherent to HTTP/1.1: a caller may send a request on a
+// kept-alive connection just as it is closed for having been unused. A server cannot
+// know in advance whether another request will come.
 func (l *Listener) CloseQuietly(ctx context.Context, grace time.Duration) error {
-	queueErr := emptyQueue(l.Listener, l.keepQueued)
+	queueErr := acceptQueued(l.Listener, l.holdQueued)
 	_ = l.Close()
-	quiet := min(quietTime, grace)
-	tick := time.NewTicker(quietPoll)
+	unused := min(unusedTime, grace)
+	tick := time.NewTicker(unusedPoll)
 	defer tick.Stop()
-	for l.closeQuiet(quiet) > 0 {
+	for l.closeUnused(unused) > 0 {
 		select {
 		case <-ctx.Done():
 			return queueErr
@@ -46,16 +47,16 @@
 	return queueErr
 }
 
-// closeQuiet closes the idle connections that have not been used for that long
-// and returns how many are left open.
-func (l *Listener) closeQuiet(quiet time.Duration) int {
+// closeUnused closes the idle connections that have not been used for the duration and
+// returns the number of connections that remain open.
+func (l *Listener) closeUnused(unused time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := time.Now().Add(-quiet)
+	before := time.Now().Add(-unused)
 	for e := l.idle.Front(); e != nil; {
 		conn, next := e.Value.(*stallConn), e.Next()
-		if conn.quitIfQuiet(before) {
-			l.forgetLocked(conn)
+		if conn.markClosingIfUnused(before) {
+			l.removeLocked(conn)
 			_ = conn.Conn.Close()
 		}
 		e = next
@@ -63,15 +64,15 @@
 	return len(l.open)
 }
 
-// keepQueued holds a connection for Accept, which gives it out at the
-// listener's end.
-func (l *Listener) keepQueued(conn net.Conn) {
+// holdQueued stores a connection for Accept, which returns it after the listener was
+// closed.
+func (l *Listener) holdQueued(conn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queued = append(l.queued, conn)
 }
 
-// takeQueued returns one that was held, if there is any.
+// takeQueued removes and returns a stored connection, if there is any.
 func (l *Listener) takeQueued() (net.Conn, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
