--- a/jobline/jobline.go
+++ b/jobline/jobline.go
@@ -1,6 +1,6 @@
-// Package jobline parses one line of a batch job: a strict JSON object with
-// the fields custom_id, url and body. It is pure: a line steps in, a typed
-// line or an error that names the line number steps out.
+// Package jobline parses one line of a batch job: a strict JSON object with the fields
+// custom_id, url and body, and optionally method. It has no side effects: the result is
+// a typed line, or an error with the line number.
 package jobline
 
 import (
@@ -15,13 +15,13 @@
 )
 
 const (
-	// MaxCustomIDBytes bounds a custom_id: it is kept in every record of the item.
+	// MaxCustomIDBytes bounds a custom_id, which is stored in every record of the item.
 	MaxCustomIDBytes = 256
 	// MaxURLBytes bounds a url.
 	MaxURLBytes = 2048
 	// ChatURL is the path of a chat completion.
 	ChatURL = "/v1/chat/completions"
-	// ServicePrefix starts the path of a plain service's call.
+	// ServicePrefix is the path prefix of a request to a plain service.
 	ServicePrefix = "/v1/services/"
 )
 
@@ -29,19 +29,19 @@
 type Line struct {
 	// CustomID is the caller's name for the item.
 	CustomID string
-	// URL is the request path: ChatURL, or ServicePrefix and a service's path.
+	// URL is the request path: ChatURL, or ServicePrefix followed by a service's path.
 	URL string
-	// Body is the request body as it stood in the line, valid JSON.
+	// Body is the request body exactly as written in the line, valid JSON.
 	Body json.RawMessage
 }
 
-// Error tells what is wrong with a line.
+// Error describes what is wrong with a line.
 type Error struct {
-	// Line is the line's number, from 1.
+	// Line is the line number, starting at 1.
 	Line int
-	// Field is the field at fault, "" if the line as a whole is.
+	// Field is the invalid field, "" if the line as a whole is invalid.
 	Field string
-	// Detail says what is wrong.
+	// Detail is a description of the error.
 	Detail string
 }
 
@@ -53,60 +53,59 @@
 	return fmt.Sprintf("line %d: %s: %s", e.Line, e.Field, e.Detail)
 }
 
-// Parse reads one line; number is its line number, from 1, for the error,
-// which is always an *Error. The result shares no memory with text.
+// Parse parses one line. number is its line number, starting at 1, for the error, which
+// is always an *Error. The result shares no memory with text.
 //
-// Unknown and repeated fields are refused: encoding/json would take the last
-// of two bodies in silence, and the caller would get the answer to a body that
-// it did not mean.
+// Unknown and repeated fields are refused: encoding/json would silently use the last of
+// two bodies, and the caller would get the response to a body that it did not intend.
 func Parse(number int, text []byte) (Line, error) {
 	p := parser{number: number, dec: json.NewDecoder(bytes.NewReader(text))}
 	if !utf8.Valid(text) {
 		return Line{}, p.fail("", "not valid UTF-8")
 	}
-	fields, err := p.fields()
+	fields, err := p.readFields()
 	if err != nil {
 		return Line{}, err
 	}
 	return p.line(fields)
 }
 
-// parser walks the tokens of one line.
+// parser parses the tokens of one line.
 type parser struct {
 	number int
 	dec    *json.Decoder
 }
 
-// fail returns the line's error.
+// fail returns an *Error for the line.
 func (p *parser) fail(field, format string, args ...any) *Error {
 	return &Error{Line: p.number, Field: field, Detail: fmt.Sprintf(format, args...)}
 }
 
-// syntax turns an error of the decoder into the line's error.
-func (p *parser) syntax(field string, err error) *Error {
+// syntaxError converts an error of the JSON decoder into an *Error.
+func (p *parser) syntaxError(field string, err error) *Error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return p.fail(field, "the JSON text ends early")
 	}
 	return p.fail(field, "not valid JSON: %v", err)
 }
 
-// fields reads the object into its raw fields and refuses anything after it.
-func (p *parser) fields() (map[string]json.RawMessage, error) {
+// readFields reads the object into its raw fields and refuses anything after it.
+func (p *parser) readFields() (map[string]json.RawMessage, error) {
 	open, err := p.dec.Token()
 	if err != nil {
-		return nil, p.syntax("", err)
+		return nil, p.syntaxError("", err)
 	}
 	if open != json.Delim('{') {
 		return nil, p.fail("", "not a JSON object")
 	}
 	fields := make(map[string]json.RawMessage, 4)
 	for p.dec.More() {
-		if err := p.field(fields); err != nil {
+		if err := p.readField(fields); err != nil {
 			return nil, err
 		}
 	}
 	if _, err := p.dec.Token(); err != nil {
-		return nil, p.syntax("", err)
+		return nil, p.syntaxError("", err)
 	}
 	if _, err := p.dec.Token(); !errors.Is(err, io.EOF) {
 		return nil, p.fail("", "more than one JSON value")
@@ -114,11 +113,11 @@
 	return fields, nil
 }
 
-// field reads one name and value into fields.
-func (p *parser) field(fields map[string]json.RawMessage) error {
+// readField reads one name and value into fields.
+func (p *parser) readField(fields map[string]json.RawMessage) error {
 	token, err := p.dec.Token()
 	if err != nil {
-		return p.syntax("", err)
+		return p.syntaxError("", err)
 	}
 	name, ok := token.(string)
 	if !ok {
@@ -134,19 +133,19 @@
 	}
 	var raw json.RawMessage
 	if err := p.dec.Decode(&raw); err != nil {
-		return p.syntax(name, err)
+		return p.syntaxError(name, err)
 	}
 	fields[name] = raw
 	return nil
 }
 
-// line checks the raw fields and returns the typed line.
+// line validates the raw fields and returns the typed line.
 func (p *parser) line(fields map[string]json.RawMessage) (Line, error) {
-	id, err := p.text(fields, "custom_id", MaxCustomIDBytes)
+	id, err := p.stringField(fields, "custom_id", MaxCustomIDBytes)
 	if err != nil {
 		return Line{}, err
 	}
-	url, err := p.text(fields, "url", MaxURLBytes)
+	url, err := p.stringField(fields, "url", MaxURLBytes)
 	if err != nil {
 		return Line{}, err
 	}
@@ -166,8 +165,9 @@
 	return Line{CustomID: id, URL: url, Body: body}, nil
 }
 
-// text returns a required string field of printable characters.
-func (p *parser) text(fields map[string]json.RawMessage, name string, most int) (string, error) {
+// stringField returns a required string field of printable characters and at most
+// maxBytes bytes.
+func (p *parser) stringField(fields map[string]json.RawMessage, name string, maxBytes int) (string, error) {
 	raw, ok := fields[name]
 	if !ok {
 		return "", p.fail(name, "missing")
@@ -179,8 +179,8 @@
 	if s == "" {
 		return "", p.fail(name, "empty")
 	}
-	if len(s) > most {
-		return "", p.fail(name, "%d bytes, at most %d are allowed", len(s), most)
+	if len(s) > maxBytes {
+		return "", p.fail(name, "%d bytes, at most %d are allowed", len(s), maxBytes)
 	}
 	if strings.ContainsFunc(s, func(r rune) bool { return !unicode.IsPrint(r) || r == unicode.ReplacementChar }) {
 		return "", p.fail(name, "holds a character that cannot be printed")
@@ -188,7 +188,7 @@
 	return s, nil
 }
 
-// checkURL allows the two kinds of request path that a job may hold.
+// checkURL refuses all but the two kinds of request path that a job may contain.
 func (p *parser) checkURL(url string) error {
 	if url == ChatURL {
 		return nil
