--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// ordinaryRing and urgentRing are how many lines wait for the output; urgent
-	// ones are warnings and errors, among them the end of every failed request.
+	// ordinaryRing and urgentRing are the maximum numbers of lines queued for the
+	// output. Urgent lines are warnings and errors, which include the end of every
+	// failed request.
 	ordinaryRing = 2048
 	urgentRing   = 4096
-	// ordinaryPerSecond and urgentPerSecond bound the lines of one daemon. At the
-	// planned size a daemon ends some 15 requests a second.
+	// ordinaryPerSecond and urgentPerSecond bound the number of lines of one daemon per
+	// second. At the planned size a daemon completes some 15 requests per second.
 	ordinaryPerSecond = 500
 	urgentPerSecond   = 1000
-	// writeBytes is the size from which gathered lines are written.
+	// writeBytes is the size of the buffer, in bytes, from which it is written.
 	writeBytes = 32 << 10
 )
 
-// Bounded writes lines behind the back of whoever logs: a pipe that nobody reads
-// fills up in a moment, and a request must not wait for it. Lines that do not
-// fit are dropped and counted; ordinary ones go before warnings and errors,
-// which have a ring of their own.
+// AsyncWriter writes log lines asynchronously: a pipe that nobody reads fills up quickly,
+// and a request must not wait for it. Lines that do not fit are dropped and counted.
+// Warnings and errors have a separate queue, so that ordinary lines are dropped first.
 type Bounded struct {
-	out      io.Writer
-	ordinary *ring
-	urgent   *ring
-	wake     chan struct{}
-	stop     chan struct{}
-	stopOnce sync.Once
-	done     chan struct{}
-	told     uint64
+	out           io.Writer
+	ordinary      *ring
+	urgent        *ring
+	wake          chan struct{}
+	stop          chan struct{}
+	stopOnce      sync.Once
+	done          chan struct{}
+	reportedDrops uint64
 }
 
-// ring is a bounded queue of lines with a rate.
+// ring is a bounded, rate-limited queue of lines.
 type ring struct {
 	lines     chan []byte
 	perSecond int64
@@ -51,8 +51,8 @@
 	wake      chan struct{}
 }
 
-// NewBounded returns a logger like New whose lines are written by a goroutine of
-// their own. Close writes what waits.
+// NewAsync returns a logger like New whose lines are written by a separate goroutine.
+// Close writes the lines that are still queued.
 func NewBounded(out io.Writer, level string) (*zap.Logger, zap.AtomicLevel, *Bounded) {
 	b := &Bounded{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	b.ordinary = newRing(ordinaryRing, ordinaryPerSecond, b.wake)
@@ -95,7 +95,7 @@
 	return len(line), nil
 }
 
-// allowed counts the line against its second.
+// allowed counts a line and reports whether it is within the limit of its second.
 func (r *ring) allowed(second int64) bool {
 	if r.second.Swap(second) != second {
 		r.count.Store(0)
@@ -106,11 +106,11 @@
 // Sync implements zapcore.WriteSyncer.
 func (r *ring) Sync() error { return nil }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (b *Bounded) Dropped() uint64 { return b.ordinary.dropped.Load() + b.urgent.dropped.Load() }
 
-// Close writes the lines that wait and ends the goroutine, or gives up after
-// the given time if the output takes nothing.
+// Close writes the queued lines and ends the goroutine. It stops waiting after the given
+// time if the output blocks.
 func (b *Bounded) Close(within time.Duration) {
 	b.stopOnce.Do(func() { close(b.stop) })
 	select {
@@ -119,7 +119,7 @@
 	}
 }
 
-// run writes lines, urgent ones first, many at once.
+// run writes the queued lines in batches, urgent ones first.
 func (b *Bounded) run() {
 	defer close(b.done)
 	for {
@@ -138,7 +138,7 @@
 	for {
 		line := b.next()
 		if line == nil {
-			b.tellDropped(&buffer)
+			b.reportDropped(&buffer)
 			b.flush(&buffer)
 			return
 		}
@@ -149,7 +149,7 @@
 	}
 }
 
-// next returns a waiting line, nil if there is none.
+// next returns a queued line, nil if there is none.
 func (b *Bounded) next() []byte {
 	select {
 	case line := <-b.urgent.lines:
@@ -164,18 +164,20 @@
 	}
 }
 
-// tellDropped adds a line when more lines were left out.
-func (b *Bounded) tellDropped(buffer *bytes.Buffer) {
+// reportDropped appends a line to the buffer if more lines were dropped since the last
+// report.
+func (b *Bounded) reportDropped(buffer *bytes.Buffer) {
 	dropped := b.Dropped()
-	if dropped == b.told {
+	if dropped == b.reportedDrops {
 		return
 	}
 	buffer.WriteString("ts=" + time.Now().UTC().Format(timeLayout) + " level=warn event=log_lines_dropped total=" +
 		strconv.FormatUint(dropped, 10) + " urgent=" + strconv.FormatUint(b.urgent.dropped.Load(), 10) + "\n")
-	b.told = dropped
+	b.reportedDrops = dropped
 }
 
-// flush writes the buffer. An output that is gone loses lines and nothing else.
+// flush writes the buffer. If the write fails, the lines are counted as dropped, and
+// nothing else happens.
 func (b *Bounded) flush(buffer *bytes.Buffer) {
 	if buffer.Len() == 0 {
 		return
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -13,7 +13,7 @@
 	"tarragonhollow.example/tarragonhollow/logging"
 )
 
-// pipe takes nothing until it is opened.
+// pipe blocks writes until it is opened.
 type pipe struct {
 	open chan struct{}
 	mu   sync.Mutex
@@ -36,8 +36,8 @@
 var _ = Describe("The bounded log", func() {
 	const limit = 10 * time.Second
 
-	// Whoever reads the daemon's output has stopped. The pipe is full, and every
-	// request that logs would hang with it.
+	// The process that reads the daemon's output has stopped, so the pipe is full. With
+	// synchronous writes every request that logs would hang.
 	It("blocks nobody while its output takes nothing, and keeps the ends of failed requests", func() {
 		out := &pipe{open: make(chan struct{})}
 		logger, _, bounded := logging.NewBounded(out, "info")
--- a/logging/core.go
+++ b/logging/core.go
@@ -13,10 +13,10 @@
 // ErrLevel is the type of errors about unknown levels.
 var ErrLevel = errorNamespace.NewType("level")
 
-// plainCore rewrites the fields that do not fit on one short line. Errors that
-// carry a stack trace would add it as a second field of several kilobytes, and
-// the encoder refuses structs, maps and marshalled objects: the field would be
-// lost just when an incident needs it. Both are written as plain text.
+// plainCore rewrites fields that do not fit on one short line as plain text. An error
+// with a stack trace would add the trace as a second field of several kilobytes. The
+// encoder rejects structs, maps and marshalled objects, so such a field would be missing
+// just when it is needed in an incident.
 type plainCore struct {
 	zapcore.Core
 }
@@ -26,7 +26,8 @@
 	return &plainCore{c.Core.With(plain(fields))}
 }
 
-// Check implements zapcore.Core; the embedded one would enlist itself instead.
+// Check implements zapcore.Core. The embedded core's Check would add that core instead
+// of this one.
 func (c *plainCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(entry.Level) {
 		return checked.AddCore(entry, c)
@@ -39,7 +40,8 @@
 	return c.Core.Write(entry, plain(fields))
 }
 
-// plain copies the fields only if one of them has to be rewritten.
+// plain returns the fields with those rewritten that have to be. It copies the slice
+// only if there are any.
 func plain(fields []zapcore.Field) []zapcore.Field {
 	var copied []zapcore.Field
 	for i, f := range fields {
@@ -58,7 +60,7 @@
 	return copied
 }
 
-// plainText returns the text for a field that has to be rewritten.
+// plainText returns the field's value as text and whether the field has to be rewritten.
 func plainText(f zapcore.Field) (string, bool) {
 	switch f.Type {
 	case zapcore.ErrorType:
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -2,9 +2,9 @@
 // (logfmt) for each event.
 //
 // A line begins with ts (UTC, milliseconds), level, caller (file:line) and
-// event (a constant lower_snake name or short phrase); the event's fields
-// follow. Values with spaces, quotes, "=" or control characters are quoted and
-// escaped, so that a caller's input can never forge a line or a field.
+// event (a constant lower_snake name or short phrase), followed by the event's fields.
+// Values with spaces, quotes, "=" or control characters are quoted and escaped, so that
+// a caller's input can never forge a line or a field.
 package logging
 
 import (
@@ -16,15 +16,15 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Levels are the names of the levels, most talkative first.
+// Levels are the names of the levels, most verbose first.
 var Levels = []string{"debug", "info", "warn", "error"}
 
-// timeLayout is RFC 3339 with milliseconds, always the same width in UTC.
+// timeLayout is RFC 3339 with milliseconds. In UTC its output has a fixed width.
 const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// New returns a logger that writes to w and the level that can be changed
-// while it runs. An unknown level stands for info and is told in a warning.
-// Writes to w are serialised.
+// New returns a logger that writes to w, and its level, which can be changed at run
+// time. An unknown level is replaced by info and logged as a warning. Writes to w are
+// serialised.
 func New(w io.Writer, level string) (*zap.Logger, zap.AtomicLevel) {
 	atomic := zap.NewAtomicLevelAt(zapcore.InfoLevel)
 	core := zapcore.NewCore(zaplogfmt.NewEncoder(encoderConfig()), zapcore.Lock(zapcore.AddSync(w)), atomic)
@@ -35,8 +35,8 @@
 	return logger, atomic
 }
 
-// SetLevel changes the level to one of Levels; another name is an error and
-// changes nothing.
+// SetLevel changes the level to one of Levels. Any other name returns an ErrLevel error
+// and changes nothing.
 func SetLevel(atomic zap.AtomicLevel, level string) error {
 	for _, known := range Levels {
 		if level == known {
