--- a/inifile/file.go
+++ b/inifile/file.go
@@ -1,12 +1,12 @@
-// Package inifile decodes INI strictly. An unknown section or key, a key given
-// twice, a value of the wrong type or out of range and a missing key are all
-// faults, and all faults of a text are told at once with their lines.
+// Package inifile decodes INI strictly. An unknown section or key, a duplicate key, a
+// value of the wrong type or out of range and a missing key are all errors, and all
+// errors of a text are reported at once with their line numbers.
 //
-// The grammar is the narrow part of INI that reads the same everywhere: a
-// section header, "key = value" lines, and comments on lines of their own that
-// begin with "#" or ";". A value runs to the end of its line; there are no
-// quotes, continuation lines, inline comments or interpolation, so that an
-// address or token never changes its meaning by a character in it.
+// The grammar is the subset of INI that all parsers read in the same way: section
+// headers, "key = value" lines, and comment lines that begin with "#" or ";". A value
+// extends to the end of its line. There are no quotes, continuation lines, inline
+// comments or interpolation, so that no character in an address or token has a special
+// meaning.
 package inifile
 
 import (
@@ -15,7 +15,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// File is a text split into sections and keys, with their lines.
+// File is a text split into sections and keys, with their line numbers.
 type File struct {
 	name     string
 	order    []string
@@ -31,15 +31,15 @@
 	keys  map[string]entry
 }
 
-// entry is one value as written; origin is set for an override.
+// entry is one value as written; origin is where an override comes from, "" otherwise.
 type entry struct {
 	value  string
 	line   int
 	origin string
 }
 
-// libraryOptions turns off everything in the library that would give a value
-// another meaning than its text.
+// libraryOptions disables every feature of the library that would change a value from
+// its literal text.
 var libraryOptions = ini.LoadOptions{
 	IgnoreContinuation:      true,
 	IgnoreInlineComment:     true,
@@ -48,9 +48,8 @@
 	ChildSectionDelimiter:   "\x00",
 }
 
-// Parse splits text. name stands for the text in messages. Faults of the
-// grammar do not end the parse: they are kept and told by Decoder.Err together
-// with the faults of the values.
+// Parse splits text. name identifies the text in messages. Syntax errors do not end the
+// parse: Decoder.Problems returns them together with the problems of the values.
 func Parse(name, text string) *File {
 	f := &File{name: name, sections: map[string]*section{}}
 	text = strings.TrimPrefix(text, "\ufeff")
@@ -61,8 +60,8 @@
 	return f
 }
 
-// fill takes the values from the library, which the scan has shown to see the
-// same sections and keys.
+// fill sets the values that the library has read. After a scan without problems the
+// library sees the same sections and keys.
 func (f *File) fill(text string) {
 	loaded, err := ini.LoadSources(libraryOptions, []byte(text))
 	if err != nil {
@@ -79,8 +78,8 @@
 	}
 }
 
-// Set overrides a value, as a command-line flag does, before the file is
-// decoded. origin stands for the file in messages about it.
+// Set overrides a value before the file is decoded, for a command-line flag. origin
+// replaces the file's name in messages about the value.
 func (f *File) Set(origin, sectionName, key, value string) {
 	s := f.open(sectionName, 0)
 	if _, ok := s.keys[key]; !ok {
@@ -89,10 +88,10 @@
 	s.keys[key] = entry{value: value, origin: origin}
 }
 
-// Names returns the names of the sections in their order.
+// Names returns the names of the sections in order of appearance.
 func (f *File) Names() []string { return append([]string(nil), f.order...) }
 
-// open returns the section of that name, new if need be.
+// open returns the section of that name and creates it if it does not exist.
 func (f *File) open(name string, line int) *section {
 	s, ok := f.sections[name]
 	if !ok {
--- a/inifile/fuzz_test.go
+++ b/inifile/fuzz_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// FuzzParse checks that the library gives each value the literal meaning that
-// the scan of the lines saw, whatever characters it is made of.
+// FuzzParse checks that the library reads each value as the same literal text as the
+// scan of the lines, whatever characters it contains.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"[a]\nk = v\n", "[a]\nk = \"v\\\nj = '%(k)s'", "[DEFAULT]\nk = a # b ; c", "[a]\r\nk=\r\n", "[a.b]\nk = = \"\"\"", "[a]\nk=\u00a0x"} {
 		f.Add(seed)
--- a/inifile/problem.go
+++ b/inifile/problem.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// Problem is one fault of an INI text, told so that a person can mend it
-// without reading the program.
+// Problem describes one error in an INI text so that a person can correct it without
+// reading the source code.
 type Problem struct {
 	// File is the name given to Parse.
 	File string
-	// Line counts from 1; 0 says that no single line is to blame.
+	// Line is the line number, starting at 1; 0 if the problem is not on a single line.
 	Line int
 	// Section is the section's full name, "" before the first section.
 	Section string
-	// Key is the key's name, "" when the section itself is the fault.
+	// Key is the key's name, "" if the problem is the section itself.
 	Key string
-	// Value is the refused value; HasValue tells it from an absent one.
+	// Value is the refused value; HasValue distinguishes an empty one from an absent one.
 	Value    string
 	HasValue bool
-	// Reason says what is wrong, e.g. "unknown key".
+	// Reason is what is wrong, e.g. "unknown key".
 	Reason string
-	// Allowed says what would be accepted.
+	// Allowed is what would be accepted.
 	Allowed string
 }
 
@@ -33,7 +33,7 @@
 		fmt.Fprintf(&b, ":%d", p.Line)
 	}
 	b.WriteString(": ")
-	b.WriteString(p.place())
+	b.WriteString(p.location())
 	b.WriteString(p.Reason)
 	if p.Allowed != "" {
 		b.WriteString("; allowed: " + p.Allowed)
@@ -41,8 +41,8 @@
 	return b.String()
 }
 
-// place returns "[SECTION] KEY = "VALUE": " as far as they are known.
-func (p *Problem) place() string {
+// location returns "[SECTION] KEY = "VALUE": ", without the parts that are not set.
+func (p *Problem) location() string {
 	var parts []string
 	if p.Section != "" {
 		parts = append(parts, "["+p.Section+"]")
@@ -59,7 +59,7 @@
 	return strings.Join(parts, " ") + ": "
 }
 
-// Problems is every fault of one text, in the order of its lines.
+// Problems is the list of all problems of one text, in the order of its lines.
 type Problems []*Problem
 
 // Error implements error with one line for each problem.
--- a/inifile/scan.go
+++ b/inifile/scan.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// scan walks the lines for what the library does not tell: line numbers,
-// sections and keys given twice, and syntax that it would read leniently.
+// scan reads the lines to find what the library does not report: line numbers, duplicate
+// sections and keys, and syntax that the library accepts leniently.
 func (f *File) scan(text string) {
 	var current *section
 	for i, raw := range strings.Split(text, "\n") {
@@ -21,24 +21,24 @@
 	}
 }
 
-// scanHeader opens a section; one given twice is a fault, since the second
-// would silently add to or override the first.
+// scanHeader opens a section. A duplicate section is a problem, since the second would
+// silently extend or override the first.
 func (f *File) scanHeader(line string, number int) *section {
 	name := strings.TrimSuffix(strings.TrimPrefix(line, "["), "]")
 	if !strings.HasSuffix(line, "]") || !validName(name, " .-") {
-		f.fault(&Problem{Line: number, Reason: fmt.Sprintf("bad section header %q", line),
+		f.addProblem(&Problem{Line: number, Reason: fmt.Sprintf("bad section header %q", line),
 			Allowed: "[name] of letters, digits, space, '_', '.' and '-'"})
 		return nil
 	}
 	if first, ok := f.sections[name]; ok {
-		f.fault(&Problem{Line: number, Section: name,
+		f.addProblem(&Problem{Line: number, Section: name,
 			Reason: fmt.Sprintf("duplicate section, first on line %d", first.line)})
 		return nil
 	}
 	return f.open(name, number)
 }
 
-// scanEntry notes a key and its line.
+// scanEntry records a key, its value and its line number.
 func (f *File) scanEntry(s *section, line string, number int) {
 	key, value, found := strings.Cut(line, "=")
 	key, value = strings.TrimSpace(key), strings.TrimSpace(value)
@@ -51,7 +51,7 @@
 		p.Key, p.HasValue = "", false
 		p.Reason, p.Allowed = fmt.Sprintf("cannot read %q", line), "key = value, [section] or # comment"
 	case s == nil && len(f.order) > 0:
-		return // below a header that has been told already
+		return // below a header that has already been reported
 	case s == nil:
 		p.Reason = "key outside of a section"
 	case strings.HasPrefix(value, "`") || strings.HasPrefix(value, `"""`):
@@ -65,16 +65,16 @@
 		s.order = append(s.order, key)
 		return
 	}
-	f.fault(p)
+	f.addProblem(p)
 }
 
-// fault keeps a problem.
-func (f *File) fault(p *Problem) {
+// addProblem records a problem.
+func (f *File) addProblem(p *Problem) {
 	p.File = f.name
 	f.problems = append(f.problems, p)
 }
 
-// validName tells whether a name is made of letters, digits, '_' and the extra
+// validName reports whether a name consists of letters, digits, '_' and the extra
 // characters.
 func validName(name, extra string) bool {
 	if name == "" || strings.TrimSpace(name) != name {
--- a/inifile/units.go
+++ b/inifile/units.go
@@ -19,8 +19,8 @@
 	{"B", 1},
 }
 
-// ParseSize reads a size in bytes: a whole number with an optional suffix B,
-// KiB, MiB or GiB.
+// ParseSize parses a size in bytes: an integer with an optional suffix B, KiB, MiB or
+// GiB.
 func ParseSize(text string) (int64, error) {
 	unit := int64(1)
 	digits := text
@@ -40,7 +40,7 @@
 	return n * unit, nil
 }
 
-// FormatSize writes a size with the largest suffix that divides it.
+// FormatSize formats a size in bytes with the largest suffix that divides it.
 func FormatSize(n int64) string {
 	for _, u := range sizeUnits {
 		if n != 0 && u.bytes > 1 && n%u.bytes == 0 {
@@ -50,8 +50,8 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// FormatDuration writes a duration without the zero parts that the standard
-// library keeps: 1h instead of 1h0m0s.
+// FormatDuration formats a duration without the zero parts that Duration.String prints:
+// 1h instead of 1h0m0s.
 func FormatDuration(d time.Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
--- a/inifile/values.go
+++ b/inifile/values.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Text returns a text that may not be empty when given.
+// Text returns a string, which must not be empty if the key is present.
 func (s *Section) Text(key, fallback string) string {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -23,16 +23,16 @@
 	return e.value
 }
 
-// Secret returns a text of at least least bytes without spaces; messages about
-// it leave the value out, since they end in logs and tickets.
-func (s *Section) Secret(key, fallback string, least int) string {
+// Secret returns a string of at least minBytes bytes without spaces. Messages about it
+// omit the value, since they end up in logs and tickets.
+func (s *Section) Secret(key, fallback string, minBytes int) string {
 	e, ok := s.lookup(key)
 	if !ok {
 		return fallback
 	}
-	if len(e.value) < least || strings.ContainsAny(e.value, " \t") {
-		s.decoder.problem(&Problem{Line: e.line, Section: s.Name, Key: key, Reason: "unfit secret",
-			Allowed: fmt.Sprintf("at least %d characters without spaces", least)})
+	if len(e.value) < minBytes || strings.ContainsAny(e.value, " \t") {
+		s.decoder.addProblem(&Problem{Line: e.line, Section: s.Name, Key: key, Reason: "unfit secret",
+			Allowed: fmt.Sprintf("at least %d characters without spaces", minBytes)})
 	}
 	return e.value
 }
@@ -64,7 +64,7 @@
 	return list
 }
 
-// Enum returns one of the allowed words.
+// Enum returns one of the allowed values.
 func (s *Section) Enum(key, fallback string, allowed ...string) string {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -77,12 +77,12 @@
 	return e.value
 }
 
-// Bool returns true or false; no other spellings are read.
+// Bool returns a boolean, spelled true or false; no other spellings are accepted.
 func (s *Section) Bool(key string, fallback bool) bool {
 	return s.Enum(key, strconv.FormatBool(fallback), "true", "false") == "true"
 }
 
-// Int returns a whole number in [low, high].
+// Int returns an integer in [low, high].
 func (s *Section) Int(key string, fallback, low, high int) int {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -105,7 +105,8 @@
 	return check(s, key, x, err, fallback, low, high, "number", formatFloat)
 }
 
-// Share returns a share strictly between 0 and 1; 0 stands for "not given".
+// Share returns a fraction strictly between 0 and 1. A fallback of 0 can thus mean that
+// the key is absent.
 func (s *Section) Share(key string, fallback float64) float64 {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -144,7 +145,7 @@
 	return check(s, key, n, err, fallback, low, high, "size", FormatSize)
 }
 
-// Address returns an IP:PORT. The wildcard port 0 is refused unless anyPort.
+// Address returns an IP:PORT. Port 0 is refused unless anyPort is set.
 func (s *Section) Address(key, fallback string, anyPort bool) string {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -156,7 +157,7 @@
 	return e.value
 }
 
-// Addresses returns a list of IP:PORT parted by commas.
+// Addresses returns a list of IP:PORT, separated by commas.
 func (s *Section) Addresses(key string) []string {
 	e, ok := s.lookup(key)
 	if !ok || e.value == "" {
@@ -171,8 +172,7 @@
 	return list
 }
 
-// URL returns an http URL with a host given as IP:PORT and no path, without a
-// trailing slash.
+// URL returns a base URL http://IP:PORT without a path. A trailing slash is removed.
 func (s *Section) URL(key, fallback string) string {
 	e, ok := s.lookup(key)
 	if !ok {
@@ -185,8 +185,8 @@
 	return base
 }
 
-// CleanURL returns a base URL http://IP:PORT without a trailing slash and
-// whether text is one.
+// CleanURL removes the trailing slash of a base URL http://IP:PORT and reports whether
+// text is one.
 func CleanURL(text string) (string, bool) {
 	trimmed := strings.TrimSuffix(text, "/")
 	u, err := url.Parse(trimmed)
@@ -196,7 +196,7 @@
 	return trimmed, trimmed == "http://"+u.Host
 }
 
-// SplitList splits a list at its commas and trims the parts.
+// SplitList splits a comma-separated list and trims spaces from its parts.
 func SplitList(text string) []string {
 	parts := strings.Split(text, ",")
 	for i := range parts {
@@ -205,10 +205,10 @@
 	return parts
 }
 
-// ValidName tells whether text is a name of letters, digits, '_', '.' and '-'.
+// ValidName reports whether text is a name of letters, digits, '_', '.' and '-'.
 func ValidName(text string) bool { return validName(text, ".-") }
 
-// ValidAddress tells whether text is IP:PORT with a port above 0.
+// ValidAddress reports whether text is IP:PORT with a port above 0.
 func ValidAddress(text string) bool { return validAddress(text, false) }
 
 func validAddress(text string, anyPort bool) bool {
@@ -216,8 +216,8 @@
 	return err == nil && (anyPort || address.Port() != 0)
 }
 
-// check tells a value that was not understood or is out of [low, high] and
-// returns the fallback in its place.
+// check returns value. If err is set or value is not in [low, high], it records a
+// problem and returns the fallback instead.
 func check[T int | int64 | float64 | time.Duration](
 	s *Section, key string, value T, err error, fallback, low, high T, kind string, format func(T) string,
 ) T {
