--- a/settings/docs_test.go
+++ b/settings/docs_test.go
@@ -10,7 +10,7 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// rows is the visitor that states each key as a row of the documentation.
+// rows is the visitor that formats each key as a row of the documentation.
 type rows struct{ lines []string }
 
 func (r *rows) row(key, value, allowed string) {
@@ -29,15 +29,15 @@
 	r.row(key, "", "`IP:PORT`")
 }
 
-func (r *rows) secret(key string, _ *string, least int) {
-	r.row(key, "", fmt.Sprintf("at least %d characters", least))
+func (r *rows) secret(key string, _ *string, minBytes int) {
+	r.row(key, "", fmt.Sprintf("at least %d characters", minBytes))
 }
 
 func (r *rows) url(key string, _ *string, required bool) {
 	r.row(key, map[bool]string{true: "required"}[required], "`http://IP:PORT`")
 }
 
-func (r *rows) word(key string, field *string, allowed ...string) {
+func (r *rows) enum(key string, field *string, allowed ...string) {
 	r.row(key, *field, strings.Join(allowed, ", "))
 }
 
@@ -59,8 +59,8 @@
 	r.row(key, fmt.Sprint(*field), fmt.Sprintf("%v to %v", low, high))
 }
 
-// TestDocumentation checks that docs/SETTINGS.md states every key with its
-// default and range, in order.
+// TestDocumentation checks that docs/SETTINGS.md lists every key with its default and
+// range, in order.
 func TestDocumentation(t *testing.T) {
 	text, err := os.ReadFile("../docs/SETTINGS.md")
 	if err != nil {
--- a/settings/encode.go
+++ b/settings/encode.go
@@ -9,8 +9,8 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// Encode writes the settings as the INI text that Parse reads back to the same
-// values. It holds the token.
+// Encode returns the settings as an INI text that Parse reads back to the same values.
+// The text includes the admin token.
 func (s *Settings) Encode() string {
 	var w writer
 	copied := *s
@@ -18,8 +18,8 @@
 	return strings.TrimPrefix(w.String(), "\n")
 }
 
-// writer is the visitor that writes every key. Empty values are left out: they
-// are the defaults of the keys that may be empty.
+// writer is the visitor that writes every key. Empty values are omitted: they are the
+// defaults of the keys that may be empty.
 type writer struct {
 	strings.Builder
 }
@@ -46,7 +46,7 @@
 
 func (w *writer) secret(key string, field *string, _ int) { w.set(key, *field) }
 
-func (w *writer) word(key string, field *string, _ ...string) { w.set(key, *field) }
+func (w *writer) enum(key string, field *string, _ ...string) { w.set(key, *field) }
 
 func (w *writer) number(key string, field *int, _, _ int) { w.set(key, strconv.Itoa(*field)) }
 
--- a/settings/front.go
+++ b/settings/front.go
@@ -7,39 +7,39 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// Front is what a daemon is told that serves routes on a platform which brings
-// the configuration, the list of targets and the log.
+// Front are the settings of a daemon that serves routes on a platform which provides the
+// configuration, the list of targets and the log.
 type Front struct {
 	// Host is the daemon's name, Zone its availability zone.
 	Host, Zone string
 	// Zones are all availability zones of the fleet.
 	Zones []string
-	// CallersAddress is the IP:PORT that serves callers, ReadyAddress the one
-	// where the platform asks for readiness.
+	// CallersAddress is the IP:PORT that serves callers, ReadyAddress the one that
+	// serves the platform's readiness checks.
 	CallersAddress, ReadyAddress string
-	// PeerAddress is the IP:PORT that serves other daemons, MetricsAddress the
-	// one that serves counters.
+	// PeerAddress is the IP:PORT that serves other daemons, MetricsAddress the one that
+	// serves metrics.
 	PeerAddress, MetricsAddress string
-	// LogAddress is the IP:PORT of the platform's log, LogParts the number of
+	// LogAddress is the IP:PORT of the platform's log, LogPartitions the number of
 	// partitions of a topic there.
 	LogAddress string
 	LogParts   int
-	// MemoryMB bounds the process.
+	// MemoryMB bounds the memory of the process, in MiB.
 	MemoryMB int
-	// BodiesMB bounds what is held of requests and answers together, which are copied once
-	// more while they are sent; 0 stands for a part of MemoryMB.
+	// BodiesMB bounds the memory for the bodies of requests and responses together, in
+	// MiB. They are copied once more while they are sent. 0 means a fraction of MemoryMB.
 	BodiesMB int
-	// Cores is the processor time that the process may use, in cores.
+	// Cores is the CPU time that the process may use, in cores.
 	Cores float64
-	// StopGrace is how long after the signal to stop the process may live.
+	// StopGrace is how long the process may keep running after the signal to stop.
 	StopGrace time.Duration
-	// JobsReadable is how long after its acceptance a closed job can be read.
+	// JobsReadable is how long after its acceptance a closed job can still be read.
 	JobsReadable time.Duration
-	// BatchHeadroom is how many places of each target batch leaves free.
+	// BatchHeadroom is the number of slots of each target that batch leaves free.
 	BatchHeadroom int
-	// QuotaWindow is the span in which an account's requests are bounded by its quota;
-	// QuotaOvershoot is a part of that bound, and QuotaSlack a number of requests, by
-	// which it may be passed in one.
+	// QuotaWindow is the window in which an account's requests are bounded by its quota.
+	// The bound may be exceeded in one window by QuotaOvershoot, a fraction of the bound,
+	// and by QuotaSlack, a number of requests.
 	QuotaWindow    time.Duration
 	QuotaOvershoot float64
 	QuotaSlack     float64
@@ -49,18 +49,18 @@
 
 // Bounds of the values of Front.
 const (
-	mostParts    = 4096
-	leastMemory  = 32
-	mostMemory   = 1 << 20
-	leastCores   = 0.01
-	mostCores    = 1024
-	mostHeadroom = 1024
-	leastWindow  = 100 * time.Millisecond
-	mostWindow   = time.Hour
-	mostSlack    = 1e6
+	maxPartitions = 4096
+	minMemoryMB   = 32
+	maxMemoryMB   = 1 << 20
+	minCores      = 0.01
+	maxCores      = 1024
+	maxHeadroom   = 1024
+	minWindow     = 100 * time.Millisecond
+	maxWindow     = time.Hour
+	maxSlack      = 1e6
 )
 
-// DefaultFront returns the values in force where a file says nothing.
+// DefaultFront returns the default settings.
 func DefaultFront() Front {
 	return Front{
 		MemoryMB: 256, Cores: 1, StopGrace: 8 * time.Second, JobsReadable: 2 * time.Minute, LogLevel: "info",
@@ -68,15 +68,17 @@
 	}
 }
 
-// bodiesPart is the part of the memory, 1/bodiesPart, that bodies take by default.
-const bodiesPart = 5
+// bodyMemoryDivisor is the divisor for the default fraction of the memory that bodies may
+// use, 1/bodyMemoryDivisor.
+const bodyMemoryDivisor = 5
 
-// BodyBytes bounds what is held of requests and answers together, in bytes.
+// BodyBytes returns the limit of the memory for the bodies of requests and responses
+// together, in bytes.
 func (f *Front) BodyBytes() int64 {
 	if f.BodiesMB > 0 {
 		return int64(f.BodiesMB) * mib
 	}
-	return int64(f.MemoryMB) * mib / bodiesPart
+	return int64(f.MemoryMB) * mib / bodyMemoryDivisor
 }
 
 func (f *Front) walk(v visitor) {
@@ -90,25 +92,25 @@
 	v.address("metrics_address", &f.MetricsAddress)
 	v.section("log_service")
 	v.address("address", &f.LogAddress)
-	v.number("partitions", &f.LogParts, 1, mostParts)
+	v.number("partitions", &f.LogParts, 1, maxPartitions)
 	v.section("limits")
-	v.number("memory_mb", &f.MemoryMB, leastMemory, mostMemory)
-	v.number("bodies_mb", &f.BodiesMB, 0, mostMemory)
-	v.fraction("cores", &f.Cores, leastCores, mostCores)
+	v.number("memory_mb", &f.MemoryMB, minMemoryMB, maxMemoryMB)
+	v.number("bodies_mb", &f.BodiesMB, 0, maxMemoryMB)
+	v.fraction("cores", &f.Cores, minCores, maxCores)
 	v.duration("stop_grace", &f.StopGrace, time.Second, time.Hour)
 	v.section("jobs")
 	v.duration("readable", &f.JobsReadable, time.Second, 30*24*time.Hour)
-	v.number("headroom", &f.BatchHeadroom, 0, mostHeadroom)
+	v.number("headroom", &f.BatchHeadroom, 0, maxHeadroom)
 	v.section("quotas")
-	v.duration("window", &f.QuotaWindow, leastWindow, mostWindow)
+	v.duration("window", &f.QuotaWindow, minWindow, maxWindow)
 	v.fraction("overshoot", &f.QuotaOvershoot, 0, 1)
-	v.fraction("slack", &f.QuotaSlack, 0, mostSlack)
+	v.fraction("slack", &f.QuotaSlack, 0, maxSlack)
 	v.section("log")
-	v.word("level", &f.LogLevel, "debug", "info", "warn", "error")
+	v.enum("level", &f.LogLevel, "debug", "info", "warn", "error")
 }
 
-// LoadFront reads the settings of a front daemon. Its errors are ErrUnreadable
-// and ErrInvalid.
+// LoadFront reads the settings of a front daemon from a file. Its errors are
+// ErrUnreadable and ErrInvalid.
 func LoadFront(path string) (*Front, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -117,12 +119,12 @@
 	return ParseFront(path, string(text))
 }
 
-// ParseFront is LoadFront for a text; name stands for the file in messages.
+// ParseFront is LoadFront for a text; name replaces the file's path in messages.
 func ParseFront(name, text string) (*Front, error) {
 	f := DefaultFront()
 	r := &reader{decoder: inifile.NewDecoder(inifile.Parse(name, text))}
-	// Without a default: daemons that count differently would lose jobs.
-	r.decoder.Section("log_service").Require("partitions", "the number that the platform tells")
+	// No default: daemons with different numbers of partitions would lose jobs.
+	r.decoder.Section("log_service").Require("partitions", "the number of partitions on the platform")
 	f.walk(r)
 	if problems := r.decoder.Problems(); len(problems) > 0 {
 		return nil, ErrInvalid.Wrap(problems, "the settings are refused").WithProperty(problemsProperty, problems)
--- a/settings/front_test.go
+++ b/settings/front_test.go
@@ -9,7 +9,7 @@
 	"tarragonhollow.example/tarragonhollow/settings"
 )
 
-const leastFront = `[host]
+const minimalFront = `[host]
 name = entry-1
 zone = z
 callers_address = 127.0.0.1:1
@@ -23,7 +23,7 @@
 
 var _ = Describe("Settings of front", func() {
 	It("keep the defaults", func() {
-		f, err := settings.ParseFront("f.ini", leastFront)
+		f, err := settings.ParseFront("f.ini", minimalFront)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.LogParts).To(Equal(12))
 		Expect(f.StopGrace).To(Equal(8 * time.Second))
@@ -32,7 +32,7 @@
 
 	DescribeTable("are refused with file, section, key and what is allowed",
 		func(added, want string) {
-			_, err := settings.ParseFront("f.ini", leastFront+added)
+			_, err := settings.ParseFront("f.ini", minimalFront+added)
 			Expect(settings.Problems(err).Error()).To(Equal(want))
 		},
 		Entry("a bad level", "[log]\nlevel = loud\n",
@@ -43,12 +43,12 @@
 			`f.ini:12: [limits] memory_mb = "0": out of range; allowed: whole number from 32 to 1048576`),
 	)
 
-	It("name every missing key at once", func() {
+	It("report every missing key at once", func() {
 		_, err := settings.ParseFront("f.ini", "")
 		Expect(settings.Problems(err)).To(HaveLen(8))
 	})
 
-	It("tell a file that can't be read", func() {
+	It("report a file that can't be read", func() {
 		_, err := settings.LoadFront("/nowhere/f.ini")
 		Expect(err).To(HaveOccurred())
 		Expect(settings.Problems(err)).To(BeNil())
--- a/settings/fuzz_test.go
+++ b/settings/fuzz_test.go
@@ -6,10 +6,10 @@
 	"tarragonhollow.example/tarragonhollow/settings"
 )
 
-// FuzzParse checks that no text crashes the reader and that what it accepts
-// reads back from its own encoding as the same values.
+// FuzzParse checks that no text crashes the reader, and that accepted settings are the
+// same after they are encoded and parsed again.
 func FuzzParse(f *testing.F) {
-	for _, seed := range []string{least, least + "[log]\nlevel = `x\n", "[host]\nname", "\ufeff[\x00]", "[DEFAULT]\na=%(b)s\n", least + "[peers]\nseeds=,\n"} {
+	for _, seed := range []string{minimalSettings, minimalSettings + "[log]\nlevel = `x\n", "[host]\nname", "\ufeff[\x00]", "[DEFAULT]\na=%(b)s\n", minimalSettings + "[peers]\nseeds=,\n"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/settings/load.go
+++ b/settings/load.go
@@ -18,21 +18,21 @@
 	// ErrOverride is the type of errors about an override that is not
 	// SECTION.KEY=VALUE.
 	ErrOverride = errorNamespace.NewType("override")
-	// ErrInvalid is the type of errors about refused settings; see Problems.
+	// ErrInvalid is the type of errors about invalid settings; see Problems.
 	ErrInvalid = errorNamespace.NewType("invalid")
 
 	problemsProperty = errorx.RegisterProperty("problems")
 )
 
-// Problems returns the faults that an ErrInvalid tells, nil for other errors.
+// Problems returns the problems of an ErrInvalid error, nil for other errors.
 func Problems(err error) inifile.Problems {
 	value, _ := errorx.ExtractProperty(err, problemsProperty)
 	problems, _ := value.(inifile.Problems)
 	return problems
 }
 
-// Load reads the file and the overrides SECTION.KEY=VALUE, of which the last
-// one for a key wins. Its errors are ErrUnreadable, ErrOverride and ErrInvalid.
+// Load reads the file and applies the overrides SECTION.KEY=VALUE; the last one for a
+// key wins. Its errors are ErrUnreadable, ErrOverride and ErrInvalid.
 func Load(path string, overrides []string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return Parse(path, string(text), overrides)
 }
 
-// Parse is Load for a text; name stands for the file in messages.
+// Parse is Load for a text; name replaces the file's path in messages.
 func Parse(name, text string, overrides []string) (*Settings, error) {
 	file := inifile.Parse(name, text)
 	for _, override := range overrides {
@@ -59,7 +59,7 @@
 	return &s, nil
 }
 
-// apply sets one override.
+// apply applies one override.
 func apply(file *inifile.File, override string) error {
 	place, value, found := strings.Cut(override, "=")
 	section, key, dotted := strings.Cut(place, ".")
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// crossCheck refuses values that are fine alone but not together.
+// crossCheck refuses values that are valid on their own but not in combination.
 func (s *Settings) crossCheck(d *inifile.Decoder) {
 	host := d.Section("host")
 	checkReachable(host, "http_address", s.Host.HTTPAddress)
@@ -94,17 +94,17 @@
 	}
 }
 
-// AppendsPerSecond returns how many paced appends a second the whole fleet
-// makes at most: one owner for each shard. Urgent appends come on top, within
-// the budget.
+// AppendsPerSecond returns the maximum number of paced appends per second of the whole
+// fleet, which has one owner for each shard. Urgent appends are not included; they use
+// the rest of the budget.
 func (l Ledger) AppendsPerSecond() int {
 	perSecond := int64(l.Shards) * int64(time.Second)
 	pace := int64(l.AppendPace)
 	return int((perSecond + pace - 1) / pace)
 }
 
-// checkReachable refuses the unspecified address: the daemon tells its
-// addresses to its peers, and none of them could call 0.0.0.0.
+// checkReachable refuses the unspecified address: the daemon announces its addresses to
+// its peers, and none of them could connect to 0.0.0.0.
 func checkReachable(s *inifile.Section, key, address string) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err == nil && parsed.Addr().IsUnspecified() {
--- a/settings/reader.go
+++ b/settings/reader.go
@@ -6,8 +6,8 @@
 	"tarragonhollow.example/tarragonhollow/inifile"
 )
 
-// reader is the visitor that fills the fields from a file. A field holds its
-// default until then.
+// reader is the visitor that sets the fields from a file. A field that is not in the
+// file keeps its default.
 type reader struct {
 	decoder *inifile.Decoder
 	current *inifile.Section
@@ -48,11 +48,11 @@
 	*field = r.current.URL(key, *field)
 }
 
-func (r *reader) secret(key string, field *string, least int) {
-	*field = r.current.Secret(key, *field, least)
+func (r *reader) secret(key string, field *string, minBytes int) {
+	*field = r.current.Secret(key, *field, minBytes)
 }
 
-func (r *reader) word(key string, field *string, allowed ...string) {
+func (r *reader) enum(key string, field *string, allowed ...string) {
 	*field = r.current.Enum(key, *field, allowed...)
 }
 
--- a/settings/schema.go
+++ b/settings/schema.go
@@ -10,9 +10,8 @@
 	gib           = int64(1) << 30
 )
 
-// visitor is shown every key with its field. The one walk below serves the
-// reader, the writer and the check of the documentation, so that the three
-// cannot disagree.
+// visitor visits every key with its field. The reader, the writer and the check of the
+// documentation all use the same walk below, so that they cannot disagree.
 type visitor interface {
 	section(name string)
 	name(key string, field *string)
@@ -21,15 +20,15 @@
 	optionalAddress(key string, field *string)
 	addresses(key string, field *[]string)
 	url(key string, field *string, required bool)
-	secret(key string, field *string, least int)
-	word(key string, field *string, allowed ...string)
+	secret(key string, field *string, minBytes int)
+	enum(key string, field *string, allowed ...string)
 	number(key string, field *int, low, high int)
 	duration(key string, field *time.Duration, low, high time.Duration)
 	size(key string, field *int64, low, high int64)
 	fraction(key string, field *float64, low, high float64)
 }
 
-// walk shows v every key of s.
+// walk calls v for every section and key of s.
 func (s *Settings) walk(v visitor) {
 	s.Host.walk(v)
 	s.Platform.walk(v)
@@ -38,7 +37,7 @@
 	v.section("admin")
 	v.secret("token", &s.Admin.Token, minTokenBytes)
 	v.section("log")
-	v.word("level", &s.Log.Level, "debug", "info", "warn", "error")
+	v.enum("level", &s.Log.Level, "debug", "info", "warn", "error")
 	v.section("drain")
 	v.duration("grace", &s.Drain.Grace, 0, 5*time.Minute)
 	v.duration("timeout", &s.Drain.Timeout, time.Second, 24*time.Hour)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,48 +1,48 @@
-// Package settings holds a daemon's own settings: where it listens, where the
-// platform is, and the paces and bounds of its duties. They come from an INI
-// file that is read once at the start; what operators change while the fleet
-// runs is the configuration (core/config).
+// Package settings holds a daemon's local settings: the addresses that it listens on,
+// the platform's addresses, and the intervals and limits of its work. They come from an
+// INI file that is read once at startup; what operators change while the fleet runs is
+// the configuration (core/config).
 //
 // Durations are written like 250ms or 1h30m, sizes like 512, 64KiB or 1GiB.
 package settings
 
 import "time"
 
-// Settings is everything a daemon is told at its start.
+// Settings are all settings of a daemon.
 type Settings struct {
-	// Host is the daemon's place and its listeners.
+	// Host is the daemon's name, zone and listeners.
 	Host Host
-	// Platform tells where the platform's services are.
+	// Platform holds the URLs of the platform's services.
 	Platform Platform
-	// Peers paces the daemons' view of each other.
+	// Peers sets the intervals of failure detection between daemons.
 	Peers Peers
-	// Ledger paces the shards on the platform's log.
+	// Ledger sets the number of shards and the rates of their appends to the platform's
+	// log.
 	Ledger Ledger
-	// Admin guards the operators' paths.
+	// Admin protects the operators' paths.
 	Admin Admin
-	// Log sets up the log lines.
+	// Log configures logging.
 	Log Log
 	// Drain bounds a graceful shutdown.
 	Drain Drain
-	// HTTP bounds what callers' connections may cost.
+	// HTTP limits the resources that callers' connections may use.
 	HTTP HTTP
 }
 
 // Host is the [host] section.
 type Host struct {
-	// Name is unique among the daemons and the same as in the host list.
+	// Name is unique among the daemons and equal to the name in the host list.
 	Name string
 	// Zone is the host's availability zone.
 	Zone string
-	// HTTPAddress is the IP:PORT that serves callers and operators; port 0
-	// takes a free one.
+	// HTTPAddress is the IP:PORT that serves callers and operators; port 0 means any
+	// free port.
 	HTTPAddress string
-	// PeerAddress is the IP:PORT that serves other daemons; port 0 takes a
-	// free one. Calls to other daemons are made from its IP.
+	// PeerAddress is the IP:PORT that serves other daemons; port 0 means any free port.
+	// Calls to other daemons are made from its IP.
 	PeerAddress string
-	// PeerAdvertise is the IP:PORT told to other daemons in place of
-	// PeerAddress, for a host behind address translation or a proxy; "" is
-	// PeerAddress itself.
+	// PeerAdvertise is the IP:PORT announced to other daemons instead of PeerAddress,
+	// for a host behind address translation or a proxy; "" means PeerAddress.
 	PeerAdvertise string
 }
 
@@ -52,38 +52,38 @@
 	LogURL string
 	// HostsURL is the base URL of the host list.
 	HostsURL string
-	// WeightsURL is the base URL of the weight store; "" is none: then no
-	// model is ever ordered.
+	// WeightsURL is the base URL of the weight store; "" means that there is none, and
+	// no model is ever ordered.
 	WeightsURL string
-	// Retention is how long the log keeps a record; live state is written
-	// forward well before.
+	// Retention is how long the log stores a record. Live state is rewritten forward on
+	// the log well before that.
 	Retention time.Duration
 }
 
 // Peers is the [peers] section.
 type Peers struct {
-	// Seeds are peer addresses to ask first; the host list adds others.
+	// Seeds are the peer addresses to contact first; the host list adds others.
 	Seeds []string
-	// ProbeEvery is the pace of probes; each one goes to one peer.
+	// ProbeEvery is the interval between probes; each one goes to one peer.
 	ProbeEvery time.Duration
-	// SuspectAfter is how long a suspected peer has to refute before it counts
-	// as dead.
+	// SuspectAfter is how long a suspected peer has to refute the suspicion before it
+	// is considered dead.
 	SuspectAfter time.Duration
 }
 
-// Ledger is the [ledger] section. Shards must be the same on every daemon and
-// stay the same for the life of the log: keys and jobs hash to them.
+// Ledger is the [ledger] section. Shards must have the same value on every daemon and
+// must not change during the lifetime of the log, since keys and jobs hash to them.
 type Ledger struct {
 	// Shards is the number of shards that keys and jobs hash to.
 	Shards int
-	// AppendPace is the time between two appends of batch changes to one
-	// shard's stream; urgent ones do not wait for it.
+	// AppendPace is the interval between two appends of batch changes to one shard's
+	// stream; urgent ones do not wait for it.
 	AppendPace time.Duration
-	// AppendBudget is the number of appends a second of the whole fleet; each
-	// daemon takes an equal part.
+	// AppendBudget is the maximum number of appends per second of the whole fleet; each
+	// daemon gets an equal share.
 	AppendBudget int
-	// Lease is how long a steward holds a batch item without renewing it; after
-	// it the item may be started elsewhere.
+	// Lease is how long a batch dispatcher holds an item without renewing the lease;
+	// afterwards the item may be started elsewhere.
 	Lease time.Duration
 }
 
@@ -101,11 +101,11 @@
 
 // Drain is the [drain] section.
 type Drain struct {
-	// Grace is how long a stopping daemon still accepts requests after it went
-	// unready, so that balancers notice first.
+	// Grace is how long a stopping daemon still accepts requests after it became
+	// unready, so that load balancers notice first.
 	Grace time.Duration
-	// Timeout bounds the wait for running requests and handovers; what then
-	// still runs is cut.
+	// Timeout bounds the wait for running requests and handoffs; those still running
+	// then are aborted.
 	Timeout time.Duration
 }
 
@@ -113,26 +113,25 @@
 type HTTP struct {
 	// MaxHeaderBytes bounds the request line and headers.
 	MaxHeaderBytes int64
-	// ReadHeaderTimeout bounds the time to send them.
+	// ReadHeaderTimeout bounds the time in which the caller must send the headers.
 	ReadHeaderTimeout time.Duration
-	// IdleTimeout closes a connection without a request.
+	// IdleTimeout is how long a connection without a request stays open.
 	IdleTimeout time.Duration
-	// WriteStall cuts a caller that stops reading.
+	// WriteStall is the time after which a caller that stops reading is disconnected.
 	WriteStall time.Duration
-	// BodyStall cuts a body that makes no progress.
+	// BodyStall is the time after which a body that makes no progress is aborted.
 	BodyStall time.Duration
-	// MaxConnections bounds open connections.
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections int
-	// MaxInFlight bounds requests that run at once.
+	// MaxInFlight is the maximum number of concurrent requests.
 	MaxInFlight int
-	// MaxUploads bounds job uploads at once.
+	// MaxUploads is the maximum number of concurrent job uploads.
 	MaxUploads int
-	// MaxBodyMemory bounds the online bodies held in memory together.
+	// MaxBodyMemory bounds the total memory for the bodies of online requests, in bytes.
 	MaxBodyMemory int64
 }
 
-// Default returns the settings in force where a file says nothing. The names,
-// addresses and URLs have no default.
+// Default returns the default settings. The names, addresses and URLs have no defaults.
 func Default() Settings {
 	return Settings{
 		Platform: Platform{Retention: 7 * 24 * time.Hour},
@@ -148,7 +147,7 @@
 		HTTP: HTTP{
 			MaxHeaderBytes:    32 << 10,
 			ReadHeaderTimeout: 5 * time.Second,
-			IdleTimeout:       75 * time.Second, // above the 60 s of common balancers
+			IdleTimeout:       75 * time.Second, // above the 60 s of common load balancers
 			WriteStall:        10 * time.Second,
 			BodyStall:         10 * time.Second,
 			MaxConnections:    8192,
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "settings")
 }
 
-const least = `[host]
+const minimalSettings = `[host]
 name = entry-1
 zone = son-tra
 http_address = 127.0.0.1:8080
@@ -25,7 +25,7 @@
 hosts_url = http://127.0.0.1:7002
 `
 
-// problem returns the text of the only problem.
+// problem returns the message of the only problem.
 func problem(text string, overrides ...string) string {
 	_, err := settings.Parse("host.ini", text, overrides)
 	return settings.Problems(err).Error()
@@ -33,7 +33,7 @@
 
 var _ = Describe("Settings", func() {
 	It("keep the defaults, and the last override wins", func() {
-		s, err := settings.Parse("host.ini", least, []string{"host.peer_advertise=10.0.0.1:9", "ledger.lease=8s", "peers.seeds=127.0.0.1:1,127.0.0.1:2", "ledger.lease=9s"})
+		s, err := settings.Parse("host.ini", minimalSettings, []string{"host.peer_advertise=10.0.0.1:9", "ledger.lease=8s", "peers.seeds=127.0.0.1:1,127.0.0.1:2", "ledger.lease=9s"})
 		Expect(err).NotTo(HaveOccurred())
 		want := settings.Default()
 		want.Host = settings.Host{Name: "entry-1", Zone: "son-tra", HTTPAddress: "127.0.0.1:8080", PeerAddress: "127.0.0.1:0", PeerAdvertise: "10.0.0.1:9"}
@@ -47,7 +47,7 @@
 	})
 
 	DescribeTable("are refused with file, section, key, value and what is allowed", func(added string, overrides []string, want string) {
-		Expect(problem(least+added, overrides...)).To(Equal(want))
+		Expect(problem(minimalSettings+added, overrides...)).To(Equal(want))
 	},
 		Entry("level", "[log]\nlevel = chatty", nil,
 			`host.ini:10: [log] level = "chatty": unknown value; allowed: debug, info, warn, error`),
@@ -73,17 +73,17 @@
 			`host.ini:10: [ledger] lease = "500ms": shorter than two append paces; allowed: at least 800ms`),
 	)
 
-	It("name every missing key at once", func() {
+	It("report every missing key at once", func() {
 		Expect(problem("[host]\nname = a\nzone = z\npeer_address = 127.0.0.1:1\n")).To(Equal(
 			"host.ini: [platform] log_url: missing key; allowed: http://IP:PORT\n" +
 				"host.ini: [platform] hosts_url: missing key; allowed: http://IP:PORT\n" +
 				"host.ini:1: [host] http_address: missing key; allowed: IP:PORT, like 127.0.0.1:8080"))
 	})
 
-	It("tell an unreadable file and a malformed override apart", func() {
+	It("distinguish an unreadable file from a malformed override", func() {
 		_, err := settings.Load("no-such.ini", nil)
 		Expect(err).To(MatchError(ContainSubstring("no-such.ini")))
-		_, err = settings.Parse("host.ini", least, []string{"log=debug"})
+		_, err = settings.Parse("host.ini", minimalSettings, []string{"log=debug"})
 		Expect(err).To(MatchError(ContainSubstring(`--set "log"; allowed: section.key=value`)))
 	})
 })
