--- a/peer/client.go
+++ b/peer/client.go
@@ -17,15 +17,16 @@
 	defaultDialTimeout = 500 * time.Millisecond
 	defaultMaxPending  = 1024
 	defaultIdleTimeout = 30 * time.Second
-	// defaultNotifyTimeout bounds how long a one-way message may occupy a
-	// pending slot: later than that its content is stale.
+	// defaultNotifyTimeout bounds how long a one-way message may occupy a pending
+	// slot. After that its content is stale.
 	defaultNotifyTimeout = time.Second
-	// notifyShare is the part of the pending slots that one-way messages may
-	// take, so that a flood of them never refuses a call that someone waits for.
-	notifyShare = 2
-	// maxCallTime bounds a call whose context has no deadline, or a far one.
+	// notifySlotsDivisor divides the pending slots of a peer: one-way messages may
+	// use one half, so that a flood of them cannot cause calls that a caller waits for
+	// to be refused.
+	notifySlotsDivisor = 2
+	// maxCallTime bounds a call whose context has no deadline or a later one.
 	maxCallTime = 2 * time.Minute
-	// maxAttempts counts the first try and the one on a new connection.
+	// maxAttempts includes the first attempt and the one on a new connection.
 	maxAttempts = 2
 )
 
@@ -39,13 +40,12 @@
 	IdleTimeout time.Duration
 	// NotifyTimeout bounds a one-way message; default 1 s.
 	NotifyTimeout time.Duration
-	// ControlServices names the services whose calls have a connection of their
-	// own per peer, so that a probe never waits behind a large body. Default:
-	// "Members".
+	// ControlServices names the services whose calls use a separate connection to
+	// each peer, so that a probe never waits behind a large body; default "Members".
 	ControlServices []string
 	// LocalIP is the address to dial from; empty leaves it to the system.
 	LocalIP string
-	// Logger gets a line when a stalled connection is dropped; may be nil.
+	// Logger logs each stalled connection that is dropped; may be nil.
 	Logger *zap.Logger
 	// Metrics receives the counters; may be nil.
 	Metrics *metrics.Set
@@ -66,7 +66,7 @@
 
 var _ Caller = (*Client)(nil)
 
-// NewClient returns a client without connections. Close ends it.
+// NewClient returns a client without connections. The caller must close it with Close.
 func NewClient(o ClientOptions) *Client {
 	c := &Client{opt: o.withDefaults(), control: make(map[string]bool), peers: make(map[string]*remote), stop: make(chan struct{})}
 	c.dialer.Timeout = c.opt.DialTimeout
@@ -106,9 +106,9 @@
 	return o
 }
 
-// Call implements Caller. Neither args nor what it points to may be changed
-// afterwards: after a timeout the encoder may still be reading it. The reply
-// is written only when the error is nil.
+// Call implements Caller. Neither args nor what it points to may be changed after
+// the call, because after a timeout the encoder may still be reading it. The reply
+// is written only if the error is nil.
 func (c *Client) Call(ctx context.Context, address, method string, args, reply any) error {
 	err := c.call(ctx, address, method, args, reply, c.opt.MaxPending)
 	c.meter.count(method, err)
@@ -119,7 +119,7 @@
 func (c *Client) Notify(address, method string, args any) {
 	r, err := c.remote(address)
 	if err == nil {
-		err = r.reserve(c.opt.MaxPending / notifyShare)
+		err = r.reserve(c.opt.MaxPending / notifySlotsDivisor)
 	}
 	if err != nil {
 		c.meter.count(method, err)
@@ -132,7 +132,7 @@
 	}()
 }
 
-// Close drops all connections; calls in flight end with NoReply.
+// Close closes all connections; calls in flight fail with NoReply.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,20 +147,20 @@
 	return nil
 }
 
-func (c *Client) call(ctx context.Context, address, method string, args, reply any, bound int) error {
+func (c *Client) call(ctx context.Context, address, method string, args, reply any, limit int) error {
 	r, err := c.remote(address)
 	if err != nil {
 		return err
 	}
-	if err := r.reserve(bound); err != nil {
+	if err := r.reserve(limit); err != nil {
 		return err
 	}
 	return c.exchange(ctx, r, method, args, reply)
 }
 
-// exchange runs one call on a reserved slot of r. A connection that the peer
-// closed since the last call fails the call before it is written; only then is
-// it tried once more, on a new connection.
+// exchange runs one call in a reserved slot of r. The call is attempted again, on a
+// new connection, only if it failed before it was written, as on a connection that the
+// peer has closed since the last call.
 func (c *Client) exchange(ctx context.Context, r *remote, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, maxCallTime)
 	defer cancel()
@@ -178,24 +178,24 @@
 	}
 }
 
-// attempt runs one call on conn. The reply is decoded into a fresh value,
-// because a reply that comes after the caller has left must not be written into
-// memory the caller uses again.
+// attempt runs one call on conn. The reply is decoded into a new value, because a
+// reply that arrives after the caller has returned must not be written into memory
+// that the caller may be reusing.
 func (c *Client) attempt(ctx context.Context, l *lane, conn *clientConn, method string, args, reply any) error {
-	fresh := freshReply(reply)
+	callReply := newReply(reply)
 	env := &envelope{args: args}
 	done := make(chan error, 1)
-	began := time.Now()
-	go func() { done <- conn.roundTrip(env, method, fresh) }()
+	startedAt := time.Now()
+	go func() { done <- conn.roundTrip(env, method, callReply) }()
 	select {
 	case err := <-done:
 		if err == nil && reply != nil {
-			reflect.ValueOf(reply).Elem().Set(reflect.ValueOf(fresh).Elem())
+			reflect.ValueOf(reply).Elem().Set(reflect.ValueOf(callReply).Elem())
 		}
 		return err
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			l.timedOut(conn, began)
+			l.timedOut(conn, startedAt)
 		}
 		l.remote.holdUntil(done)
 		if env.withdraw() {
@@ -205,7 +205,7 @@
 	}
 }
 
-func freshReply(reply any) any {
+func newReply(reply any) any {
 	if reply == nil {
 		return nil
 	}
@@ -232,8 +232,8 @@
 	return r, nil
 }
 
-// idleLoop forgets peers that were not called lately: their connections are
-// closed, so that a daemon holds connections only to those it speaks to.
+// idleLoop removes peers that have not been called within IdleTimeout and closes their
+// connections, so that a daemon keeps connections only to peers that it calls.
 func (c *Client) idleLoop() {
 	ticker := time.NewTicker(c.opt.IdleTimeout / 2)
 	defer ticker.Stop()
--- a/peer/codec.go
+++ b/peer/codec.go
@@ -8,36 +8,36 @@
 	"sync/atomic"
 )
 
-// sendState is how far a call has come on its way out.
+// sendState is the state of sending a call.
 type sendState = int32
 
 const (
-	waiting sendState = iota
-	// started calls may have left bytes on the wire.
+	notSent sendState = iota
+	// started means that bytes of the call may have been sent.
 	started
-	// withdrawn calls are never written.
+	// withdrawn means that the call will never be written.
 	withdrawn
 )
 
-// errWithdrawn ends a call whose caller left before it was written.
+// errWithdrawn is the error of a call whose caller returned before it was written.
 var errWithdrawn = errors.New("withdrawn before sending")
 
-// envelope carries a call's arguments to the client codec, which alone knows
-// when the first byte is about to leave. The caller that runs out of time and
-// the codec race for the state by compare-and-swap, so "certainly not
-// delivered" is said only of a call that the codec will never write.
+// envelope carries a call's arguments to the client codec, which alone knows when the
+// first byte is about to be written. The caller, at its deadline, and the codec change
+// the state by compare-and-swap, so that only a call that the codec will never write
+// is reported as certainly not delivered.
 type envelope struct {
 	args  any
 	state atomic.Int32
 }
 
-func (e *envelope) start() bool    { return e.state.CompareAndSwap(waiting, started) }
-func (e *envelope) withdraw() bool { return e.state.CompareAndSwap(waiting, withdrawn) }
-func (e *envelope) sent() bool     { return e.state.Load() == started }
+func (e *envelope) start() bool     { return e.state.CompareAndSwap(notSent, started) }
+func (e *envelope) withdraw() bool  { return e.state.CompareAndSwap(notSent, withdrawn) }
+func (e *envelope) mayBeSent() bool { return e.state.Load() == started }
 
-// clientCodec is the gob codec of net/rpc with two additions: a call
-// withdrawn while it waited for the connection's turn is not written, and every
-// call records whether its writing has begun.
+// clientCodec is the gob codec of net/rpc with two additions: a call that was
+// withdrawn while it waited for its turn on the connection is not written, and each
+// call records whether writing it has begun.
 type clientCodec struct {
 	conn *meteredConn
 	buf  *bufio.Writer
@@ -56,11 +56,11 @@
 	if !env.start() {
 		return errWithdrawn
 	}
-	err := encodePair(c.enc, c.buf, r, env.args)
+	err := encodeMessage(c.enc, c.buf, r, env.args)
 	if err != nil {
 		// A header without its body would leave the peer's decoder waiting in the
-		// middle of a message, which shows as every later call timing out. The
-		// stream cannot be mended, so the connection ends here.
+		// middle of a message, and every later call would time out. The stream cannot
+		// be recovered, so the connection is closed.
 		_ = c.conn.Close()
 	}
 	return err
@@ -96,9 +96,9 @@
 
 // WriteResponse implements rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(r *rpc.Response, body any) error {
-	err := encodePair(c.enc, c.buf, r, body)
+	err := encodeMessage(c.enc, c.buf, r, body)
 	if err != nil {
-		// As in WriteRequest: a reply cut in the middle spoils the stream.
+		// As in WriteRequest: an incomplete reply makes the stream unusable.
 		_ = c.conn.Close()
 	}
 	return err
@@ -107,7 +107,7 @@
 // Close implements rpc.ServerCodec.
 func (c *serverCodec) Close() error { return c.conn.Close() }
 
-func encodePair(enc *gob.Encoder, buf *bufio.Writer, header, body any) error {
+func encodeMessage(enc *gob.Encoder, buf *bufio.Writer, header, body any) error {
 	if err := enc.Encode(header); err != nil {
 		return err
 	}
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -8,13 +8,13 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// writeTimeout bounds one write to a connection. A peer that stopped reading
-// fills the socket's buffer; without the bound the writer would hold the
-// connection's write lock, and all calls behind it, for ever.
+// writeTimeout bounds one write to a connection. If a peer stops reading, the socket's
+// buffer fills up; without the bound the writer would hold the connection's write lock
+// and block all calls behind it indefinitely.
 const writeTimeout = 2 * time.Second
 
-// meteredConn counts bytes, bounds each write, and remembers when the peer was
-// last heard.
+// meteredConn counts bytes, bounds the time of each write, and records when bytes were
+// last received from the peer.
 type meteredConn struct {
 	net.Conn
 	sent, received *metrics.Counter
@@ -37,8 +37,8 @@
 		c.lastReadNs.Store(time.Now().UnixNano())
 	}
 	if err != nil {
-		// net/rpc's client leaves its connection open when reading fails; without
-		// this close the descriptor would stay until the process ends.
+		// net/rpc's client leaves its connection open when reading fails; without this
+		// Close the file descriptor would leak until the process ends.
 		c.broken.Store(true)
 		_ = c.Close()
 	}
--- a/peer/fakepeer/fakepeer.go
+++ b/peer/fakepeer/fakepeer.go
@@ -9,14 +9,14 @@
 	"tarragonhollow.example/tarragonhollow/peer"
 )
 
-// Receivers are the services of daemons by peer address. The zero value is empty. It is safe
-// for concurrent use.
+// Receivers holds the services of daemons by peer address. The zero value is empty and
+// ready to use. It is safe for concurrent use.
 type Receivers struct {
 	mu        sync.Mutex
 	byAddress map[string]map[string]any
 }
 
-// At returns the registrar of the daemon at an address.
+// At returns the registrar for the daemon at an address.
 func (r *Receivers) At(address string) peer.Registrar { return registrar{r, address} }
 
 type registrar struct {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// Invoke calls a method, named as for net/rpc, and returns when it does. A nil reply drops
-// the answer. Errors are those of a peer.Caller.
+// Invoke calls a method, named "Service.Method" as in net/rpc, and waits until it returns.
+// If reply is nil, the method's reply is discarded. The errors are those of a peer.Caller.
 func (r *Receivers) Invoke(address, method string, args, reply any) error {
 	service, name, _ := strings.Cut(method, ".")
 	r.mu.Lock()
--- a/peer/lane.go
+++ b/peer/lane.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// firstBackoff and maxBackoff bound the pause after a failed dial, in which
+	// firstBackoff and maxBackoff bound the backoff after a failed dial, during which
 	// calls fail at once instead of dialling again.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
-	// maxStalls is how many calls in a row may time out, with nothing heard from
-	// the peer meanwhile, before their connection is dropped; and stallSilence is
-	// for how long it must have been silent, so that a few calls of very short
-	// deadlines don't end the longer ones on the same connection.
-	maxStalls    = 3
-	stallSilence = 500 * time.Millisecond
+	// maxStalledCalls is the number of consecutive calls that time out without a byte
+	// received from the peer before their connection is dropped. minStallTime is how
+	// long nothing must have been received, so that a few calls with very short
+	// deadlines do not end longer ones on the same connection.
+	maxStalledCalls = 3
+	minStallTime    = 500 * time.Millisecond
 )
 
-// remote is one peer: a bound on its pending calls and two lanes.
+// remote is one peer: the count of its pending calls and two lanes, one for control
+// services and one for the others.
 type remote struct {
 	client  *Client
 	address string
@@ -43,11 +44,11 @@
 	return r
 }
 
-// reserve takes a pending slot.
-func (r *remote) reserve(bound int) error {
-	if r.pending.Add(1) > int64(bound) {
+// reserve takes a pending slot. Its error is Unreachable if limit slots are in use.
+func (r *remote) reserve(limit int) error {
+	if r.pending.Add(1) > int64(limit) {
 		r.pending.Add(-1)
-		return Unreachable.New("%s has %d unanswered calls", r.address, bound)
+		return Unreachable.New("%s has %d unanswered calls", r.address, limit)
 	}
 	r.client.meter.pending.Add(1)
 	return nil
@@ -58,9 +59,9 @@
 	r.client.meter.pending.Add(-1)
 }
 
-// holdUntil keeps a slot for a call whose caller has left until the call has
-// really ended: a peer that answers nothing is then refused by reserve instead
-// of gathering memory.
+// holdUntil keeps a slot occupied after the caller has returned, until the call has
+// ended. Calls to a peer that does not reply are then refused by reserve instead of
+// accumulating in memory.
 func (r *remote) holdUntil(done <-chan error) {
 	r.pending.Add(1)
 	r.client.meter.pending.Add(1)
@@ -83,19 +84,19 @@
 	}
 }
 
-// lane is one connection to a peer, dialled when it is needed.
+// lane is one connection to a peer, dialled on demand.
 type lane struct {
 	remote *remote
 
-	mu      sync.Mutex
-	conn    *clientConn
-	dialing chan struct{} // closed when the running dial has ended
-	failed  error         // why the last dial failed
-	backoff time.Duration
-	retryAt time.Time
-	stalls  int
-	// silentSince is when the first of the stalled calls began.
-	silentSince time.Time
+	mu        sync.Mutex
+	conn      *clientConn
+	dialing   chan struct{} // closed when the running dial has ended
+	dialError error         // why the last dial failed
+	backoff   time.Duration
+	retryAt   time.Time
+	stalls    int
+	// stallStart is when the first of the stalled calls began.
+	stallStart time.Time
 }
 
 // clientConn is one live connection.
@@ -104,8 +105,8 @@
 	wire *meteredConn
 }
 
-// connect returns the live connection, or waits for one dial that all waiting
-// calls share. Its errors are Unreachable.
+// connect returns the live connection. If there is none, it waits for one dial that all
+// waiting calls share. Its errors are Unreachable.
 func (l *lane) connect(ctx context.Context) (*clientConn, error) {
 	for {
 		conn, wait, err := l.current()
@@ -120,8 +121,8 @@
 	}
 }
 
-// current returns the connection, the reason why there is none, or the channel
-// of a running dial, which it starts if needed.
+// current returns the connection, the error of the last dial during its backoff, or a
+// channel that is closed when the running dial has ended. It starts a dial if needed.
 func (l *lane) current() (*clientConn, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,37 +132,37 @@
 	if l.dialing != nil {
 		return nil, l.dialing, nil
 	}
-	if l.failed != nil && time.Now().Before(l.retryAt) {
-		return nil, nil, Unreachable.Wrap(l.failed, "no connection to %s", l.remote.address)
+	if l.dialError != nil && time.Now().Before(l.retryAt) {
+		return nil, nil, Unreachable.Wrap(l.dialError, "no connection to %s", l.remote.address)
 	}
-	l.failed = nil
+	l.dialError = nil
 	l.dialing = make(chan struct{})
 	go l.dial(l.dialing)
 	return nil, l.dialing, nil
 }
 
-// dial connects with the client's own timeout: a caller with little time left
-// must not make the attempt useless for the callers behind it.
-func (l *lane) dial(ended chan struct{}) {
+// dial connects with the client's dial timeout and not a caller's deadline: a caller
+// with little time left must not abort the dial that other callers wait for.
+func (l *lane) dial(done chan struct{}) {
 	c := l.remote.client
 	raw, err := c.dialer.Dial("tcp", l.remote.address)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer close(ended)
+	defer close(done)
 	l.dialing = nil
 	c.meter.countDial(err)
 	if err != nil {
 		l.backoff = min(max(2*l.backoff, firstBackoff), maxBackoff)
-		// The jitter keeps the fleet from dialling a returned host in step.
+		// Without jitter, all daemons would dial a recovered host at the same time.
 		l.retryAt = time.Now().Add(l.backoff/2 + rand.N(l.backoff/2))
-		l.failed = err
+		l.dialError = err
 		return
 	}
 	select {
 	case <-c.stop:
-		// Close has passed this lane already; nobody would close the connection.
+		// Client.Close has already closed this lane and will not close the new connection.
 		_ = raw.Close()
-		l.failed = net.ErrClosed
+		l.dialError = net.ErrClosed
 		return
 	default:
 	}
@@ -170,14 +171,14 @@
 	l.conn = &clientConn{rpc: rpc.NewClientWithCodec(newClientCodec(wire)), wire: wire}
 }
 
-// timedOut counts a call that began at began and got no reply. It guards
-// against a connection that stalled (a frozen peer, a one-way cut), which shows
-// as calls that all time out while the socket stays open: after maxStalls of
-// them with not one byte heard for stallSilence, the connection is dropped and
-// the next call dials. A peer that is only slow in one method keeps answering
-// others, which resets the count, so its connection stays.
-func (l *lane) timedOut(conn *clientConn, began time.Time) {
-	if !l.stalled(conn, began) {
+// timedOut records that a call that began at startedAt timed out. It guards against a
+// stalled connection (a frozen peer or a one-way network cut), on which all calls time
+// out while the socket stays open. After maxStalledCalls of them without a byte received
+// for minStallTime, the connection is dropped and the next call dials. A peer that is
+// slow in only one method still replies to others, which resets the count, so its
+// connection is kept.
+func (l *lane) timedOut(conn *clientConn, startedAt time.Time) {
+	if !l.stalled(conn, startedAt) {
 		return
 	}
 	l.remote.client.opt.Logger.Warn("peer_connection_stalled", zap.String("peer", l.remote.address))
@@ -185,24 +186,24 @@
 	l.drop(conn)
 }
 
-func (l *lane) stalled(conn *clientConn, began time.Time) bool {
+func (l *lane) stalled(conn *clientConn, startedAt time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != conn {
 		return false
 	}
-	if conn.wire.lastReadNs.Load() >= began.UnixNano() {
+	if conn.wire.lastReadNs.Load() >= startedAt.UnixNano() {
 		l.stalls = 0
 		return false
 	}
-	if l.stalls == 0 || conn.wire.lastReadNs.Load() >= l.silentSince.UnixNano() {
-		l.stalls, l.silentSince = 0, began
+	if l.stalls == 0 || conn.wire.lastReadNs.Load() >= l.stallStart.UnixNano() {
+		l.stalls, l.stallStart = 0, startedAt
 	}
 	l.stalls++
-	return l.stalls >= maxStalls && time.Since(l.silentSince) >= stallSilence
+	return l.stalls >= maxStalledCalls && time.Since(l.stallStart) >= minStallTime
 }
 
-// drop closes the connection if it is still conn; nil means any.
+// drop closes the current connection if it is conn; a nil conn matches any.
 func (l *lane) drop(conn *clientConn) {
 	l.mu.Lock()
 	current := l.conn
@@ -215,8 +216,8 @@
 	_ = current.rpc.Close()
 }
 
-// roundTrip runs one call to its end and turns net/rpc's errors into this
-// layer's.
+// roundTrip runs one call until it ends and converts the errors of net/rpc to those of
+// this package.
 func (c *clientConn) roundTrip(env *envelope, method string, reply any) error {
 	call := <-c.rpc.Go(method, env, reply, make(chan *rpc.Call, 1)).Done
 	if call.Error == nil {
@@ -229,7 +230,7 @@
 	if errors.Is(call.Error, rpc.ErrShutdown) {
 		c.wire.broken.Store(true)
 	}
-	if !env.sent() {
+	if !env.mayBeSent() {
 		return Unreachable.Wrap(call.Error, "%s was not sent", method)
 	}
 	return NoReply.Wrap(call.Error, "%s", method)
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -19,7 +19,7 @@
 	calls          sync.Map // callKind -> *metrics.Counter
 }
 
-type callKind struct{ method, result string }
+type callLabels struct{ method, result string }
 
 func newMeter(set *metrics.Set) *meter {
 	m := &meter{
@@ -42,14 +42,14 @@
 }
 
 func (m *meter) count(method string, err error) {
-	kind := callKind{method: method, result: result(err)}
-	if c, ok := m.calls.Load(kind); ok {
+	labels := callLabels{method: method, result: result(err)}
+	if c, ok := m.calls.Load(labels); ok {
 		c.(*metrics.Counter).Inc()
 		return
 	}
-	name := fmt.Sprintf("tarragonhollow_peer_calls_total{method=%q,result=%q}", kind.method, kind.result)
+	name := fmt.Sprintf("tarragonhollow_peer_calls_total{method=%q,result=%q}", labels.method, labels.result)
 	c := m.set.GetOrCreateCounter(name)
-	m.calls.Store(kind, c)
+	m.calls.Store(labels, c)
 	c.Inc()
 }
 
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -53,7 +53,8 @@
 	return ctx
 }
 
-// stallingListener accepts and reads, but never answers until Heal.
+// stallingListener accepts connections and reads from them but never replies. dials
+// returns the number of accepted connections.
 func stallingListener() (address string, dials func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -92,10 +93,9 @@
 		Expect(peer.IsRemoteError(c.Call(within(5*time.Second), address, "Echo.Nothing", "", &reply))).To(BeTrue())
 	})
 
-	// A guest's request is held by a daemon that froze. The entry host's calls to
-	// it time out while its socket stays open; calls to other daemons, and later
-	// ones to the same daemon, must not wait for it.
-	It("drops a stalled connection and keeps other peers untouched", func() {
+	// A daemon freezes: calls to it time out while its socket stays open. Calls to other
+	// daemons, and later calls to the same daemon, must not wait for the frozen one.
+	It("drops a stalled connection and does not affect other peers", func() {
 		stalled, dials := stallingListener()
 		_, good := serve(&Echo{})
 		c := newClient(peer.ClientOptions{})
@@ -108,9 +108,8 @@
 		}, "10s").Should(Equal(2))
 	})
 
-	// A caller hedges and cancels the slower calls, many in a row. Cancelled calls
-	// say nothing about the connection: another call that waits on it must get its
-	// reply.
+	// A caller hedges and cancels many slower calls in a row. Cancelled calls are no sign
+	// of a stalled connection: another call on it must still get its reply.
 	It("keeps the connection when callers cancel", func() {
 		e := &Echo{block: make(chan struct{})}
 		_, address := serve(e)
@@ -129,8 +128,8 @@
 		Expect(reply).To(Equal("whole"))
 	})
 
-	// A peer restarts between two calls. The old connection is broken, which is
-	// known before the second call is written, so the caller must not see it.
+	// A peer restarts between two calls. That the old connection is broken is known before
+	// the second call is written, so the call must not fail because of it.
 	It("dials again after the peer closed the connection", func() {
 		s, address := serve(&Echo{})
 		c := newClient(peer.ClientOptions{})
@@ -152,10 +151,10 @@
 		Expect(reply).To(Equal("3"))
 	})
 
-	// A peer answers nothing while callers keep asking and leaving. Each left
-	// call still occupies memory here; beyond the bound new ones are refused as
-	// certainly not delivered.
-	It("bounds the calls that a silent peer holds", func() {
+	// A peer does not reply while calls to it keep timing out. Each timed-out call still
+	// occupies memory in the client; beyond the bound new calls fail as certainly not
+	// delivered.
+	It("bounds the pending calls to a peer that does not reply", func() {
 		e := &Echo{block: make(chan struct{})}
 		_, address := serve(e)
 		c := newClient(peer.ClientOptions{MaxPending: 2})
@@ -172,7 +171,7 @@
 		}, "5s").Should(Succeed())
 	})
 
-	It("says unreachable, at once, for a port nobody listens on", func() {
+	It("returns Unreachable at once for a port without a listener", func() {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := ln.Addr().String()
--- a/peer/server.go
+++ b/peer/server.go
@@ -12,16 +12,15 @@
 
 // ServerOptions configure a Server; both fields may be nil.
 type ServerOptions struct {
-	// Logger gets one line for each listener failure.
+	// Logger logs each failure of a listener.
 	Logger *zap.Logger
 	// Metrics receives the byte and connection counters.
 	Metrics *metrics.Set
 }
 
-// Server accepts connections from other daemons and runs the registered
-// services. It has no authentication: whoever reaches the peer listener is
-// taken for a daemon of the fleet, so the listener belongs on the fleet's own
-// network.
+// Server accepts connections from other daemons and runs the registered services. It
+// has no authentication: every client of the peer listener is trusted as a daemon of
+// the fleet, so the listener must be reachable only from the fleet's network.
 type Server struct {
 	rpc            *rpc.Server
 	logger         *zap.Logger
@@ -53,7 +52,7 @@
 	}
 }
 
-// Register adds a receiver's methods under name; see net/rpc for their shapes.
+// Register implements Registrar. Its errors are of type badService.
 func (s *Server) Register(name string, receiver any) error {
 	if err := s.rpc.RegisterName(name, receiver); err != nil {
 		return badService.Wrap(err, "service %s", name)
@@ -85,8 +84,8 @@
 	}
 }
 
-// Close stops the listeners and ends all connections. Methods that still run
-// are not waited for: their replies have nowhere to go.
+// Close closes the listeners and all connections. It does not wait for methods that are
+// still running, because their replies can no longer be sent.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.closed = true
