--- a/api/observe.go
+++ b/api/observe.go
@@ -130,8 +130,8 @@
 	if st.code != "" {
 		s.refusals.add(time.Now(), refusalKind{code: st.code, run: st.run, profile: st.profile}, st.message)
 	}
-	if s.opts.Refused != nil && !st.backendCalled && st.profile != "" && st.code != "" {
-		s.opts.Refused(st.profile, st.code)
+	if s.opts.OnRefused != nil && !st.backendCalled && st.profile != "" && st.code != "" {
+		s.opts.OnRefused(st.profile, st.code)
 	}
 	s.opts.Logger.Info("request",
 		zap.String("request_id", st.id),
--- a/api/options.go
+++ b/api/options.go
@@ -83,7 +83,7 @@
 	DrainGrace time.Duration
 	// OnRefused, if not nil, is called for every caller's request with a known profile
 	// that is refused before the backend is called.
-	Refused func(profile string, code outcome.Code)
+	OnRefused func(profile string, code outcome.Code)
 	// Logger receives one line per request. Required.
 	Logger *zap.Logger
 	// Metrics is the set in which the HTTP metrics are registered; nil means a private
--- a/api/refusal.go
+++ b/api/refusal.go
@@ -23,7 +23,7 @@
 	outcome.VersionConflict:  http.StatusConflict,
 	outcome.TooLarge:         http.StatusRequestEntityTooLarge,
 	outcome.Unprocessable:    http.StatusUnprocessableEntity,
-	outcome.Condemned:        http.StatusUnprocessableEntity,
+	outcome.Quarantined:      http.StatusUnprocessableEntity,
 	outcome.CallerLimit:      http.StatusTooManyRequests,
 	outcome.Overloaded:       http.StatusServiceUnavailable,
 	outcome.LogUnavailable:   http.StatusServiceUnavailable,
--- a/api/server.go
+++ b/api/server.go
@@ -127,7 +127,7 @@
 	if l == nil {
 		return
 	}
-	if err := l.CloseQuietly(ctx, s.opts.DrainGrace); err != nil {
+	if err := l.CloseGracefully(ctx, s.opts.DrainGrace); err != nil {
 		s.opts.Logger.Debug("listener_closes_with_its_queue", zap.Error(err))
 	}
 }
--- a/api/upload.go
+++ b/api/upload.go
@@ -106,7 +106,7 @@
 		return nil, err
 	}
 	u := &upload{
-		lines:        bufio.NewReaderSize(reader, bodymemory.Step),
+		lines:        bufio.NewReaderSize(reader, bodymemory.StepBytes),
 		maxLineBytes: orDefault(limits.LineBytes, defaultLineBytes),
 		maxItems:     orDefault(limits.ItemsPerJob, defaultItemsPerJob),
 		ids:          newIDSet(s.bodies.Claim(caller)),
--- a/bench/capacity/control_test.go
+++ b/bench/capacity/control_test.go
@@ -53,7 +53,7 @@
 			var reply signal.Reply
 			for i := range targets {
 				s.Targets = append(s.Targets, signal.TargetLoad{Address: targetAddress(i), Started: 1 << 20})
-				reply.Words = append(reply.Words, signal.Word{
+				reply.Words = append(reply.Words, signal.TargetReport{
 					Address: targetAddress(i), OnlineTotal: 4, BatchRunning: 3, ReportAgeMs: 250, Steward: s.Entry,
 					Report: target.LoadReport{Running: 7, Slots: 8, AtMs: 1e12},
 				})
@@ -113,7 +113,7 @@
 	for _, groups := range []int{1, 4, 12} {
 		b.Run(fmt.Sprintf("targets=%d", groups*50), func(b *testing.B) {
 			text := configText(groups)
-			f := configlog.NewFolder()
+			f := configlog.NewReplayer()
 			bytes, n := 0, uint64(0)
 			for b.Loop() {
 				data, err := configlog.Record{Change: &configlog.Change{
@@ -122,7 +122,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				f.Step(0, []configlog.Input{{Offset: int64(n), AtMs: 1e12, Data: data}})
+				f.Apply(0, []configlog.Input{{Offset: int64(n), AtMs: 1e12, Data: data}})
 				if _, err := config.Parse(text); err != nil {
 					b.Fatal(err)
 				}
--- a/bench/capacity/drive/fleet.go
+++ b/bench/capacity/drive/fleet.go
@@ -45,7 +45,7 @@
 		token = "bench-operator-token"
 	}
 	f := &fleet{dir: dir, log: strings.TrimSpace(string(address))}
-	pool := caller.Pooled()
+	pool := caller.NewHTTPClient()
 	for i, url := range strings.Fields(string(urls)) {
 		text, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("daemon-%d.pid", i+1)))
 		if err != nil {
--- a/bench/capacity/ledger_test.go
+++ b/bench/capacity/ledger_test.go
@@ -31,7 +31,7 @@
 		Self: "entry-000/1", Live: func(string) bool { return true },
 		GroupOf: func(ledger.Item) (string, bool) { return "g", true },
 		Limits:  func() ledger.Limits { return ledger.Limits{KeptAnswersMs: 1e10, KeptResultsMs: 1e10, CrashLimit: 2} },
-		LeaseMs: 4000, PaceMs: 100, UrgentMs: 10, RetentionMs: 86_400_000,
+		LeaseMs: 4000, AppendIntervalMs: 100, UrgentIntervalMs: 10, RetentionMs: 86_400_000,
 	}, ledger.NewState(0, 0, true), r.now)
 	r.flush()
 	return r
@@ -52,17 +52,17 @@
 			panic(err)
 		}
 		if data == nil {
-			r.owner.Replies()
+			r.owner.TakeReplies()
 			return
 		}
 		offset := int64(len(r.data))
 		r.data = append(r.data, data)
 		r.bytes += len(data)
 		r.owner.AppendDone(r.now, ledger.Appended, 0)
-		if err := r.owner.Read(r.now, offset, data); err != nil {
+		if err := r.owner.Apply(r.now, offset, data); err != nil {
 			panic(err)
 		}
-		r.owner.Replies()
+		r.owner.TakeReplies()
 	}
 }
 
--- a/bench/capacity/peer_test.go
+++ b/bench/capacity/peer_test.go
@@ -19,7 +19,7 @@
 // Deliver replies with one load report for each target.
 func (signalService) Deliver(s *signal.Signal, reply *signal.Reply) error {
 	for _, t := range s.Targets {
-		reply.Words = append(reply.Words, signal.Word{Address: t.Address, Steward: s.Entry})
+		reply.Words = append(reply.Words, signal.TargetReport{Address: t.Address, Steward: s.Entry})
 	}
 	return nil
 }
--- a/bodymemory/bodymemory.go
+++ b/bodymemory/bodymemory.go
@@ -17,10 +17,10 @@
 	// is reserved for claims of at most SmallClaimBytes.
 	smallReserve = 4
 	// SmallClaimBytes is the maximum size of a small claim.
-	SmallClaim = 64 << 10
+	SmallClaimBytes = 64 << 10
 	// StepBytes is the step in which a body reserves memory as its bytes arrive, so that
 	// a declared length alone reserves nothing.
-	Step = 32 << 10
+	StepBytes = 32 << 10
 	// BusyRetryMs is the time after which a caller may retry if the daemon was full, in
 	// milliseconds.
 	BusyRetryMs = 1000
@@ -77,7 +77,7 @@
 // *outcome.Refusal if the memory is exhausted.
 func (c *Claim) ReadAll(from io.Reader, size int64) ([]byte, error) {
 	var body []byte
-	if size >= 0 && size < Step {
+	if size >= 0 && size < StepBytes {
 		body = make([]byte, 0, size+1)
 	}
 	for {
@@ -87,7 +87,7 @@
 			}
 		}
 		if len(body) == cap(body) {
-			body = append(body, make([]byte, max(Step, cap(body)))...)[:len(body)]
+			body = append(body, make([]byte, max(StepBytes, cap(body)))...)[:len(body)]
 			continue
 		}
 		n, err := from.Read(body[len(body):cap(body)])
@@ -110,7 +110,7 @@
 		return outcome.Refuse(outcome.CallerLimit, "the bodies of this caller hold %d bytes of memory here", m.callers[c.caller]).After(BusyRetryMs)
 	}
 	available := m.limit
-	if c.held+n > SmallClaim {
+	if c.held+n > SmallClaimBytes {
 		available -= m.limit / smallReserve
 	}
 	if m.used+n > available {
--- a/bodymemory/bodymemory_test.go
+++ b/bodymemory/bodymemory_test.go
@@ -12,10 +12,10 @@
 // Without limits, four callers with slow, large bodies would leave no memory for a fifth.
 // A quarter is reserved for small bodies, and no caller gets more than half.
 func TestBodyMemoryKeepsRoomForOthers(t *testing.T) {
-	const most = 32 * SmallClaim
+	const most = 32 * SmallClaimBytes
 	memory := New(most)
 	for _, caller := range []string{"a", "b", "c", "d"} {
-		for memory.Claim(caller).Grow(2*SmallClaim) == nil {
+		for memory.Claim(caller).Grow(2*SmallClaimBytes) == nil {
 		}
 		if memory.callers[caller] > most/CallerShare {
 			t.Fatalf("caller %s holds %d bytes of %d", caller, memory.callers[caller], most)
@@ -28,7 +28,7 @@
 		t.Fatalf("a caller at its share got %v", refusal)
 	}
 	small := memory.Claim("guest")
-	if refusal := small.Grow(SmallClaim); refusal != nil {
+	if refusal := small.Grow(SmallClaimBytes); refusal != nil {
 		t.Fatalf("a small claim got %v", refusal)
 	}
 	if refusal := small.Grow(1); refusal == nil || refusal.Code != outcome.Overloaded {
@@ -39,14 +39,14 @@
 // Hundreds of callers start bodies of several megabytes at once. A body that a host of
 // 144 MB can't hold is refused, and the memory reserved for it is released.
 func TestReadAllStopsWhereTheMemoryIsFull(t *testing.T) {
-	memory := New(8 * Step)
+	memory := New(8 * StepBytes)
 	claim := memory.Claim("a")
-	body, err := claim.ReadAll(strings.NewReader(strings.Repeat("x", Step)), Step)
-	if err != nil || len(body) != Step {
+	body, err := claim.ReadAll(strings.NewReader(strings.Repeat("x", StepBytes)), StepBytes)
+	if err != nil || len(body) != StepBytes {
 		t.Fatalf("%d bytes, %v", len(body), err)
 	}
 	other := memory.Claim("b")
-	_, err = other.ReadAll(strings.NewReader(strings.Repeat("x", 9*Step)), -1)
+	_, err = other.ReadAll(strings.NewReader(strings.Repeat("x", 9*StepBytes)), -1)
 	var refusal *outcome.Refusal
 	if !errors.As(err, &refusal) || refusal.Run != outcome.NotRun || refusal.RetryAfterMs == 0 {
 		t.Fatalf("a body beyond the memory got %v", err)
--- a/caller/caller.go
+++ b/caller/caller.go
@@ -33,7 +33,7 @@
 
 // NewHTTPClient returns an HTTP client that keeps up to 1024 idle connections to each
 // daemon.
-func Pooled() *http.Client {
+func NewHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
@@ -161,7 +161,7 @@
 }
 
 // KeyedRequest is the state of a request with an idempotency key.
-type Kept struct {
+type KeyedRequest struct {
 	State    string `json:"state"`
 	Response *struct {
 		Status int             `json:"status"`
@@ -175,8 +175,8 @@
 
 // KeyedRequest returns the state of the request with the given idempotency key and the
 // caller in o.
-func (c *Client) Kept(ctx context.Context, o Options, key string) (Kept, error) {
-	var kept Kept
+func (c *Client) KeyedRequest(ctx context.Context, o Options, key string) (KeyedRequest, error) {
+	var kept KeyedRequest
 	_, text, err := c.do(ctx, http.MethodGet, "/v1/requests/"+key, nil, o, nil)
 	if err != nil {
 		return kept, err
@@ -185,7 +185,7 @@
 }
 
 // AsRefusal returns the *RefusalError in err's chain, or nil if there is none.
-func IsRefused(err error) *Refused {
+func AsRefusal(err error) *Refused {
 	var refused *Refused
 	if errors.As(err, &refused) {
 		return refused
--- a/callerconns/quiet.go
+++ b/callerconns/quiet.go
@@ -31,7 +31,7 @@
 // One race remains, which is inherent to HTTP/1.1: a caller may send a request on a
 // kept-alive connection just as it is closed for having been unused. A server cannot
 // know in advance whether another request will come.
-func (l *Listener) CloseQuietly(ctx context.Context, grace time.Duration) error {
+func (l *Listener) CloseGracefully(ctx context.Context, grace time.Duration) error {
 	queueErr := acceptQueued(l.Listener, l.holdQueued)
 	_ = l.Close()
 	unused := min(unusedTime, grace)
--- a/core/accounts/accounts.go
+++ b/core/accounts/accounts.go
@@ -14,11 +14,11 @@
 	// MaxConfigAge is the time since the configuration was last confirmed as current up to
 	// which a key or route that it lacks is refused permanently. A read that waits for
 	// changes returns at least every second.
-	SureFor = 1500 * time.Millisecond
+	MaxConfigAge = 1500 * time.Millisecond
 	// StaleRetryAfterMs is the retry delay, in milliseconds, for callers of a daemon that
 	// may have missed a change. Another daemon, or this one once it has queried its
 	// peers, knows more.
-	UnsureRetryMs = 250
+	StaleRetryAfterMs = 250
 	// bearer is the scheme of the credentials, in lower case.
 	bearer = "bearer "
 )
@@ -99,7 +99,7 @@
 }
 
 // ByName returns the account with the name, nil if there is none.
-func (s *Set) Named(name string) *Account {
+func (s *Set) ByName(name string) *Account {
 	if s == nil {
 		return nil
 	}
@@ -125,8 +125,8 @@
 		return account, nil
 	case refusal != nil:
 		return nil, refusal
-	case age > SureFor:
-		return nil, outcome.Refuse(outcome.NotReady, "the key may be newer than the configuration known here").After(UnsureRetryMs)
+	case age > MaxConfigAge:
+		return nil, outcome.Refuse(outcome.NotReady, "the key may be newer than the configuration known here").After(StaleRetryAfterMs)
 	default:
 		return nil, outcome.Refuse(outcome.Unauthorized, "no client account holds the key")
 	}
--- a/core/accounts/accounts_test.go
+++ b/core/accounts/accounts_test.go
@@ -106,8 +106,8 @@
 			_, refusal := set.Identify([]string{"Bearer " + key}, false, 0)
 			Expect(refusal.Code).To(Equal(outcome.Unauthorized))
 		}
-		Expect(set.Named("d")).NotTo(BeNil())
-		Expect(set.Named("e")).To(BeNil())
+		Expect(set.ByName("d")).NotTo(BeNil())
+		Expect(set.ByName("e")).To(BeNil())
 	})
 })
 
--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -14,7 +14,7 @@
 	// SignalExpiry is how long an entry host's count is valid without being refreshed.
 	SignalExpiry = 2 * time.Second
 	// ReportTTL is how long a load report is valid after its arrival.
-	ReportValid = 2 * time.Second
+	ReportTTL = 2 * time.Second
 	// ReportLag is how old a report may be when it arrives, in addition to the lag that
 	// it states itself: the report may count streams that ran within that time.
 	// ReportLagMax bounds the sum, whatever the target's clock shows.
@@ -46,7 +46,7 @@
 	Admitted time.Time
 	// SmallPrefill is set if the prompt was almost entirely in the target's cache at the
 	// start, so that its prefill hardly lengthens a step.
-	Small bool
+	SmallPrefill bool
 	// Suspect streams run alone.
 	Suspect bool
 	// Pinned streams are never cancelled to make room: calls of plain services and work
@@ -60,7 +60,7 @@
 	Waiting int
 	// SmallPrefill counts those whose prefill hardly lengthens a step; counting may stop
 	// at one.
-	Small int
+	SmallPrefill int
 	// NextDue is the due time of the most urgent item.
 	NextDue time.Time
 	// Weight is the batch weight of its profile.
@@ -97,9 +97,9 @@
 	// Admit is how many waiting items may start now.
 	Admit int
 	// SmallPrefill is set if only items with a small prefill may start.
-	Small bool
+	SmallPrefill bool
 	// Cancel lists running streams to be cancelled at once, to be resumed later.
 	Cancel []StreamID
 	// Reason is why no further items may start.
-	Why Reason
+	Reason Reason
 }
--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -55,7 +55,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.UnixMilli(1_000_000)
 		slots := rapid.IntRange(1, 8).Draw(rt, "slots")
-		policy := DefaultGiveWay()
+		policy := DefaultPreemptive()
 		policy.Fill = rapid.IntRange(0, 8).Draw(rt, "fill")
 		target := NewTarget(policy, slots, now)
 		m := &model{running: map[StreamID]Stream{}}
@@ -83,7 +83,7 @@
 			}
 			weight := rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(rt, "weight")
 			q := Queue{Waiting: rapid.IntRange(0, 9).Draw(rt, "waiting"), Weight: weight}
-			q.Small = rapid.IntRange(0, q.Waiting).Draw(rt, "small")
+			q.SmallPrefill = rapid.IntRange(0, q.Waiting).Draw(rt, "small")
 			q.Suspect = q.Waiting > 0 && rapid.IntRange(0, 5).Draw(rt, "suspect") == 0
 			a := target.Step(now, q)
 			checkStep(rt, m, a, q, now, slots, policy)
@@ -101,7 +101,7 @@
 	})
 }
 
-func checkStep(rt *rapid.T, m *model, a Action, q Queue, now time.Time, slots int, policy GiveWay) {
+func checkStep(rt *rapid.T, m *model, a Action, q Queue, now time.Time, slots int, policy Preemptive) {
 	online, headroom := m.online(now), policy.headroom(slots)
 	below := max(min(policy.Fill, slots-headroom)-online, 0)
 	weightless := 0
@@ -143,7 +143,7 @@
 // Protecting online work alone is easy: admit nothing. An idle target must also be filled
 // up to its headroom, by every policy, shortly after online work ended.
 func TestIdleTargetIsFilled(t *testing.T) {
-	for _, p := range []Policy{FCFS{}, StaticReserve{Free: 1}, DefaultGiveWay()} {
+	for _, p := range []Policy{FCFS{}, StaticReserve{Free: 1}, DefaultPreemptive()} {
 		g := NewWithT(t)
 		now := time.UnixMilli(1_000_000)
 		target := NewTarget(p, 8, now)
@@ -170,7 +170,7 @@
 	g := NewWithT(t)
 	now := time.UnixMilli(1_000_000)
 	start := func(weight float64, streams int) *Target {
-		target := NewTarget(DefaultGiveWay(), 9, now)
+		target := NewTarget(DefaultPreemptive(), 9, now)
 		for i := range streams {
 			target.Admitted(now, Stream{ID: StreamID(i + 1), Base: weight, Tokens: i})
 		}
@@ -185,13 +185,13 @@
 
 	prefill := start(1, 1)
 	prefill.Signal(now, "a", 1, 1, 1)
-	g.Expect(prefill.Step(now, Queue{Waiting: 5, Weight: 1}).Why).To(Equal(ReasonPrefill))
+	g.Expect(prefill.Step(now, Queue{Waiting: 5, Weight: 1}).Reason).To(Equal(ReasonPrefill))
 	prefill.Progress(1, 1)
 	g.Expect(prefill.Step(now, Queue{Waiting: 5, Weight: 1}).Admit).To(Equal(1), "one prefill at a time")
 
-	g.Expect(prefill.Room(now, 1)).To(Equal(7), "one prefill at a time, but seven streams are worth fetching")
+	g.Expect(prefill.BatchLimit(now, 1)).To(Equal(7), "one prefill at a time, but seven streams are worth fetching")
 
-	filled := NewTarget(GiveWay{Headroom: 1, Fill: 5}, 8, now)
+	filled := NewTarget(Preemptive{Headroom: 1, Fill: 5}, 8, now)
 	for i := range 7 {
 		filled.Admitted(now, Stream{ID: StreamID(i + 1), Tokens: 1})
 	}
@@ -200,27 +200,27 @@
 	filled.Signal(now, "a", 2, 6, 6)
 	g.Expect(filled.Step(now, Queue{Waiting: 9}).Cancel).To(HaveLen(7), "a burst takes all")
 
-	small := NewTarget(GiveWay{Headroom: 1, Fill: 5}, 8, now)
+	small := NewTarget(Preemptive{Headroom: 1, Fill: 5}, 8, now)
 	small.Admitted(now, Stream{ID: 1})
-	small.Admitted(now, Stream{ID: 2, Small: true})
+	small.Admitted(now, Stream{ID: 2, SmallPrefill: true})
 	small.Signal(now, "a", 1, 1, 1)
 	g.Expect(small.Step(now, Queue{}).Cancel).To(Equal([]StreamID{1}), "a long prefill does not continue while online work runs")
 	small.Ended(now, 1)
 	small.Progress(2, 1)
-	g.Expect(small.Step(now, Queue{Waiting: 5})).To(Equal(Action{Why: ReasonLongPrefill}))
-	g.Expect(small.Step(now, Queue{Waiting: 5, Small: 1})).To(Equal(Action{Admit: 1, Small: true, Why: ReasonOnline}))
+	g.Expect(small.Step(now, Queue{Waiting: 5})).To(Equal(Action{Reason: ReasonLongPrefill}))
+	g.Expect(small.Step(now, Queue{Waiting: 5, SmallPrefill: 1})).To(Equal(Action{Admit: 1, SmallPrefill: true, Reason: ReasonOnline}))
 
 	silent := start(0, 0)
 	silent.SetEntries([]string{"a"})
 	silent.Signal(now, "a", 1, 1, 1)
-	g.Expect(silent.Step(now.Add(SignalExpiry), Queue{Waiting: 20}).Why).To(Equal(ReasonOnline))
-	g.Expect(silent.Step(now.Add(SignalExpiry+time.Millisecond), Queue{Waiting: 20}).Why).To(Equal(ReasonCoolDown), "the count has just expired")
-	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20})).To(Equal(Action{Admit: 4, Why: ReasonSilent}), "half of eight")
+	g.Expect(silent.Step(now.Add(SignalExpiry), Queue{Waiting: 20}).Reason).To(Equal(ReasonOnline))
+	g.Expect(silent.Step(now.Add(SignalExpiry+time.Millisecond), Queue{Waiting: 20}).Reason).To(Equal(ReasonCoolDown), "the count has just expired")
+	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20})).To(Equal(Action{Admit: 4, Reason: ReasonSilent}), "half of eight")
 	silent.SetEntries(nil)
 	g.Expect(silent.Step(late.Add(time.Minute), Queue{Waiting: 20}).Admit).To(Equal(8), "no signals are expected from a dead host")
 
 	unsignalled := start(0, 2)
-	unsignalled.Load(now.Add(time.Second), 0, 5, 1)
+	unsignalled.ApplyReport(now.Add(time.Second), 0, 5, 1)
 	g.Expect(unsignalled.Online(now.Add(time.Second))).To(Equal(4), "the report shows four more than our two")
 	g.Expect(unsignalled.Step(now.Add(time.Second), Queue{}).Cancel).To(HaveLen(2))
 
@@ -228,12 +228,12 @@
 	for i := range 8 {
 		lagging.Ended(now.Add(time.Second), StreamID(i+1))
 	}
-	lagging.Load(now.Add(2500*time.Millisecond), time.Second, 8, 0)
+	lagging.ApplyReport(now.Add(2500*time.Millisecond), time.Second, 8, 0)
 	g.Expect(lagging.Online(now.Add(2500*time.Millisecond))).To(BeZero(), "the report still shows our own eight")
-	lagging.Load(now.Add(4*time.Second), time.Second, 8, 0)
+	lagging.ApplyReport(now.Add(4*time.Second), time.Second, 8, 0)
 	g.Expect(lagging.Online(now.Add(4*time.Second))).To(Equal(8), "they ended too long ago to be ours")
 
-	pinned := NewTarget(DefaultGiveWay(), 4, now)
+	pinned := NewTarget(DefaultPreemptive(), 4, now)
 	pinned.Admitted(now, Stream{ID: 1, Pinned: true})
 	pinned.Signal(now, "a", 1, 4, 4)
 	g.Expect(pinned.Step(now, Queue{}).Cancel).To(BeEmpty())
@@ -241,7 +241,7 @@
 	brief := start(0, 0)
 	brief.Signal(late, "a", 1, 0, 7)
 	brief.Signal(late.Add(time.Second), "a", 2, 0, 8)
-	g.Expect(brief.Step(late.Add(time.Second), Queue{Waiting: 1}).Why).To(Equal(ReasonCoolDown), "a request came and went between two signals")
+	g.Expect(brief.Step(late.Add(time.Second), Queue{Waiting: 1}).Reason).To(Equal(ReasonCoolDown), "a request came and went between two signals")
 }
 
 func TestForecastAndUrgency(t *testing.T) {
--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -16,16 +16,16 @@
 	Online int
 	// SinceOnline is the time since Online was last above zero, or since the target was
 	// taken over if it has had no online work.
-	Quiet time.Duration
+	SinceOnline time.Duration
 	// Silent is set if signals from entry hosts are missing.
 	Silent bool
 	// Running lists the batch streams.
 	Running []Stream
 	// Waiting and Weight describe the head of the queue; SmallPrefill counts the waiting
 	// items with a small prefill.
-	Waiting int
-	Small   int
-	Weight  float64
+	Waiting      int
+	SmallPrefill int
+	Weight       float64
 }
 
 // Policy decides about one target. Implementations are pure functions of the snapshot.
@@ -73,7 +73,7 @@
 
 // Preemptive runs batch on idle slots and preempts it when the first online request
 // arrives.
-type GiveWay struct {
+type Preemptive struct {
 	// Headroom is how many slots stay free of batch for the first requests of a burst.
 	Headroom int
 	// Fill is the number of streams, online and batch together, up to which a target is
@@ -85,32 +85,32 @@
 	// again.
 	CoolDown time.Duration
 	// RampInterval is the time in which the number of admitted streams may double.
-	RampEvery time.Duration
+	RampInterval time.Duration
 }
 
 // DefaultPreemptive returns the parameters that apply unless settings override them. The
 // cool-down is short because idle capacity lasts only seconds; the ramp ensures that a
 // burst which returns while it runs does not meet a full set of prefills.
-func DefaultGiveWay() GiveWay {
-	return GiveWay{Headroom: 1, CoolDown: 200 * time.Millisecond, RampEvery: 50 * time.Millisecond}
+func DefaultPreemptive() Preemptive {
+	return Preemptive{Headroom: 1, CoolDown: 200 * time.Millisecond, RampInterval: 50 * time.Millisecond}
 }
 
 // Name implements Policy.
-func (GiveWay) Name() string { return "give_way" }
+func (Preemptive) Name() string { return "give_way" }
 
 // Limit implements Policy. While online work runs, and during the cool-down, the limit is
 // the weight's share of the free slots, or the free slots below Fill if these are more.
-func (p GiveWay) Limit(s Snapshot) int { return p.limit(s, s.Weight) }
+func (p Preemptive) Limit(s Snapshot) int { return p.limit(s, s.Weight) }
 
-func (p GiveWay) limit(s Snapshot, weight float64) int {
+func (p Preemptive) limit(s Snapshot, weight float64) int {
 	free := p.freeSlots(s)
-	if s.Online == 0 && s.Quiet >= p.CoolDown {
+	if s.Online == 0 && s.SinceOnline >= p.CoolDown {
 		return free
 	}
 	return max(weightedShare(weight, free), min(p.Fill-s.Online, free))
 }
 
-func (p GiveWay) freeSlots(s Snapshot) int {
+func (p Preemptive) freeSlots(s Snapshot) int {
 	return max(s.Slots-s.Online-p.headroom(s.Slots), 0)
 }
 
@@ -118,15 +118,15 @@
 // below the limit for its weight. A new stream's prefill lengthens the time between
 // tokens of all running streams. While online work runs, at most one prefill therefore
 // runs at a time, and streams that run only because of Fill must have a small one.
-func (p GiveWay) Decide(s Snapshot) Action {
+func (p Preemptive) Decide(s Snapshot) Action {
 	if s.Online > 0 {
 		return p.decideWithOnline(s)
 	}
-	if s.Quiet < p.CoolDown {
-		return p.admitOnePrefill(s, Action{Why: ReasonCoolDown})
+	if s.SinceOnline < p.CoolDown {
+		return p.admitOnePrefill(s, Action{Reason: ReasonCoolDown})
 	}
 	limit, why := p.Limit(s), ReasonFull
-	if ramp := p.ramp(s.Quiet - p.CoolDown); ramp < limit {
+	if ramp := p.ramp(s.SinceOnline - p.CoolDown); ramp < limit {
 		limit, why = ramp, ReasonRamp
 	}
 	return admitUpTo(s, p.quota(limit, s.Silent, &why), why)
@@ -134,16 +134,16 @@
 
 // headroom leaves batch at least one slot on an idle target; otherwise a target with one
 // slot would never run batch.
-func (p GiveWay) headroom(slots int) int {
+func (p Preemptive) headroom(slots int) int {
 	return min(p.Headroom, max(slots-1, 0))
 }
 
-func (p GiveWay) decideWithOnline(s Snapshot) Action {
-	a := Action{Why: ReasonOnline}
+func (p Preemptive) decideWithOnline(s Snapshot) Action {
+	a := Action{Reason: ReasonOnline}
 	kept := 0
 	for _, r := range s.Running {
 		limit := p.limit(s, r.Weight)
-		if r.Tokens == 0 && !r.Small {
+		if r.Tokens == 0 && !r.SmallPrefill {
 			limit = weightedShare(r.Weight, p.freeSlots(s))
 		}
 		if r.Pinned || kept < limit {
@@ -159,32 +159,32 @@
 }
 
 // admitOnePrefill admits at most one stream, and only if no batch prefill runs.
-func (p GiveWay) admitOnePrefill(s Snapshot, a Action) Action {
-	why := a.Why
+func (p Preemptive) admitOnePrefill(s Snapshot, a Action) Action {
+	why := a.Reason
 	limit := p.quota(p.Limit(s), s.Silent, &why)
 	if s.Waiting == 0 || len(s.Running) >= limit {
-		a.Why = why
+		a.Reason = why
 		return a
 	}
 	for _, r := range s.Running {
 		if r.Tokens == 0 {
-			a.Why = ReasonPrefill
+			a.Reason = ReasonPrefill
 			return a
 		}
 	}
 	small := len(s.Running) >= p.quota(weightedShare(s.Weight, p.freeSlots(s)), s.Silent, &why)
-	if small && s.Small == 0 {
-		a.Why = ReasonLongPrefill
+	if small && s.SmallPrefill == 0 {
+		a.Reason = ReasonLongPrefill
 		return a
 	}
-	a.Admit, a.Small = 1, small
+	a.Admit, a.SmallPrefill = 1, small
 	return a
 }
 
 // quota halves the limit while signals from entry hosts are missing: their online load is
 // unknown, which must mean less batch. One stream remains allowed on an otherwise free
 // target, or a host that is live but partitioned would stop all batch permanently.
-func (p GiveWay) quota(limit int, silent bool, why *Reason) int {
+func (p Preemptive) quota(limit int, silent bool, why *Reason) int {
 	if !silent || limit <= 1 {
 		return limit
 	}
@@ -193,12 +193,12 @@
 }
 
 // ramp returns the number of streams allowed after d without online work: 1, 2, 4, …
-func (p GiveWay) ramp(d time.Duration) int {
+func (p Preemptive) ramp(d time.Duration) int {
 	const maxDoublings = 16
-	if p.RampEvery <= 0 {
+	if p.RampInterval <= 0 {
 		return 1 << maxDoublings
 	}
-	return 1 << min(int(d/p.RampEvery), maxDoublings)
+	return 1 << min(int(d/p.RampInterval), maxDoublings)
 }
 
 // weightedShare returns how many of the free slots a weight gets, rounded down so that
@@ -212,7 +212,7 @@
 	if n == s.Waiting {
 		why = ReasonEmpty
 	}
-	return Action{Admit: n, Why: why}
+	return Action{Admit: n, Reason: why}
 }
 
 // sortKeepFirst sorts streams by priority for being kept while online work runs: higher
--- a/core/admission/signals.go
+++ b/core/admission/signals.go
@@ -106,7 +106,7 @@
 }
 
 func (p *peaks) add(now time.Time, batch, online int) {
-	cut := now.Add(-ReportLagMax - ReportValid)
+	cut := now.Add(-ReportLagMax - ReportTTL)
 	for len(p.samples) > 1 && p.samples[1].at.Before(cut) {
 		p.samples = p.samples[1:]
 	}
--- a/core/admission/target.go
+++ b/core/admission/target.go
@@ -71,7 +71,7 @@
 // ApplyReport applies a load report that arrived at now and states that it is lag old.
 // The target's clock may be wrong, so the lag only widens, within bounds, the window in
 // which this daemon's own streams can explain the report.
-func (t *Target) Load(now time.Time, lag time.Duration, running, waiting int) {
+func (t *Target) ApplyReport(now time.Time, lag time.Duration, running, waiting int) {
 	window := min(ReportLag+max(lag, 0), ReportLagMax)
 	t.report = report{at: now, window: window, running: running, waiting: waiting}
 }
@@ -122,7 +122,7 @@
 func (t *Target) Running() int { return len(t.running) }
 
 // BatchShare returns the share of the slots that batch streams take.
-func (t *Target) Share() float64 {
+func (t *Target) BatchShare() float64 {
 	if t.slots <= 0 {
 		return 0
 	}
@@ -144,7 +144,7 @@
 // They are online requests whose signals are missing, or another dispatcher's batch; both
 // must reduce the batch admitted here.
 func (t *Target) unexplained(now time.Time) int {
-	if t.report.at.IsZero() || now.Sub(t.report.at) > ReportValid {
+	if t.report.at.IsZero() || now.Sub(t.report.at) > ReportTTL {
 		return 0
 	}
 	batch, online := t.peaks.within(t.report.at.Add(-t.report.window), t.report.at, len(t.running), t.online.total(now))
@@ -153,7 +153,7 @@
 
 // BatchLimit returns how many batch streams of the given weight the policy allows now. It
 // bounds how many items are worth fetching.
-func (t *Target) Room(now time.Time, weight float64) int {
+func (t *Target) BatchLimit(now time.Time, weight float64) int {
 	s := t.snapshot(now, Queue{Waiting: t.slots, Weight: weight})
 	if t.blockedBy(now, s, Queue{}) != ReasonNone {
 		return 0
@@ -167,7 +167,7 @@
 	a := t.policy.Decide(s)
 	a.Admit = min(a.Admit, q.Waiting)
 	if why := t.blockedBy(now, s, q); why != ReasonNone {
-		a.Admit, a.Why = 0, why
+		a.Admit, a.Reason = 0, why
 	} else if q.Suspect {
 		a.Admit = min(a.Admit, 1)
 	}
@@ -201,15 +201,15 @@
 		t.noOnlineSince = now
 	}
 	s := Snapshot{
-		Now:     now,
-		Slots:   t.slots,
-		Online:  online,
-		Quiet:   now.Sub(t.noOnlineSince),
-		Silent:  t.online.silent(now),
-		Running: make([]Stream, 0, len(t.running)),
-		Waiting: q.Waiting,
-		Small:   q.Small,
-		Weight:  EffectiveWeight(q.Weight, now, q.NextDue, q.Forecast),
+		Now:          now,
+		Slots:        t.slots,
+		Online:       online,
+		SinceOnline:  now.Sub(t.noOnlineSince),
+		Silent:       t.online.silent(now),
+		Running:      make([]Stream, 0, len(t.running)),
+		Waiting:      q.Waiting,
+		SmallPrefill: q.SmallPrefill,
+		Weight:       EffectiveWeight(q.Weight, now, q.NextDue, q.Forecast),
 	}
 	for _, r := range t.running {
 		c := *r
--- a/core/batch/batch_test.go
+++ b/core/batch/batch_test.go
@@ -30,13 +30,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := batch.NewBook()
+	book := batch.NewStore()
 	for id, value := range map[string][]byte{"old": old, "own": own} {
 		if _, err := book.ApplyJob(batch.AcceptedKey(id), value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if j := book.Job("old"); !j.BelongsTo("hotel") || !j.BelongsTo("") || book.Waiting("h/b/") != 3 {
+	if j := book.Job("old"); !j.BelongsTo("hotel") || !j.BelongsTo("") || book.WaitingTokens("h/b/") != 3 {
 		t.Fatalf("the old job reads %+v", j.JobRecord)
 	}
 	if j := book.Job("own"); !j.BelongsTo("hotel") || j.BelongsTo("") || j.BelongsTo("inn") {
@@ -70,8 +70,8 @@
 }
 
 var _ = Describe("The job store", func() {
-	var b *batch.Book
-	BeforeEach(func() { b = batch.NewBook() })
+	var b *batch.Store
+	BeforeEach(func() { b = batch.NewStore() })
 	job := func(key string, value []byte) batch.Change {
 		c, err := b.ApplyJob(key, value)
 		Expect(err).NotTo(HaveOccurred())
@@ -86,11 +86,11 @@
 	It("accepts a job once and counts its tokens until its items end", func() {
 		Expect(job(batch.AcceptedKey("j"), accepted("j", 10, 20)).Job).To(Equal("j"))
 		Expect(job(batch.AcceptedKey("j"), accepted("j", 99)).Job).To(BeEmpty())
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(30))
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(30))
 		result("j", 1, "x")
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(10))
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(10))
 		job(batch.EndedKey("j"), []byte{1})
-		Expect(b.Waiting(quota)).To(BeZero())
+		Expect(b.WaitingTokens(quota)).To(BeZero())
 		Expect(b.Job("j").Open()).To(BeFalse())
 	})
 
@@ -115,8 +115,8 @@
 		Expect(len(encode(long))).To(BeNumerically("<", 200))
 		job(batch.AcceptedKey("j"), encode(long))
 		Expect(b.Job("j").Count).To(Equal(many))
-		Expect(b.Job("j").Listed()).To(BeFalse())
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(7 * many))
+		Expect(b.Job("j").HasItems()).To(BeFalse())
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(7 * many))
 		_, err = b.ApplyItems(batch.ItemsKey("j"), apart)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(b.Job("j").Items).To(HaveLen(many))
@@ -135,32 +135,32 @@
 				list.Items = append(list.Items, batch.Item{ID: fmt.Sprintf("j-%d", i), Tokens: n})
 			}
 			done := rapid.SliceOfNDistinct(rapid.IntRange(0, len(tokens)-1), 0, len(tokens), rapid.ID).Draw(t, "finished")
-			steps := []func(*batch.Book) error{
-				func(b *batch.Book) error { _, err := b.ApplyJob(batch.AcceptedKey("j"), encode(&record)); return err },
+			steps := []func(*batch.Store) error{
+				func(b *batch.Store) error { _, err := b.ApplyJob(batch.AcceptedKey("j"), encode(&record)); return err },
 			}
 			if rapid.Bool().Draw(t, "listed") {
-				steps = append(steps, func(b *batch.Book) error { _, err := b.ApplyItems(batch.ItemsKey("j"), encode(list)); return err })
+				steps = append(steps, func(b *batch.Store) error { _, err := b.ApplyItems(batch.ItemsKey("j"), encode(list)); return err })
 			}
 			want := record.Tokens
 			for _, i := range done {
 				want -= tokens[i]
-				steps = append(steps, func(b *batch.Book) error {
+				steps = append(steps, func(b *batch.Store) error {
 					r := batch.Result{Item: i, ID: fmt.Sprintf("j-%d", i), State: batch.Succeeded, Tokens: tokens[i]}
 					_, err := b.ApplyResult(batch.ResultKey("j", i), encode(r))
 					return err
 				})
 			}
-			book := batch.NewBook()
+			book := batch.NewStore()
 			for _, step := range rapid.Permutation(steps).Draw(t, "order") {
 				if err := step(book); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if got := book.Waiting(quota); got != want {
+			if got := book.WaitingTokens(quota); got != want {
 				t.Fatalf("%d tokens wait, want %d", got, want)
 			}
-			if _, err := book.ApplyJob(batch.EndedKey("j"), []byte{1}); err != nil || book.Waiting(quota) != 0 {
-				t.Fatalf("%d tokens wait after the end: %v", book.Waiting(quota), err)
+			if _, err := book.ApplyJob(batch.EndedKey("j"), []byte{1}); err != nil || book.WaitingTokens(quota) != 0 {
+				t.Fatalf("%d tokens wait after the end: %v", book.WaitingTokens(quota), err)
 			}
 		})
 	})
@@ -174,8 +174,8 @@
 			_, err := b.ApplyItems(batch.ItemsKey("j"), encode(foreign))
 			Expect(err).To(HaveOccurred())
 		}
-		Expect(b.Job("j").Listed()).To(BeFalse())
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(30))
+		Expect(b.Job("j").HasItems()).To(BeFalse())
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(30))
 	})
 
 	// An item ran at two daemons. The second result must neither change the output that a
@@ -195,7 +195,7 @@
 		job(batch.EndedKey("k"), []byte{1})
 		job(batch.AcceptedKey("j"), accepted("j", 10, 20))
 		job(batch.AcceptedKey("k"), accepted("k", 40))
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(20))
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(20))
 		Expect(b.Job("k").Open()).To(BeFalse())
 	})
 
@@ -203,11 +203,11 @@
 		job(batch.AcceptedKey("j"), accepted("j", 1))
 		job(batch.AcceptedKey("open"), accepted("open", 1))
 		result("j", 0, "x")
-		Expect(b.Forgettable(time.UnixMilli(1000).Add(time.Minute), time.Minute)).To(BeEmpty())
-		Expect(b.Forgettable(time.UnixMilli(1001).Add(time.Minute), time.Minute)).To(Equal([]string{"j"}))
-		Expect(job(batch.AcceptedKey("j"), nil).Forgotten).To(BeTrue())
+		Expect(b.Expired(time.UnixMilli(1000).Add(time.Minute), time.Minute)).To(BeEmpty())
+		Expect(b.Expired(time.UnixMilli(1001).Add(time.Minute), time.Minute)).To(Equal([]string{"j"}))
+		Expect(job(batch.AcceptedKey("j"), nil).Removed).To(BeTrue())
 		Expect(b.Job("j")).To(BeNil())
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(1))
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(1))
 	})
 
 	// A job is removed from the log while a daemon does not read it. Its tokens must not
@@ -215,9 +215,9 @@
 	It("removes the accepted jobs that the log no longer holds", func() {
 		job(batch.AcceptedKey("j"), accepted("j", 5))
 		job(batch.AcceptedKey("open"), accepted("open", 1))
-		Expect(b.Retain(map[string]bool{"open": true})).To(Equal([]batch.Change{{Job: "j", Forgotten: true}}))
+		Expect(b.Retain(map[string]bool{"open": true})).To(Equal([]batch.Change{{Job: "j", Removed: true}}))
 		Expect(b.Job("j")).To(BeNil())
-		Expect(b.Waiting(quota)).To(BeEquivalentTo(1))
+		Expect(b.WaitingTokens(quota)).To(BeEquivalentTo(1))
 		id, ok := batch.ParseAcceptedKey(batch.AcceptedKey("a/b"))
 		Expect(ok).To(BeTrue())
 		Expect(id).To(Equal("a/b"))
@@ -252,7 +252,7 @@
 				value  []byte
 				offset int64
 			}
-			whole := batch.NewBook()
+			whole := batch.NewStore()
 			seen := map[int]bool{}
 			newest := map[string]record{}
 			steps := rapid.SliceOfN(rapid.IntRange(0, 9), 0, 30).Draw(t, "items")
@@ -275,7 +275,7 @@
 				kept = append(kept, r)
 			}
 			slices.SortFunc(kept, func(a, b record) int { return cmp.Compare(a.offset, b.offset) })
-			restarted := batch.NewBook()
+			restarted := batch.NewStore()
 			for _, r := range kept {
 				if _, err := restarted.ApplyResult(r.key, r.value); err != nil {
 					t.Fatal(err)
--- a/core/batch/book.go
+++ b/core/batch/book.go
@@ -28,7 +28,7 @@
 
 // HasItems reports whether the job's items are known. They are not known if their list is
 // stored separately from the acceptance and has not been read.
-func (j *Job) Listed() bool { return len(j.Items) > 0 }
+func (j *Job) HasItems() bool { return len(j.Items) > 0 }
 
 // Finished reports whether the item has a result.
 func (j *Job) Finished(item int) bool { return j.finished[item] }
@@ -48,12 +48,12 @@
 
 // matches reports whether the result belongs to one of the job's items.
 func (j *Job) matches(r *Result) bool {
-	return r.Item < j.Count && (!j.Listed() || j.Items[r.Item].ID == r.ID)
+	return r.Item < j.Count && (!j.HasItems() || j.Items[r.Item].ID == r.ID)
 }
 
 // tokensOf returns the tokens to subtract from the waiting tokens for a result.
 func (j *Job) tokensOf(r *Result) int64 {
-	if j.Listed() {
+	if j.HasItems() {
 		return j.Items[r.Item].Tokens
 	}
 	return min(r.Tokens, j.Tokens-j.doneTokens)
@@ -79,26 +79,26 @@
 	// Job is the ID of the changed job, "" for none.
 	Job string
 	// Removed reports that the job was removed from the store.
-	Forgotten bool
+	Removed bool
 }
 
 // Store is the state of all jobs.
-type Book struct {
+type Store struct {
 	jobs map[string]*Job
 	// waiting holds, by quota, the sum of the tokens of accepted items without a result.
 	waiting map[string]int64
 }
 
 // NewStore returns an empty store.
-func NewBook() *Book {
-	return &Book{jobs: map[string]*Job{}, waiting: map[string]int64{}}
+func NewStore() *Store {
+	return &Store{jobs: map[string]*Job{}, waiting: map[string]int64{}}
 }
 
 // Job returns a job, or nil if no record of it was read. The caller must not modify it.
-func (s *Book) Job(id string) *Job { return s.jobs[id] }
+func (s *Store) Job(id string) *Job { return s.jobs[id] }
 
 // Jobs calls visit for every accepted job.
-func (s *Book) Jobs(visit func(*Job)) {
+func (s *Store) Jobs(visit func(*Job)) {
 	for _, j := range s.jobs {
 		if j.Accepted {
 			visit(j)
@@ -107,14 +107,14 @@
 }
 
 // Len returns the number of jobs in the store.
-func (s *Book) Len() int { return len(s.jobs) }
+func (s *Store) Len() int { return len(s.jobs) }
 
 // WaitingTokens returns the tokens that count towards a quota.
-func (s *Book) Waiting(quota string) int64 { return s.waiting[quota] }
+func (s *Store) WaitingTokens(quota string) int64 { return s.waiting[quota] }
 
 // ApplyJob applies a record of the partition that holds acceptances and ends. Records must
 // be applied in log order.
-func (s *Book) ApplyJob(key string, value []byte) (Change, error) {
+func (s *Store) ApplyJob(key string, value []byte) (Change, error) {
 	if id, ok := strings.CutPrefix(key, endedPrefix); ok {
 		return s.applyEnd(id, value), nil
 	}
@@ -138,7 +138,7 @@
 
 // accept applies an acceptance. A repeated one changes nothing: the first in log order
 // defines the job.
-func (s *Book) accept(record JobRecord) Change {
+func (s *Store) accept(record JobRecord) Change {
 	j := s.job(record.ID)
 	if j.Accepted {
 		return Change{}
@@ -163,7 +163,7 @@
 }
 
 // ApplyItems applies an item list that is stored separately from its job's acceptance.
-func (s *Book) ApplyItems(key string, value []byte) (Change, error) {
+func (s *Store) ApplyItems(key string, value []byte) (Change, error) {
 	id, ok := ParseItemsKey(key)
 	if !ok || len(value) == 0 {
 		return Change{}, nil
@@ -176,7 +176,7 @@
 	if !validItems(list.Items) || len(list.Items) > maxItemNumber || j.Accepted && !j.matchesItems(list.Items) {
 		return Change{}, ErrRecord.New("record %q is not a valid item list of the job in its key", key)
 	}
-	if j.Listed() {
+	if j.HasItems() {
 		return Change{}, nil
 	}
 	counted := j.Accepted && !j.Ended
@@ -193,7 +193,7 @@
 	return Change{Job: id}, nil
 }
 
-func (s *Book) applyEnd(id string, value []byte) Change {
+func (s *Store) applyEnd(id string, value []byte) Change {
 	if len(value) == 0 {
 		return Change{}
 	}
@@ -210,7 +210,7 @@
 
 // ApplyResult applies a record of a partition of results. Records must be applied in log
 // order: the order determines the positions, and the first result of an item is final.
-func (s *Book) ApplyResult(key string, value []byte) (Change, error) {
+func (s *Store) ApplyResult(key string, value []byte) (Change, error) {
 	id, item, err := parseResultKey(key)
 	if err != nil || len(value) == 0 {
 		return Change{}, err
@@ -242,7 +242,7 @@
 }
 
 // remove deletes a job.
-func (s *Book) remove(id string) Change {
+func (s *Store) remove(id string) Change {
 	j := s.jobs[id]
 	if j == nil {
 		return Change{}
@@ -251,11 +251,11 @@
 		s.waiting[j.Quota] -= j.waitingTokens()
 	}
 	delete(s.jobs, id)
-	return Change{Job: id, Forgotten: true}
+	return Change{Job: id, Removed: true}
 }
 
 // Retain removes the accepted jobs that are not in kept.
-func (s *Book) Retain(kept map[string]bool) []Change {
+func (s *Store) Retain(kept map[string]bool) []Change {
 	var changes []Change
 	for id, j := range s.jobs {
 		if j.Accepted && !kept[id] {
@@ -267,7 +267,7 @@
 
 // Expired returns the IDs of the accepted jobs whose retention period is over: no item may
 // still run and they were accepted longer than keep ago.
-func (s *Book) Forgettable(now time.Time, keep time.Duration) []string {
+func (s *Store) Expired(now time.Time, keep time.Duration) []string {
 	var ids []string
 	for id, j := range s.jobs {
 		age := now.Sub(time.UnixMilli(j.AcceptedMs))
@@ -278,7 +278,7 @@
 	return ids
 }
 
-func (s *Book) job(id string) *Job {
+func (s *Store) job(id string) *Job {
 	j := s.jobs[id]
 	if j == nil {
 		j = &Job{JobRecord: JobRecord{ID: id}, finished: map[int]bool{}}
--- a/core/batch/fuzz_test.go
+++ b/core/batch/fuzz_test.go
@@ -30,7 +30,7 @@
 	f.Add("j/00001/999999999", []byte{1})
 	f.Add("\xff", []byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		book := batch.NewBook()
+		book := batch.NewStore()
 		apply(t, book.ApplyResult, batch.ResultKey("k", 0), encode(result))
 		apply(t, book.ApplyJob, batch.AcceptedKey("j"), encode(good))
 		_, _ = book.ApplyJob(key, value)
@@ -53,7 +53,7 @@
 				t.Fatalf("%q brought the result %+v", key, r)
 			}
 		}
-		if got, want := book.Waiting("q"), waitingTokens(j); got < want {
+		if got, want := book.WaitingTokens("q"), waitingTokens(j); got < want {
 			t.Fatalf("%q left %d tokens waiting, the job has %d", key, got, want)
 		}
 	})
--- a/core/batch/order.go
+++ b/core/batch/order.go
@@ -91,7 +91,7 @@
 )
 
 // Estimator estimates the remaining run time of items from moving averages of past runs.
-type Speed struct {
+type Estimator struct {
 	perEvent     time.Duration
 	perToken     float64
 	avgSlots     float64
@@ -101,7 +101,7 @@
 
 // ObserveRun records a run that produced the number of events in the time took. Runs with
 // fewer than minNewEvents events are ignored.
-func (e *Speed) Ran(events int64, took time.Duration) {
+func (e *Estimator) ObserveRun(events int64, took time.Duration) {
 	if events < minNewEvents || took <= 0 {
 		return
 	}
@@ -115,7 +115,7 @@
 
 // ObserveFinished records the number of events of a finished item. tokens is the sum of
 // its prompt tokens and the maximum number of tokens it may generate.
-func (e *Speed) Finished(events, tokens int64) {
+func (e *Estimator) ObserveFinished(events, tokens int64) {
 	if events <= 0 || tokens <= 0 {
 		return
 	}
@@ -128,7 +128,7 @@
 }
 
 // ObserveSlots records the number of slots that items occupy now.
-func (e *Speed) Had(now time.Time, slots int) {
+func (e *Estimator) ObserveSlots(now time.Time, slots int) {
 	if e.slotsAt.IsZero() {
 		e.slotsAt = now
 		return
@@ -142,13 +142,13 @@
 
 // Slots returns the recent average number of slots that items occupied. known is false
 // until the average covers slotsWindow.
-func (e *Speed) Places() (slots float64, known bool) {
+func (e *Estimator) Slots() (slots float64, known bool) {
 	return max(minSlots, e.avgSlots), e.slotsCovered >= slotsWindow
 }
 
 // Remaining estimates the remaining run time of an item of which received events have
 // arrived; 0 before the first observation.
-func (e *Speed) Left(tokens, received int64) time.Duration {
+func (e *Estimator) Remaining(tokens, received int64) time.Duration {
 	events := e.perToken*float64(tokens) - float64(received)
 	return time.Duration(max(0, events) * float64(e.perEvent))
 }
--- a/core/batch/order_test.go
+++ b/core/batch/order_test.go
@@ -117,22 +117,22 @@
 }
 
 func TestEstimatorLearns(t *testing.T) {
-	var s batch.Speed
-	if s.Left(1000, 0) != 0 {
+	var s batch.Estimator
+	if s.Remaining(1000, 0) != 0 {
 		t.Fatal("estimate is not 0 before the first observation")
 	}
 	for range 50 {
-		s.Ran(100, 3*time.Second)
-		s.Finished(200, 1000)
+		s.ObserveRun(100, 3*time.Second)
+		s.ObserveFinished(200, 1000)
 	}
-	if got := s.Left(1000, 150); got < 1400*time.Millisecond || got > 1600*time.Millisecond {
+	if got := s.Remaining(1000, 150); got < 1400*time.Millisecond || got > 1600*time.Millisecond {
 		t.Fatalf("50 events of 30 ms are %v", got)
 	}
 	now := time.Unix(1000, 0)
 	for i := range 200 {
-		s.Had(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
+		s.ObserveSlots(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
 	}
-	if slots, known := s.Places(); !known || slots < 4 || slots > 6 {
+	if slots, known := s.Slots(); !known || slots < 4 || slots > 6 {
 		t.Fatalf("%v slots, known: %v", slots, known)
 	}
 }
--- a/core/batch/progress.go
+++ b/core/batch/progress.go
@@ -30,7 +30,7 @@
 // ShouldSave reports whether the progress of an item should be saved again: events is the
 // number of events received, saved the number at the last save, and bytes the size of the
 // output.
-func WorthKeeping(events, saved int64, bytes int) bool {
+func ShouldSave(events, saved int64, bytes int) bool {
 	grown := events - saved
 	return grown >= minNewEvents && float64(grown) >= minGrowth*float64(saved) && bytes <= maxProgressBytes
 }
--- a/core/batch/progress_test.go
+++ b/core/batch/progress_test.go
@@ -16,7 +16,7 @@
 		events, kept, written := int64(0), int64(0), int64(0)
 		for range rapid.IntRange(1, 100).Draw(t, "looks") {
 			events += rapid.Int64Range(0, 40).Draw(t, "more")
-			if batch.WorthKeeping(events, kept, 0) {
+			if batch.ShouldSave(events, kept, 0) {
 				kept = events
 				written += events
 			}
--- a/core/batch/ways.go
+++ b/core/batch/ways.go
@@ -5,7 +5,7 @@
 // Attempts combines the outcomes of concurrent attempts to submit one job: to the log
 // directly and through other daemons. The job is accepted once, as soon as any attempt is
 // accepted; it is refused only after every attempt has ended.
-type Ways struct {
+type Attempts struct {
 	inProgress int
 	accepted   bool
 	refusal    *outcome.Refusal
@@ -15,10 +15,10 @@
 }
 
 // Begin records the start of an attempt.
-func (a *Ways) Begin() { a.inProgress++ }
+func (a *Attempts) Begin() { a.inProgress++ }
 
 // End records the end of an attempt; a nil refusal means that the job was accepted.
-func (a *Ways) End(refusal *outcome.Refusal) {
+func (a *Attempts) End(refusal *outcome.Refusal) {
 	a.inProgress--
 	if refusal == nil {
 		a.accepted = true
@@ -35,18 +35,18 @@
 }
 
 // Accepted reports whether an attempt was accepted.
-func (a *Ways) Accepted() bool { return a.accepted }
+func (a *Attempts) Accepted() bool { return a.accepted }
 
 // Open reports whether an attempt is still in progress.
-func (a *Ways) Open() bool { return a.inProgress > 0 }
+func (a *Attempts) Open() bool { return a.inProgress > 0 }
 
 // Final reports whether another attempt could not succeed: the job itself was refused, not
 // the attempt because the log was unavailable.
-func (a *Ways) Final() bool { return a.refusal != nil && a.refusal.Code != outcome.LogUnavailable }
+func (a *Attempts) Final() bool { return a.refusal != nil && a.refusal.Code != outcome.LogUnavailable }
 
 // Refusal returns the combined refusal after all attempts have ended, nil if the job was
 // accepted.
-func (a *Ways) Refusal() *outcome.Refusal {
+func (a *Attempts) Refusal() *outcome.Refusal {
 	if a.accepted {
 		return nil
 	}
--- a/core/batch/ways_test.go
+++ b/core/batch/ways_test.go
@@ -19,7 +19,7 @@
 		outcome.Refuse(outcome.CallerLimit, "full"),
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		var w batch.Ways
+		var w batch.Attempts
 		accepted, mayHaveRun, limit := false, false, false
 		n := rapid.IntRange(1, 4).Draw(t, "ways")
 		for range n {
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -11,8 +11,8 @@
 // daemon with work renews it every ReportInterval. It bounds how long the work of a
 // daemon that died is still counted.
 const (
-	WordLife   = 1500 * time.Millisecond
-	RenewEvery = 500 * time.Millisecond
+	LoadReportTTL  = 1500 * time.Millisecond
+	ReportInterval = 500 * time.Millisecond
 )
 
 // Count is the number of requests that one daemon runs at one target.
@@ -23,7 +23,7 @@
 
 // LoadReport is one daemon's counts by target ID. Reports of one daemon are numbered, so
 // that a late one never replaces a newer one.
-type Word struct {
+type LoadReport struct {
 	From   string
 	Number uint64
 	Counts map[string]Count
@@ -41,10 +41,12 @@
 
 // Empty reports whether the report contains nothing that others wait for. A daemon that
 // only holds partitions sends no reports.
-func (w *Word) Empty() bool { return len(w.Counts) == 0 && len(w.Held) == 0 && len(w.Doubts) == 0 }
+func (w *LoadReport) Empty() bool {
+	return len(w.Counts) == 0 && len(w.Held) == 0 && len(w.Doubts) == 0
+}
 
 type receivedReport struct {
-	report     Word
+	report     LoadReport
 	receivedAt time.Time
 }
 
@@ -53,7 +55,7 @@
 // The counts of the other daemons are kept as a sum for each target that changes with
 // each report, since it is read for every target on every request: adding up the reports
 // each time would cost daemons x targets.
-type Board struct {
+type LoadTable struct {
 	self  string
 	zone  string
 	local map[string]Count
@@ -68,18 +70,18 @@
 }
 
 // New returns the load table of the daemon called self in an availability zone.
-func New(self, zone string) *Board {
-	return &Board{
+func New(self, zone string) *LoadTable {
+	return &LoadTable{
 		self: self, zone: zone, local: map[string]Count{}, peers: map[string]receivedReport{},
 		sum: map[string]Count{},
 	}
 }
 
 // Self returns the local daemon's name.
-func (b *Board) Self() string { return b.self }
+func (b *LoadTable) Self() string { return b.self }
 
 // Add changes the local counts at a target.
-func (b *Board) Add(target string, online, batch int) { add(b.local, target, Count{online, batch}) }
+func (b *LoadTable) Add(target string, online, batch int) { add(b.local, target, Count{online, batch}) }
 
 // add changes one entry and deletes it if it becomes zero.
 func add(counts map[string]Count, target string, by Count) {
@@ -94,10 +96,10 @@
 }
 
 // LocalCounts returns a copy of all local counts.
-func (b *Board) Counts() map[string]Count { return maps.Clone(b.local) }
+func (b *LoadTable) LocalCounts() map[string]Count { return maps.Clone(b.local) }
 
 // ApplyReport applies another daemon's load report.
-func (b *Board) Hear(now time.Time, report Word) {
+func (b *LoadTable) ApplyReport(now time.Time, report LoadReport) {
 	if report.From == b.self {
 		return
 	}
@@ -120,13 +122,13 @@
 }
 
 // drop removes a report that the sums include.
-func (b *Board) drop(report Word) {
+func (b *LoadTable) drop(report LoadReport) {
 	delete(b.peers, report.From)
 	b.addToSums(report, -1)
 }
 
 // addToSums adds a report to the sums; sign -1 subtracts it.
-func (b *Board) addToSums(report Word, sign int) {
+func (b *LoadTable) addToSums(report LoadReport, sign int) {
 	for target, c := range report.Counts {
 		add(b.sum, target, Count{sign * c.Online, sign * c.Batch})
 	}
@@ -137,13 +139,13 @@
 
 // expire removes the reports that were not renewed. It scans them only when one may have
 // expired.
-func (b *Board) expire(now time.Time) {
-	if len(b.peers) == 0 || now.Sub(b.oldest) <= WordLife {
+func (b *LoadTable) expire(now time.Time) {
+	if len(b.peers) == 0 || now.Sub(b.oldest) <= LoadReportTTL {
 		return
 	}
 	b.oldest = now
 	for _, h := range b.peers {
-		if now.Sub(h.receivedAt) > WordLife {
+		if now.Sub(h.receivedAt) > LoadReportTTL {
 			b.drop(h.report)
 		} else if h.receivedAt.Before(b.oldest) {
 			b.oldest = h.receivedAt
@@ -152,7 +154,7 @@
 }
 
 // PeerCount returns how many requests the other daemons run at a target.
-func (b *Board) Others(now time.Time, target string) Count {
+func (b *LoadTable) PeerCount(now time.Time, target string) Count {
 	b.expire(now)
 	return b.sum[target]
 }
@@ -160,7 +162,7 @@
 // DegradedTargets returns, for the targets that other daemons of the local zone report as
 // degraded, the highest number of consecutive failures that one of them reports. The map
 // must not be changed.
-func (b *Board) Doubts(now time.Time) map[string]int {
+func (b *LoadTable) DegradedTargets(now time.Time) map[string]int {
 	b.expire(now)
 	if b.degraded != nil {
 		return b.degraded
@@ -178,17 +180,17 @@
 }
 
 // HeldByPeers returns the batch items that other daemons still run.
-func (b *Board) HeldElsewhere(now time.Time) map[uint64]bool {
-	return collect(b, now, func(w *Word) []uint64 { return w.Held })
+func (b *LoadTable) HeldByPeers(now time.Time) map[uint64]bool {
+	return collect(b, now, func(w *LoadReport) []uint64 { return w.Held })
 }
 
 // PartitionsOfPeers returns the partitions that other daemons are certain to hold.
-func (b *Board) PartsElsewhere(now time.Time) map[int]bool {
-	return collect(b, now, func(w *Word) []int { return w.Parts })
+func (b *LoadTable) PartitionsOfPeers(now time.Time) map[int]bool {
+	return collect(b, now, func(w *LoadReport) []int { return w.Parts })
 }
 
 // collect returns the set of everything that the peers' valid reports list.
-func collect[T comparable](b *Board, now time.Time, list func(*Word) []T) map[T]bool {
+func collect[T comparable](b *LoadTable, now time.Time, list func(*LoadReport) []T) map[T]bool {
 	b.expire(now)
 	all := map[T]bool{}
 	for _, h := range b.peers {
@@ -200,15 +202,15 @@
 }
 
 // Total adds up what all daemons run at a target.
-func (b *Board) Total(now time.Time, target string) Count {
-	sum := b.Others(now, target)
+func (b *LoadTable) Total(now time.Time, target string) Count {
+	sum := b.PeerCount(now, target)
 	sum.Online += b.local[target].Online
 	sum.Batch += b.local[target].Batch
 	return sum
 }
 
 // WithoutLocal returns counts less the local counts.
-func (b *Board) Less(counts map[string]Count) map[string]Count {
+func (b *LoadTable) WithoutLocal(counts map[string]Count) map[string]Count {
 	peers := make(map[string]Count, len(counts))
 	for target, c := range counts {
 		local := b.local[target]
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -20,8 +20,8 @@
 var now = time.Unix(1000, 0)
 
 // fleet returns the load tables of daemons that have received all reports of each other.
-func fleet(counts []board.Count) []*board.Board {
-	boards := make([]*board.Board, len(counts))
+func fleet(counts []board.Count) []*board.LoadTable {
+	boards := make([]*board.LoadTable, len(counts))
 	for i, c := range counts {
 		boards[i] = board.New(fmt.Sprintf("d%d", i), "z")
 		boards[i].Add("t", c.Online, c.Batch)
@@ -29,7 +29,7 @@
 	for i, b := range boards {
 		for j, other := range boards {
 			if i != j {
-				b.Hear(now, board.Word{From: other.Self(), Number: 1, Zone: "z", Counts: other.Counts()})
+				b.ApplyReport(now, board.LoadReport{From: other.Self(), Number: 1, Zone: "z", Counts: other.LocalCounts()})
 			}
 		}
 	}
@@ -40,37 +40,37 @@
 	It("adds up the local counts and the peers' valid reports", func() {
 		boards := fleet([]board.Count{{Online: 1, Batch: 2}, {Online: 3}, {Batch: 4}})
 		Expect(boards[0].Total(now, "t")).To(Equal(board.Count{Online: 4, Batch: 6}))
-		later := now.Add(board.WordLife + 1)
+		later := now.Add(board.LoadReportTTL + 1)
 		Expect(boards[0].Total(later, "t")).To(Equal(board.Count{Online: 1, Batch: 2}))
 	})
 
 	It("does not replace a newer report by a late one, and accepts a restarted daemon's", func() {
 		b := board.New("self", "z")
-		report := func(number uint64, online int) board.Word {
-			return board.Word{From: "x", Number: number, Counts: map[string]board.Count{"t": {Online: online}}}
+		report := func(number uint64, online int) board.LoadReport {
+			return board.LoadReport{From: "x", Number: number, Counts: map[string]board.Count{"t": {Online: online}}}
 		}
-		b.Hear(now, report(5, 5))
-		b.Hear(now, report(4, 4))
+		b.ApplyReport(now, report(5, 5))
+		b.ApplyReport(now, report(4, 4))
 		Expect(b.Total(now, "t").Online).To(Equal(5))
-		later := now.Add(board.WordLife + 1)
-		b.Hear(later, report(1, 1))
+		later := now.Add(board.LoadReportTTL + 1)
+		b.ApplyReport(later, report(1, 1))
 		Expect(b.Total(later, "t").Online).To(Equal(1))
 	})
 
 	It("removes a daemon that reports that it runs nothing", func() {
 		b := board.New("self", "z")
-		b.Hear(now, board.Word{From: "x", Number: 1, Counts: map[string]board.Count{"t": {Online: 1}}})
-		b.Hear(now, board.Word{From: "x", Number: 2})
+		b.ApplyReport(now, board.LoadReport{From: "x", Number: 1, Counts: map[string]board.Count{"t": {Online: 1}}})
+		b.ApplyReport(now, board.LoadReport{From: "x", Number: 2})
 		Expect(b.Total(now, "t")).To(BeZero())
 	})
 
 	It("returns the items that peers still run, as long as they report them", func() {
 		b := board.New("self", "z")
-		b.Hear(now, board.Word{From: "x", Number: 1, Held: []uint64{7}})
-		Expect(b.HeldElsewhere(now)).To(HaveKey(uint64(7)))
-		Expect(b.HeldElsewhere(now.Add(board.WordLife + 1))).To(BeEmpty())
-		b.Hear(now, board.Word{From: "x", Number: 2})
-		Expect(b.HeldElsewhere(now)).To(BeEmpty())
+		b.ApplyReport(now, board.LoadReport{From: "x", Number: 1, Held: []uint64{7}})
+		Expect(b.HeldByPeers(now)).To(HaveKey(uint64(7)))
+		Expect(b.HeldByPeers(now.Add(board.LoadReportTTL + 1))).To(BeEmpty())
+		b.ApplyReport(now, board.LoadReport{From: "x", Number: 2})
+		Expect(b.HeldByPeers(now)).To(BeEmpty())
 	})
 
 	// The sums change with each report. One that is subtracted wrongly leaves load that
@@ -78,10 +78,10 @@
 	It("sums the valid reports, whatever order they arrive in", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			b := board.New("self", "z")
-			at, reports, receivedAt := now, map[string]board.Word{}, map[string]time.Time{}
+			at, reports, receivedAt := now, map[string]board.LoadReport{}, map[string]time.Time{}
 			for range rapid.IntRange(1, 40).Draw(t, "steps") {
 				at = at.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
-				w := board.Word{
+				w := board.LoadReport{
 					From: rapid.SampledFrom([]string{"x", "y", "v"}).Draw(t, "from"), Number: rapid.Uint64Range(1, 9).Draw(t, "number"),
 					Zone: rapid.SampledFrom([]string{"z", "far"}).Draw(t, "zone"),
 					Counts: rapid.MapOf(rapid.SampledFrom([]string{"a", "b"}), rapid.Custom(func(t *rapid.T) board.Count {
@@ -90,12 +90,12 @@
 					Doubts: rapid.MapOf(rapid.SampledFrom([]string{"a", "b"}), rapid.IntRange(1, 5)).Draw(t, "doubts"),
 				}
 				for from, when := range receivedAt {
-					if at.Sub(when) > board.WordLife {
+					if at.Sub(when) > board.LoadReportTTL {
 						delete(reports, from)
 						delete(receivedAt, from)
 					}
 				}
-				b.Hear(at, w)
+				b.ApplyReport(at, w)
 				if last, known := reports[w.From]; known && w.Number < last.Number {
 					continue
 				}
@@ -113,10 +113,10 @@
 							failures = max(failures, report.Doubts[target])
 						}
 					}
-					if got := b.Others(at, target); got != sum {
+					if got := b.PeerCount(at, target); got != sum {
 						t.Fatalf("%v at %s, want %v", got, target, sum)
 					}
-					if got := b.Doubts(at)[target]; got != failures {
+					if got := b.DegradedTargets(at)[target]; got != failures {
 						t.Fatalf("%d failures at %s, want %d", got, target, failures)
 					}
 				}
@@ -140,7 +140,7 @@
 			slots := rapid.IntRange(1, 16).Draw(t, "slots")
 			sum := 0
 			for i, b := range fleet(counts) {
-				local := b.Yield(now, "t", slots)
+				local := b.PreemptCount(now, "t", slots)
 				if local > counts[i].Batch {
 					t.Fatalf("daemon %d stops %d of %d", i, local, counts[i].Batch)
 				}
@@ -164,7 +164,7 @@
 				b.Add(target, own.Online, own.Batch)
 				all[target] = board.Count{Online: own.Online + others.Online, Batch: own.Batch + others.Batch}
 			}
-			b.Hear(now, board.Word{From: "zone z", Number: 1, Counts: b.Less(all)})
+			b.ApplyReport(now, board.LoadReport{From: "zone z", Number: 1, Counts: b.WithoutLocal(all)})
 			for target, want := range all {
 				if got := b.Total(now, target); got != want {
 					t.Fatalf("%v at %s, want %v", got, target, want)
@@ -172,7 +172,7 @@
 			}
 			// Work that began since the report is not in it.
 			b.Add("a", 1, 0)
-			if got := b.Less(all)["a"].Online; got != max(0, all["a"].Online-b.Counts()["a"].Online) {
+			if got := b.WithoutLocal(all)["a"].Online; got != max(0, all["a"].Online-b.LocalCounts()["a"].Online) {
 				t.Fatalf("%d others at a", got)
 			}
 		})
--- a/core/board/yield.go
+++ b/core/board/yield.go
@@ -13,7 +13,7 @@
 // other's load reports. They decide independently and at the same time: each takes its
 // turn in an order that all of them know, so that together they stop the excess and
 // hardly more.
-func (b *Board) Yield(now time.Time, target string, slots int) int {
+func (b *LoadTable) PreemptCount(now time.Time, target string, slots int) int {
 	total := b.Total(now, target)
 	excess := min(total.Online+total.Batch-slots, total.Batch)
 	local := b.local[target].Batch
@@ -32,7 +32,7 @@
 
 // localShare assigns the excess items to the daemons in turns, one at a time, and returns
 // how many are local.
-func (b *Board) localShare(target string, excess int) int {
+func (b *LoadTable) localShare(target string, excess int) int {
 	local := 0
 	all := b.holders(target)
 	for assigned := true; assigned && excess > 0; {
@@ -53,7 +53,7 @@
 }
 
 // holders returns the daemons with batch items at the target, sorted by rank.
-func (b *Board) holders(target string) []holder {
+func (b *LoadTable) holders(target string) []holder {
 	all := []holder{{b.self, rank(target, b.self), b.local[target].Batch}}
 	for name, h := range b.peers {
 		if n := h.report.Counts[target].Batch; n > 0 {
--- a/core/burn/burn_test.go
+++ b/core/burn/burn_test.go
@@ -198,7 +198,7 @@
 	It("counts failures that the fleet could have avoided, and none that the caller caused", func() {
 		for code, want := range map[outcome.Code]burn.Outcome{
 			outcome.BadRequest: burn.NotCounted, outcome.CallerLimit: burn.NotCounted, outcome.Unprocessable: burn.NotCounted,
-			outcome.Condemned: burn.Failed, outcome.Overloaded: burn.Failed, outcome.OutcomeUnknown: burn.Failed,
+			outcome.Quarantined: burn.Failed, outcome.Overloaded: burn.Failed, outcome.OutcomeUnknown: burn.Failed,
 		} {
 			got, reason := burn.Classify(outcome.Refuse(code, ""))
 			Expect(got).To(Equal(want), string(code))
--- a/core/config/config.go
+++ b/core/config/config.go
@@ -89,7 +89,7 @@
 const (
 	// PolicyPreempt queues batch work in front of the targets and preempts running batch
 	// work for online requests at once.
-	PolicyGiveWay BatchPolicy = "give-way"
+	PolicyPreempt BatchPolicy = "give-way"
 	// PolicyNaive admits batch work like online work, for comparison.
 	PolicyNaive BatchPolicy = "naive"
 	// PolicyReserve keeps a fixed number of slots of each target free of batch work, for
--- a/core/config/group.go
+++ b/core/config/group.go
@@ -68,8 +68,8 @@
 
 // parseBatchAdmission reads the batch_* keys.
 func parseBatchAdmission(s *inifile.Section, fill int) BatchAdmission {
-	policy := s.Enum("batch_policy", string(PolicyGiveWay),
-		string(PolicyGiveWay), string(PolicyNaive), string(PolicyReserve))
+	policy := s.Enum("batch_policy", string(PolicyPreempt),
+		string(PolicyPreempt), string(PolicyNaive), string(PolicyReserve))
 	return BatchAdmission{
 		Policy:   BatchPolicy(policy),
 		Fill:     s.Int("batch_fill", fill, 0, maxSlots),
--- a/core/config/parse_test.go
+++ b/core/config/parse_test.go
@@ -32,7 +32,7 @@
 			BatchWeight: config.DefaultBatchWeight, SLO: config.SLO{DueShare: 0.99}}))
 		Expect(*c.GroupForModel("m")).To(Equal(config.TargetGroup{Name: "g", Kind: config.KindEngine, Model: "m",
 			Targets: []config.Target{{Address: "127.0.0.1:1", Zone: "z"}}, Slots: config.DefaultEngineSlots,
-			Batch: config.BatchAdmission{Policy: config.PolicyGiveWay, Fill: 6, Headroom: 1, CoolDown: 200 * time.Millisecond, Reserved: 4}}))
+			Batch: config.BatchAdmission{Policy: config.PolicyPreempt, Fill: 6, Headroom: 1, CoolDown: 200 * time.Millisecond, Reserved: 4}}))
 		limits := config.DefaultLimits()
 		limits.BodyBytes = 2 << 20
 		Expect(c.Limits).To(Equal(limits))
--- a/core/configlog/configlog_test.go
+++ b/core/configlog/configlog_test.go
@@ -24,7 +24,7 @@
 	records []configlog.Record
 	states  []configlog.State // after each record
 	first   int64
-	readers []*configlog.Folder
+	readers []*configlog.Replayer
 	ids     int
 }
 
@@ -58,15 +58,15 @@
 }
 
 // read passes at most n records that have not expired to a reader.
-func (w *world) read(t *rapid.T, f *configlog.Folder, n int) {
+func (w *world) read(t *rapid.T, f *configlog.Replayer, n int) {
 	var page []configlog.Input
 	for offset := max(f.Next(), w.first); offset < int64(len(w.records)) && len(page) < n; offset++ {
 		page = append(page, configlog.Input{Offset: offset, AtMs: offset, Data: encode(t, w.records[offset])})
 	}
-	f.Step(w.first, page)
+	f.Apply(w.first, page)
 }
 
-func (w *world) check(t *rapid.T, f *configlog.Folder) {
+func (w *world) check(t *rapid.T, f *configlog.Replayer) {
 	got := f.State()
 	if got.Through < 0 {
 		return
@@ -87,7 +87,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{}
 		for range 3 {
-			w.readers = append(w.readers, configlog.NewFolder())
+			w.readers = append(w.readers, configlog.NewReplayer())
 		}
 		pick := func(name string) int { return rapid.IntRange(0, 2).Draw(t, name) }
 		act := map[string]func(*rapid.T){
@@ -110,7 +110,7 @@
 				w.first = rapid.Int64Range(w.first, int64(len(w.records))).Draw(t, "first")
 			},
 			"read":    func(t *rapid.T) { w.read(t, w.readers[pick("reader")], rapid.IntRange(1, 9).Draw(t, "n")) },
-			"restart": func(*rapid.T) { w.readers[pick("reader")] = configlog.NewFolder() },
+			"restart": func(*rapid.T) { w.readers[pick("reader")] = configlog.NewReplayer() },
 			"adopt": func(*rapid.T) {
 				from, to := w.readers[pick("from")].State(), w.readers[pick("to")]
 				before := to.State().Version
@@ -140,19 +140,19 @@
 		if f.State().Version < before {
 			t.Fatalf("version fell from %d to %d", before, f.State().Version)
 		}
-		if f.Anchored() && f.State().Through != int64(len(w.records))-1 {
+		if f.Complete() && f.State().Through != int64(len(w.records))-1 {
 			t.Fatalf("anchored at %d of %d", f.State().Through, len(w.records))
 		}
 	}
-	fresh := configlog.NewFolder()
+	fresh := configlog.NewReplayer()
 	w.read(t, fresh, len(w.records)+1)
 	anchor := w.first == 0
 	for offset := w.first; offset < int64(len(w.records)); offset++ {
 		r := w.records[offset]
 		anchor = anchor || (r.Restate != nil && r.Restate.Through >= w.first-1) || (r.Change != nil && r.Change.Forced)
 	}
-	if fresh.Anchored() != anchor {
-		t.Fatalf("fresh reader anchored %v, want %v", fresh.Anchored(), anchor)
+	if fresh.Complete() != anchor {
+		t.Fatalf("fresh reader anchored %v, want %v", fresh.Complete(), anchor)
 	}
 	w.check(t, fresh)
 }
@@ -163,13 +163,13 @@
 	a := configlog.Change{ID: "a", Base: 0, Text: "A", Author: "thu"}
 	b := configlog.Change{ID: "b", Base: 0, Text: "B", Author: "minh"}
 	late := configlog.Change{ID: "late", Base: 1, Text: "L"}
-	f := configlog.NewFolder()
+	f := configlog.NewReplayer()
 	step := func(r configlog.Record) {
 		data, err := r.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Step(0, []configlog.Input{{Offset: f.Next(), Data: data}})
+		f.Apply(0, []configlog.Input{{Offset: f.Next(), Data: data}})
 	}
 	judged := func(c configlog.Change, want configlog.Verdict, winner string) {
 		t.Helper()
--- a/core/configlog/folder.go
+++ b/core/configlog/folder.go
@@ -24,7 +24,7 @@
 //   - Each state is the result of a prefix of the same stream, so of two states the one
 //     with the higher Through has the higher or equal version. The state is only replaced
 //     by one with a higher Through, which never lowers the version.
-type Folder struct {
+type Replayer struct {
 	state State
 	// pendingFrom is the offset where the buffered records begin; it equals
 	// state.Through+1 if there is no gap.
@@ -40,31 +40,31 @@
 }
 
 // NewReplayer returns a replayer that has read nothing.
-func NewFolder() *Folder { return &Folder{state: State{Through: -1}} }
+func NewReplayer() *Replayer { return &Replayer{state: State{Through: -1}} }
 
 // State returns the newest known state; the caller must not modify its history.
-func (f *Folder) State() State { return f.state }
+func (f *Replayer) State() State { return f.state }
 
 // Next returns the offset to read next.
-func (f *Folder) Next() int64 { return f.next }
+func (f *Replayer) Next() int64 { return f.next }
 
 // Complete reports whether the state includes every record read, that is, there is no gap.
-func (f *Folder) Anchored() bool { return f.pendingFrom == f.state.Through+1 }
+func (f *Replayer) Complete() bool { return f.pendingFrom == f.state.Through+1 }
 
 // RestatedMs returns when the newest record from which a new reader can start was written,
 // by the log's clock in Unix milliseconds; 0 if none is known.
-func (f *Folder) RestatedMs() int64 { return f.restatedMs }
+func (f *Replayer) RestatedMs() int64 { return f.restatedMs }
 
 // Malformed returns the number of records that could not be decoded; they have no effect.
-func (f *Folder) Malformed() uint64 { return f.malformed }
+func (f *Replayer) Malformed() uint64 { return f.malformed }
 
 // Regressed returns the number of states that were rejected because they have a higher
 // Through and a lower version. By the rules above, only corrupted states do.
-func (f *Folder) Regressed() uint64 { return f.regressed }
+func (f *Replayer) Regressed() uint64 { return f.regressed }
 
 // Apply applies a page of the stream: first is the earliest kept offset, and inputs continue
 // at max(Next, first).
-func (f *Folder) Step(first int64, inputs []Input) {
+func (f *Replayer) Apply(first int64, inputs []Input) {
 	if first > f.next {
 		f.openGap(first)
 	}
@@ -79,13 +79,13 @@
 
 // openGap records that the records from next up to first have expired before this reader
 // read them.
-func (f *Folder) openGap(first int64) {
+func (f *Replayer) openGap(first int64) {
 	f.pendingFrom, f.next = first, first
 	f.pending = nil
 	f.restatedMs = 0
 }
 
-func (f *Folder) applyInput(in Input) {
+func (f *Replayer) applyInput(in Input) {
 	record, err := Decode(in.Data)
 	if err != nil {
 		f.malformed++
@@ -96,7 +96,7 @@
 	if in.Offset == 0 {
 		f.restatedMs = in.AtMs
 	}
-	if f.Anchored() {
+	if f.Complete() {
 		f.applyRecord(in, record)
 		return
 	}
@@ -116,7 +116,7 @@
 
 // Adopt replaces the state with one from another daemon or a Restate if that is newer. It
 // reports whether it replaced the state.
-func (f *Folder) Adopt(s State) bool {
+func (f *Replayer) Adopt(s State) bool {
 	if s.Through <= f.state.Through {
 		return false
 	}
@@ -131,7 +131,7 @@
 }
 
 // applyPending applies the buffered records if the state includes every record before them.
-func (f *Folder) applyPending() {
+func (f *Replayer) applyPending() {
 	if f.state.Through+1 < f.pendingFrom {
 		return
 	}
@@ -149,7 +149,7 @@
 
 // applyRecord applies the record that follows the state. A Restate has no effect here: it
 // repeats a state that this reader already includes.
-func (f *Folder) applyRecord(in Input, r Record) {
+func (f *Replayer) applyRecord(in Input, r Record) {
 	f.state.Through = in.Offset
 	f.pendingFrom = in.Offset + 1
 	switch {
@@ -160,7 +160,7 @@
 	}
 }
 
-func (f *Folder) applyChange(in Input, c *Change) {
+func (f *Replayer) applyChange(in Input, c *Change) {
 	switch {
 	case c.Forced:
 		// The epoch is derived from the offset too, so that readers with and without the
--- a/core/election/election.go
+++ b/core/election/election.go
@@ -19,10 +19,10 @@
 const (
 	// HeartbeatInterval is the interval between a leader's heartbeats. At 49 daemons in a
 	// zone they cost the leader some 330 messages a second, and every other daemon 7.
-	HeartbeatEvery = 150 * time.Millisecond
+	HeartbeatInterval = 150 * time.Millisecond
 	// LeaderTimeout is how long after its last heartbeat a leader is still followed. It
 	// covers more than two heartbeats that are lost, or late on a busy host.
-	Silence = 500 * time.Millisecond
+	LeaderTimeout = 500 * time.Millisecond
 	// stagger is how much longer each further member in the order waits before it leads,
 	// up to maxStagger, so that after the loss of a leader one daemon takes over and not
 	// all of them at once. It is a few times the latency of a heartbeat within a zone.
@@ -34,7 +34,7 @@
 	maxFailures = 2
 	// ExclusionPeriod is how long such a leader is excluded. It bounds the cost of a
 	// wrong conclusion, and how often a leader that does not answer is tried again.
-	DeafFor = 2 * time.Second
+	ExclusionPeriod = 2 * time.Second
 )
 
 // Member is one daemon of the zone.
@@ -42,7 +42,7 @@
 	// Address is its peer address.
 	Address string
 	// Capacity is how much work its host can do, in any unit that all members share.
-	Room float64
+	Capacity float64
 }
 
 // Election is one daemon's view of who leads a zone.
@@ -82,7 +82,7 @@
 	e.members = slices.Clone(members)
 	ordered := slices.Clone(members)
 	slices.SortFunc(ordered, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.Room, a.Room), cmp.Compare(e.rank(a), e.rank(b)), cmp.Compare(a.Address, b.Address))
+		return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), cmp.Compare(e.rank(a), e.rank(b)), cmp.Compare(a.Address, b.Address))
 	})
 	clear(e.positions)
 	e.ordered = make([]string, 0, len(ordered))
@@ -106,7 +106,7 @@
 
 // ReceiveHeartbeat records a heartbeat and reports whether its sender is another member
 // of the zone.
-func (e *Election) Heard(now time.Time, address string) bool {
+func (e *Election) ReceiveHeartbeat(now time.Time, address string) bool {
 	if _, known := e.positions[address]; !known || address == e.self {
 		return false
 	}
@@ -127,7 +127,7 @@
 }
 
 // CallAnswered records that a leader answered a call.
-func (e *Election) Answered(address string) {
+func (e *Election) CallAnswered(address string) {
 	if p := e.peers[address]; p != nil {
 		p.failures = 0
 	}
@@ -135,7 +135,7 @@
 
 // CallFailed records a call without an answer; notListening is true if nothing listens at
 // the address.
-func (e *Election) Failed(now time.Time, address string, notListening bool) {
+func (e *Election) CallFailed(now time.Time, address string, notListening bool) {
 	p := e.peers[address]
 	if p == nil {
 		return
@@ -147,7 +147,7 @@
 	p.failures++
 	if p.failures >= maxFailures {
 		p.failures = 0
-		p.excludedUntil = now.Add(DeafFor)
+		p.excludedUntil = now.Add(ExclusionPeriod)
 	}
 }
 
@@ -165,7 +165,7 @@
 func (e *Election) Leader(now time.Time) (string, bool) {
 	best, found := e.self, e.leading
 	for address, p := range e.peers {
-		if now.Sub(p.heartbeat) > Silence || now.Before(p.excludedUntil) {
+		if now.Sub(p.heartbeat) > LeaderTimeout || now.Before(p.excludedUntil) {
 			continue
 		}
 		if !found || e.positions[address] < e.positions[best] {
@@ -187,12 +187,12 @@
 // such member stopped sending heartbeats or resigned, or none has sent any since this
 // daemon started to listen.
 func (e *Election) noBetterSince(position int) time.Time {
-	last := e.started.Add(Silence)
+	last := e.started.Add(LeaderTimeout)
 	if e.vacantSince.After(last) {
 		last = e.vacantSince
 	}
 	for address, p := range e.peers {
-		if end := p.heartbeat.Add(Silence); e.positions[address] < position && end.After(last) {
+		if end := p.heartbeat.Add(LeaderTimeout); e.positions[address] < position && end.After(last) {
 			last = end
 		}
 	}
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -48,9 +48,9 @@
 // advance advances the clock in steps of a tenth of a heartbeat interval.
 func (z *zone) advance(d time.Duration) {
 	const steps = 10
-	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(election.HeartbeatEvery / steps) {
+	for end := z.now.Add(d); z.now.Before(end); z.now = z.now.Add(election.HeartbeatInterval / steps) {
 		for i, m := range z.members {
-			tick := z.now.UnixNano()/int64(election.HeartbeatEvery/steps) + int64(i)
+			tick := z.now.UnixNano()/int64(election.HeartbeatInterval/steps) + int64(i)
 			if !z.dead[m.Address] && tick%steps == 0 {
 				z.sendHeartbeats(m.Address)
 			}
@@ -64,7 +64,7 @@
 	}
 	for to, view := range z.views {
 		if to != from && !z.dead[to] && !z.cut(from, to) {
-			view.Heard(z.now, from)
+			view.ReceiveHeartbeat(z.now, from)
 			z.sent++
 		}
 	}
@@ -93,7 +93,7 @@
 		if i < n/5 {
 			room = 0.8
 		}
-		list = append(list, election.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Room: room})
+		list = append(list, election.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Capacity: room})
 	}
 	return list
 }
@@ -183,16 +183,16 @@
 		}
 		deaf := leader()
 		Expect(deaf).NotTo(BeEmpty())
-		view.Failed(z.now, deaf, false)
+		view.CallFailed(z.now, deaf, false)
 		Expect(leader()).To(Equal(deaf))
-		view.Answered(deaf)
-		view.Failed(z.now, deaf, false)
+		view.CallAnswered(deaf)
+		view.CallFailed(z.now, deaf, false)
 		Expect(leader()).To(Equal(deaf))
-		view.Failed(z.now, deaf, false)
-		z.advance(election.HeartbeatEvery * 2)
+		view.CallFailed(z.now, deaf, false)
+		z.advance(election.HeartbeatInterval * 2)
 		_, found := view.Leader(z.now)
 		Expect(found).To(BeFalse())
-		z.advance(election.DeafFor)
+		z.advance(election.ExclusionPeriod)
 		Expect(leader()).To(Equal(deaf))
 	})
 
@@ -201,7 +201,7 @@
 		z.advance(settleTime)
 		view := z.views["10.0.0.9:1"]
 		leader, _ := view.Leader(z.now)
-		view.Failed(z.now, leader, true)
+		view.CallFailed(z.now, leader, true)
 		_, found := view.Leader(z.now)
 		Expect(found).To(BeFalse())
 		z.advance(settleTime)
@@ -216,6 +216,6 @@
 		alone.SetMembers(time.Unix(1000, 0), []election.Member{{Address: "a"}})
 		Expect(alone.Lead(time.Unix(2000, 0), false)).To(BeFalse())
 		Expect(alone.Lead(time.Unix(2000, 0), true)).To(BeTrue())
-		Expect(alone.Heard(time.Unix(2000, 0), "stranger")).To(BeFalse())
+		Expect(alone.ReceiveHeartbeat(time.Unix(2000, 0), "stranger")).To(BeFalse())
 	})
 })
--- a/core/feed/fallback.go
+++ b/core/feed/fallback.go
@@ -43,7 +43,7 @@
 func NewFallback(now time.Time) *Fallback { return &Fallback{firstTurn: now} }
 
 // ReaderAnswered records an answer of a reader.
-func (f *Fallback) Served(now time.Time) {
+func (f *Fallback) ReaderAnswered(now time.Time) {
 	f.firstTurn = now.Add(readerTimeout)
 	f.configuration, f.targets = attempts{}, attempts{}
 }
@@ -52,7 +52,7 @@
 type Situation struct {
 	// Position is this daemon's index among the zone's members, from 0; Members is their
 	// number.
-	Turn, Members int
+	Position, Members int
 	// Targets is the last known number of targets, 0 if it is unknown.
 	Targets int
 	// ConfigurationAge and TargetsAge are the time since the log last answered this
@@ -75,7 +75,7 @@
 	case now.Before(start):
 		return false
 	case a.due.IsZero():
-		a.due = start.Add(time.Duration(s.Turn) * pause)
+		a.due = start.Add(time.Duration(s.Position) * pause)
 	}
 	if now.Before(a.due) {
 		return false
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -125,14 +125,14 @@
 			now = now.Add(step)
 			named = standby.Select(now, zone())
 			if named == "d02" {
-				standby.Seen(now, named)
+				standby.FullListRequested(now, named)
 			}
 		}
 		Expect(named).To(Equal("d02"), "d01 is dead")
 		for range 200 {
 			now = now.Add(step)
 			if named = standby.Select(now, zone()); named == "d01" {
-				standby.Seen(now, named)
+				standby.FullListRequested(now, named)
 			}
 		}
 		Expect(named).To(Equal("d01"), "d02 has died, and the exclusion of d01 ended long ago")
@@ -184,7 +184,7 @@
 	}
 	reading := func(z *zoneOf, now time.Time, age time.Duration) (configuration, lists int) {
 		for i, d := range z.daemons {
-			c, t := d.Decide(now, feed.Situation{Turn: i, Members: members, Targets: targets, ConfigurationAge: age, TargetsAge: age})
+			c, t := d.Decide(now, feed.Situation{Position: i, Members: members, Targets: targets, ConfigurationAge: age, TargetsAge: age})
 			if c {
 				configuration++
 			}
@@ -224,7 +224,7 @@
 			c, t := f.Decide(now, s)
 			Expect(c && t).To(BeTrue())
 		}
-		f.Served(start.Add(time.Minute))
+		f.ReaderAnswered(start.Add(time.Minute))
 		c, t := f.Decide(start.Add(time.Minute+step), s)
 		Expect(c || t).To(BeFalse())
 		c, t = f.Decide(start.Add(time.Minute+2*time.Second), s)
--- a/core/feed/standby.go
+++ b/core/feed/standby.go
@@ -18,7 +18,7 @@
 }
 
 // FullListRequested records that a daemon has requested all targets.
-func (s *Standby) Seen(now time.Time, address string) {
+func (s *Standby) FullListRequested(now time.Time, address string) {
 	if address == s.chosen {
 		s.seen = now
 	}
--- a/core/ledger/append.go
+++ b/core/ledger/append.go
@@ -43,7 +43,7 @@
 	// Unavailable: certainly not appended, the log is unavailable.
 	Unavailable
 	// Throttled: certainly not appended, the log limits the rate.
-	Limited
+	Throttled
 	// TooLarge: certainly not appended, the record is too large.
 	TooLarge
 	// Unknown: the response was lost, so the record may have been appended.
@@ -96,10 +96,10 @@
 		return o.retryAtMs, true, true
 	}
 	if len(o.urgent) > 0 || o.releaseTo != nil {
-		return max(o.lastAppendMs+o.cfg.UrgentMs, o.retryAtMs), true, true
+		return max(o.lastAppendMs+o.cfg.UrgentIntervalMs, o.retryAtMs), true, true
 	}
 	if len(o.normal) > 0 || o.rewriteDue(o.st.oldest()) || o.keepAliveDue() {
-		return max(o.lastAppendMs+o.cfg.PaceMs, o.retryAtMs), false, true
+		return max(o.lastAppendMs+o.cfg.AppendIntervalMs, o.retryAtMs), false, true
 	}
 	return 0, false, false
 }
@@ -235,8 +235,8 @@
 		f.outcomeUnknown = true
 	case Unavailable:
 		o.appendDown = true
-	case Limited, TooLarge:
-		wait = o.cfg.UrgentMs
+	case Throttled, TooLarge:
+		wait = o.cfg.UrgentIntervalMs
 	}
 	o.retryAtMs = nowMs + max(retryAfterMs, wait)
 	if f.outcomeUnknown {
@@ -252,7 +252,7 @@
 	o.inFlight = nil
 	o.seq--
 	switch out {
-	case Limited:
+	case Throttled:
 		o.requeue(f.props, nil)
 	case TooLarge:
 		o.shrink(f.props)
@@ -305,13 +305,13 @@
 
 // NeedsRetryOffset reports that a response was lost: the daemon should fetch the stream's
 // next offset from the log and pass it to SetRetryOffset.
-func (o *Owner) NeedsBound() bool {
+func (o *Owner) NeedsRetryOffset() bool {
 	f := o.inFlight
 	return f != nil && f.outcomeUnknown && !f.appending && f.retryOffset == noRetryOffset
 }
 
 // SetRetryOffset sets the stream's next offset, fetched after a response was lost.
-func (o *Owner) SetBound(next int64) {
+func (o *Owner) SetRetryOffset(next int64) {
 	if o.inFlight != nil && !o.inFlight.appending {
 		o.inFlight.retryOffset = next
 	}
@@ -319,7 +319,7 @@
 
 // Apply applies a record read from the stream. An error of type Gap means that the owner
 // can't continue and the replay must begin again.
-func (o *Owner) Read(nowMs, offset int64, data []byte) error {
+func (o *Owner) Apply(nowMs, offset int64, data []byte) error {
 	o.now = nowMs
 	rec, _ := DecodeRecord(o.cfg.Shard, data) // nil stands for a void record
 	isNew := offset >= o.st.next
--- a/core/ledger/jobs_test.go
+++ b/core/ledger/jobs_test.go
@@ -24,7 +24,7 @@
 		o.CancelJob(s.now, id, "c/j")
 		o.FinishItems(s.now, s.call(), FinishItemsRequest{Steward: "s", Ends: []ItemEnd{{Ref: items[1].Ref, Answer: answer("y")}}})
 		s.flush(o)
-		Expect(o.Revokes()).To(Equal([]string{"c/j"}))
+		Expect(o.TakeRevocations()).To(Equal([]string{"c/j"}))
 		Expect(s.replies).NotTo(HaveKey(id), "the dispatcher has not confirmed the revocation")
 		o.Revoked(s.now, "c/j", []string{"s"})
 		s.flush(o)
@@ -221,7 +221,7 @@
 			s.flush(o)
 		}
 		r, _ := o.Item("c/j", "0")
-		Expect(r.Refusal.Code).To(Equal(outcome.Condemned))
+		Expect(r.Refusal.Code).To(Equal(outcome.Quarantined))
 		st, _ := o.Job(s.now, "c/j")
 		Expect(st.State).To(Equal(JobEnded))
 	})
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -19,8 +19,8 @@
 		s.now += 50
 		data, _ := o.Build(s.now)
 		o.AppendDone(s.now, Unknown, 0)
-		Expect(o.NeedsBound()).To(BeTrue())
-		o.SetBound(s.log.next())
+		Expect(o.NeedsRetryOffset()).To(BeTrue())
+		o.SetRetryOffset(s.log.next())
 		s.now += 1000
 		again, _ := o.Build(s.now)
 		Expect(again).To(Equal(data))
@@ -32,7 +32,7 @@
 		s.flush(o)
 		s.log.append(data)
 		s.read(o)
-		Expect(o.State().Voids()).To(Equal(uint64(1)))
+		Expect(o.State().VoidRecords()).To(Equal(uint64(1)))
 		kept, _ := o.Request("c/k")
 		Expect(kept.State).To(Equal(RequestCompleted))
 	})
@@ -74,7 +74,7 @@
 		o.AppendDone(s.now, Unknown, 0)
 		o.Begin(s.now, second, keyedRequest("c/k2", "n2", "e"))
 		s.now += 1000
-		o.SetBound(s.log.next())
+		o.SetRetryOffset(s.log.next())
 		_, _ = o.Build(s.now)
 		s.log.append(data)
 		s.read(o)
--- a/core/ledger/look.go
+++ b/core/ledger/look.go
@@ -4,7 +4,7 @@
 // shard's owner: Free, Settled, or StillRunning if the request may have run and no end is
 // known. A start under the arrival's own nonce counts as Free: only this arrival can be
 // granted it, and the entry host, which is the one calling Lookup, received no grant.
-func (s *State) Look(req BeginRequest) BeginReply {
+func (s *State) Lookup(req BeginRequest) BeginReply {
 	kept := s.requests[req.Key]
 	switch {
 	case kept == nil:
--- a/core/ledger/messages.go
+++ b/core/ledger/messages.go
@@ -367,7 +367,7 @@
 	// LookupOnLog reads from the log itself, without the owner, what is known about the
 	// arrival's key: Free, Settled, or StillRunning if the request may have run. It
 	// grants nothing. An error means that the log couldn't be read, or not in time.
-	OnLog(ctx context.Context, req BeginRequest) (BeginReply, error)
+	LookupOnLog(ctx context.Context, req BeginRequest) (BeginReply, error)
 	// Request returns the stored state of the key CALLER/KEY, NotFound if there is none.
 	Request(ctx context.Context, key string) (KeptRequest, error)
 	// OpenJob begins an upload.
--- a/core/ledger/owner.go
+++ b/core/ledger/owner.go
@@ -50,8 +50,8 @@
 	LeaseMs int64
 	// AppendIntervalMs is the minimum time between two appends of batch changes,
 	// UrgentIntervalMs the minimum time before an urgent append.
-	PaceMs   int64
-	UrgentMs int64
+	AppendIntervalMs int64
+	UrgentIntervalMs int64
 	// RetentionMs is how long the log keeps a record.
 	RetentionMs int64
 }
@@ -124,35 +124,35 @@
 	routeNames map[string]string
 
 	nextGCMs int64
-	stats    Figures
+	stats    Stats
 }
 
 // Stats are an owner's counters and gauges, for metrics and benchmarks.
-type Figures struct {
+type Stats struct {
 	// Appends counts the records built, ItemsHandedOut the items handed to batch
 	// dispatchers, and Rewritten the objects whose full state was written forward on the
 	// log.
-	Appends  uint64
-	Items    uint64
-	Restated uint64
+	Appends        uint64
+	ItemsHandedOut uint64
+	Rewritten      uint64
 	// QueueRefused counts the completions refused because the queue for the log was full.
-	RingRefused uint64
+	QueueRefused uint64
 	// QueuedProposals counts the proposals waiting for the log, QueuedBytes their bytes.
-	Waiting      int
-	WaitingBytes int
+	QueuedProposals int
+	QueuedBytes     int
 	// VoidRecords counts the records that were read but are not valid; see State.isValid.
-	Voids uint64
+	VoidRecords uint64
 }
 
 // Add adds g to f.
-func (f *Figures) Add(g Figures) {
+func (f *Stats) Add(g Stats) {
 	f.Appends += g.Appends
-	f.Items += g.Items
-	f.Restated += g.Restated
-	f.RingRefused += g.RingRefused
-	f.Waiting += g.Waiting
-	f.WaitingBytes += g.WaitingBytes
-	f.Voids += g.Voids
+	f.ItemsHandedOut += g.ItemsHandedOut
+	f.Rewritten += g.Rewritten
+	f.QueueRefused += g.QueueRefused
+	f.QueuedProposals += g.QueuedProposals
+	f.QueuedBytes += g.QueuedBytes
+	f.VoidRecords += g.VoidRecords
 }
 
 // NewOwner returns an owner that will claim the shard with the given state. The owner
@@ -189,14 +189,14 @@
 func (o *Owner) State() *State { return o.st }
 
 // Stats returns the owner's counters.
-func (o *Owner) Figures() Figures {
+func (o *Owner) Stats() Stats {
 	f := o.stats
-	f.Waiting = len(o.urgent) + len(o.normal)
+	f.QueuedProposals = len(o.urgent) + len(o.normal)
 	if o.inFlight != nil {
-		f.Waiting += len(o.inFlight.props)
+		f.QueuedProposals += len(o.inFlight.props)
 	}
-	f.WaitingBytes = o.queuedBytes
-	f.Voids = o.st.voidRecords
+	f.QueuedBytes = o.queuedBytes
+	f.VoidRecords = o.st.voidRecords
 	return f
 }
 
@@ -205,7 +205,7 @@
 func (o *Owner) LogOK() bool { return !o.appendDown && !o.readDown }
 
 // TakeReplies returns the replies that have become ready and clears them.
-func (o *Owner) Replies() []Reply {
+func (o *Owner) TakeReplies() []Reply {
 	r := o.replies
 	o.replies = nil
 	return r
@@ -213,7 +213,7 @@
 
 // TakeRevocations returns the jobs whose leases have to be revoked at every batch
 // dispatcher, and clears them. The daemon reports the outcome of each with Revoked.
-func (o *Owner) Revokes() []string {
+func (o *Owner) TakeRevocations() []string {
 	r := o.revocations
 	o.revocations = nil
 	return r
--- a/core/ledger/owner_finish.go
+++ b/core/ledger/owner_finish.go
@@ -47,7 +47,7 @@
 
 func (o *Owner) recordEnd(r *run, call CallID, req *FinishRequest) {
 	if o.queueFull() {
-		o.stats.RingRefused++
+		o.stats.QueueRefused++
 		o.replyFinished(call, req, false)
 		return
 	}
--- a/core/ledger/owner_items.go
+++ b/core/ledger/owner_items.go
@@ -23,7 +23,7 @@
 func (o *Owner) FinishItems(nowMs int64, call CallID, req FinishItemsRequest) {
 	o.now = nowMs
 	if o.queueFull() { // the dispatcher keeps its ends and sends them again
-		o.stats.RingRefused += uint64(len(req.Ends))
+		o.stats.QueueRefused += uint64(len(req.Ends))
 		refusal := logUnavailable().WithRun(outcome.Ran)
 		o.reply(Reply{Call: call, Ends: &FinishItemsReply{Refusal: refusal}})
 		return
@@ -138,7 +138,7 @@
 	case !s.job.Repeatable:
 		ch.fail(refusal.WithRun(mayHaveRunAtLeast(refusal.Run)))
 	case e.Crashed && ch.Crashes >= o.cfg.Limits().CrashLimit:
-		ch.fail(outcome.Refuse(outcome.Condemned,
+		ch.fail(outcome.Refuse(outcome.Quarantined,
 			"the item crashed %d targets while it ran there alone", ch.Crashes).WithRun(outcome.MayHaveRun))
 	case e.Crashed && !e.Alone:
 		// another request may have caused the crash
--- a/core/ledger/owner_lease.go
+++ b/core/ledger/owner_lease.go
@@ -231,7 +231,7 @@
 	s.served++
 	o.served[s.caller]++
 	s.leased++
-	o.stats.Items++
+	o.stats.ItemsHandedOut++
 	l := &lease{dispatcher: b.dispatcher, attempt: attempt, until: o.now + o.cfg.LeaseMs}
 	o.leases[key] = l
 	if s.job.Repeatable {
--- a/core/ledger/owner_request.go
+++ b/core/ledger/owner_request.go
@@ -74,7 +74,7 @@
 		return false
 	}
 	switch outcome.Code(r.Refusal.Code) {
-	case outcome.Unprocessable, outcome.Condemned, outcome.TooLarge:
+	case outcome.Unprocessable, outcome.Quarantined, outcome.TooLarge:
 		return false
 	}
 	return true
--- a/core/ledger/owner_restate.go
+++ b/core/ledger/owner_restate.go
@@ -49,7 +49,7 @@
 		bytesLeft -= size
 		bytes += int(size)
 		rec.Entries = append(rec.Entries, entry)
-		o.stats.Restated++
+		o.stats.Rewritten++
 	}
 	return bytes
 }
--- a/core/ledger/prop_test.go
+++ b/core/ledger/prop_test.go
@@ -189,8 +189,8 @@
 
 func (w *randomRun) append(o *Owner) {
 	w.now += 150
-	if o.NeedsBound() {
-		o.SetBound(w.log.next())
+	if o.NeedsRetryOffset() {
+		o.SetRetryOffset(w.log.next())
 	}
 	data, err := o.Build(w.now)
 	if err != nil {
@@ -200,7 +200,7 @@
 	if data == nil {
 		return
 	}
-	out := rapid.SampledFrom([]AppendOutcome{Appended, Appended, Appended, Unavailable, Limited, Unknown}).Draw(w.t, "outcome")
+	out := rapid.SampledFrom([]AppendOutcome{Appended, Appended, Appended, Unavailable, Throttled, Unknown}).Draw(w.t, "outcome")
 	switch {
 	case out == Appended:
 		w.log.append(data)
--- a/core/ledger/sim_test.go
+++ b/core/ledger/sim_test.go
@@ -50,7 +50,7 @@
 	if l.next() > l.first {
 		tail = l.record(l.next() - 1)
 	}
-	start, anchored := Start(l.first, l.next(), tail)
+	start, anchored := ReplayStart(l.first, l.next(), tail)
 	return l.replayFrom(start, anchored)
 }
 
@@ -85,7 +85,7 @@
 		Self: self, Live: func(id string) bool { return !s.dead[id] },
 		GroupOf: func(it Item) (string, bool) { return "g", len(it.Body) > 0 && !s.unserved },
 		Limits:  func() Limits { return Limits{KeptAnswersMs: 1e9, KeptResultsMs: 1e9, CrashLimit: 2} },
-		LeaseMs: 4000, PaceMs: 100, UrgentMs: 10, RetentionMs: 3_600_000,
+		LeaseMs: 4000, AppendIntervalMs: 100, UrgentIntervalMs: 10, RetentionMs: 3_600_000,
 	}, s.log.replay(), s.now)
 }
 
@@ -98,7 +98,7 @@
 func (s *sim) read(o *Owner) {
 	for !o.Lost() && o.State().Next() < s.log.next() {
 		at := o.State().Next()
-		if err := o.Read(s.now, at, s.log.data[at]); err != nil {
+		if err := o.Apply(s.now, at, s.log.data[at]); err != nil {
 			panic(err)
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 func (s *sim) collect(o *Owner) {
-	for _, r := range o.Replies() {
+	for _, r := range o.TakeReplies() {
 		s.replies[r.Call] = r
 	}
 }
--- a/core/ledger/state.go
+++ b/core/ledger/state.go
@@ -93,7 +93,7 @@
 // writer had applied, and it stays correct, because a later full state only moves an
 // object forward on the stream, and new objects begin later. An outdated Low is merely
 // lower. If the offset has expired, Low isn't used at all.
-func Start(first, next int64, tail *Record) (start int64, anchored bool) {
+func ReplayStart(first, next int64, tail *Record) (start int64, anchored bool) {
 	if tail != nil && tail.Low >= first && tail.Low < next {
 		return tail.Low, true
 	}
@@ -129,7 +129,7 @@
 func (s *State) LastAtMs() int64 { return s.lastAtMs }
 
 // VoidRecords returns the number of records applied that were not valid.
-func (s *State) Voids() uint64 { return s.voidRecords }
+func (s *State) VoidRecords() uint64 { return s.voidRecords }
 
 // Apply applies the record at the offset and reports whether it is valid. A nil record
 // stands for bytes that could not be decoded; it is void. A record before Next is
--- a/core/limits/arbiter.go
+++ b/core/limits/arbiter.go
@@ -18,7 +18,7 @@
 func NewArbiter() *Arbiter { return &Arbiter{keys: map[Key]map[string]*allocation{}} }
 
 // Allocate records a daemon's demand and returns its share.
-func (a *Arbiter) Ask(now time.Time, daemon string, ask Ask) Grant {
+func (a *Arbiter) Allocate(now time.Time, daemon string, ask Ask) Grant {
 	allocations := a.keys[ask.Key]
 	if allocations == nil {
 		allocations = map[string]*allocation{}
@@ -55,7 +55,7 @@
 
 func expire(allocations map[string]*allocation, now time.Time) {
 	for daemon, alloc := range allocations {
-		if now.Sub(alloc.at) > GrantLife {
+		if now.Sub(alloc.at) > GrantTTL {
 			delete(allocations, daemon)
 		}
 	}
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -41,10 +41,10 @@
 // ask sends daemon i's asks; if lost is true, the answer is dropped.
 func (f *fleet) ask(now time.Time, i int, lost bool) {
 	for _, a := range f.locals[i].Asks(now) {
-		g := f.arbiter.Ask(now, fmt.Sprint(i), a)
+		g := f.arbiter.Allocate(now, fmt.Sprint(i), a)
 		f.lastAsk[i] = now
 		if !lost {
-			f.locals[i].Granted(now, g)
+			f.locals[i].ApplyGrant(now, g)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 // renewAll lets the daemons ask whose shares are close to expiring.
 func (f *fleet) renewAll(now time.Time, lost bool) {
 	for i := range f.locals {
-		if now.Sub(f.lastAsk[i]) > GrantLife-500*time.Millisecond {
+		if now.Sub(f.lastAsk[i]) > GrantTTL-500*time.Millisecond {
 			f.ask(now, i, lost)
 		}
 	}
--- a/core/limits/local.go
+++ b/core/limits/local.go
@@ -10,7 +10,7 @@
 	Admitted Verdict = iota
 	// ShareNeeded: the share is missing or too old for a refusal. Ask the arbiter for a
 	// share, then call Acquire once more with final set.
-	AskFirst
+	ShareNeeded
 	// Refused: the caller is over its limit.
 	Refused
 )
@@ -67,7 +67,7 @@
 	}
 	s.peak = max(s.peak, s.inFlight+s.denied)
 	if !final && !s.fresh(now) {
-		return AskFirst
+		return ShareNeeded
 	}
 	return Refused
 }
@@ -91,7 +91,7 @@
 
 // allowed returns the share if it is still valid, else the base.
 func (s *keyState) allowed(now time.Time, daemons int) (inFlight int, rate float64) {
-	if s.granted && now.Sub(s.grantAt) < GrantLife {
+	if s.granted && now.Sub(s.grantAt) < GrantTTL {
 		return s.grant.InFlight, s.grant.Rate
 	}
 	return max(1, s.limit.InFlight/(2*daemons)), s.limit.Rate / float64(2*daemons)
@@ -144,7 +144,7 @@
 }
 
 // ApplyGrant applies a share. sentAt is when the ask was sent.
-func (l *Local) Granted(sentAt time.Time, g Grant) {
+func (l *Local) ApplyGrant(sentAt time.Time, g Grant) {
 	s := l.keys[g.Key]
 	if s == nil || s.granted && sentAt.Before(s.grantAt) {
 		return
--- a/core/limits/types.go
+++ b/core/limits/types.go
@@ -26,7 +26,7 @@
 const (
 	// GrantLife is how long a share is valid. A daemon measures it from when it sent the
 	// ask, the arbiter from when it received the ask, so it ends at the daemon first.
-	GrantLife = 2 * time.Second
+	GrantTTL = 2 * time.Second
 	// FreshGrant is the maximum age of a share for refusing a request; an older share is
 	// renewed first.
 	FreshGrant = 100 * time.Millisecond
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -182,10 +182,10 @@
 			for _, host := range []string{"killed", "w1", "w2"} {
 				m.AnswerProbe(now, membership.ProbeRequest{From: membership.Member{Host: host, PeerAddress: host, Incarnation: 1}})
 			}
-			probes := m.Doubt(now, "killed")
+			probes := m.CallFailed(now, "killed")
 			Expect(probes).To(HaveLen(1))
 			for _, direct := range probes {
-				Expect(m.Doubt(now, "killed")).To(BeEmpty(), "one probe a tick")
+				Expect(m.CallFailed(now, "killed")).To(BeEmpty(), "one probe a tick")
 				for _, via := range deny(m, direct) {
 					if witness {
 						m.AnsweredVia(now, via, membership.ViaReply{})
@@ -194,7 +194,7 @@
 					m.Missed(now, via)
 				}
 			}
-			Expect(m.Doubt(now, "nobody")).To(BeEmpty())
+			Expect(m.CallFailed(now, "nobody")).To(BeEmpty())
 			return m.Snapshot().LiveID("killed#1")
 		}
 		refused := func(m *membership.Machine, p membership.Probe) []membership.Probe { return m.Refused(now, p) }
--- a/core/membership/probe.go
+++ b/core/membership/probe.go
@@ -224,7 +224,7 @@
 // CallFailed handles a failed call to the member at the address and returns an additional
 // probe of it, at most one per tick. Calls fail as soon as a process ends, while its next
 // regular probe may be several intervals away.
-func (m *Machine) Doubt(now time.Time, address string) []Probe {
+func (m *Machine) CallFailed(now time.Time, address string) []Probe {
 	m.observe(now)
 	for _, e := range m.members {
 		if e.member.PeerAddress != address || e.member.State == Dead {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -157,7 +157,7 @@
 				if faults {
 					answer = orders.StoreAnswer(max(0, rapid.IntRange(-3, 2).Draw(t, "store")))
 				}
-				p.StoreSaid(now, answer, 0)
+				p.StoreAnswered(now, answer, 0)
 				storeKnown = answer == orders.StoreHas
 			}
 		}
--- a/core/orders/planner.go
+++ b/core/orders/planner.go
@@ -4,12 +4,12 @@
 
 // Reasons for withholding orders.
 const (
-	WithheldWeights = "the weight store has not confirmed the version"
-	WithheldLoading = "the target or the maximum number of targets is already loading"
-	WithheldServing = "too few targets would keep serving"
-	WithheldBackoff = "backing off after a failure"
-	WithheldSpacing = "the minimum time between two orders has not passed"
-	WithheldUnseen  = "the target does not report or is leaving"
+	WithheldWeights    = "the weight store has not confirmed the version"
+	WithheldLoading    = "the target or the maximum number of targets is already loading"
+	WithheldServing    = "too few targets would keep serving"
+	WithheldBackoff    = "backing off after a failure"
+	WithheldSpacing    = "the minimum time between two orders has not passed"
+	WithheldUnreported = "the target does not report or is leaving"
 )
 
 // Planner plans the orders for one model during one tenure of its issuer.
@@ -192,7 +192,7 @@
 	t := p.targets[o.Address]
 	switch {
 	case !o.Reported:
-		return WithheldUnseen
+		return WithheldUnreported
 	case p.isLoading(o), group.loading >= p.maxLoading(group.usable):
 		return WithheldLoading
 	case t != nil && nowMs < t.waitUntil:
@@ -281,7 +281,7 @@
 
 // StoreAnswered records the weight store's answer. retryAfterMs is the delay that the store
 // requested before the next query, 0 if none.
-func (p *Planner) StoreSaid(nowMs int64, a StoreAnswer, retryAfterMs int64) {
+func (p *Planner) StoreAnswered(nowMs int64, a StoreAnswer, retryAfterMs int64) {
 	if a == StoreHas {
 		p.store = storeState{confirmed: true}
 		return
--- a/core/outcome/outcome.go
+++ b/core/outcome/outcome.go
@@ -40,7 +40,7 @@
 	// Unprocessable: the target rejected the content (422).
 	Unprocessable Code = "unprocessable"
 	// Quarantined: the request crashed too many targets and is refused (422).
-	Condemned Code = "condemned"
+	Quarantined Code = "condemned"
 	// CallerLimit: the caller has too many requests in flight or too high a rate (429).
 	CallerLimit Code = "caller_limit"
 	// Overloaded: admission refused because the deadline cannot be met (503).
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -63,7 +63,7 @@
 )
 
 // Tolerance bounds by how much a quota may be exceeded in any window.
-type Terms struct {
+type Tolerance struct {
 	// Window is the length of a window, Overshoot a fraction of what the quota allows in
 	// one, Slack a number of requests.
 	Window    time.Duration
@@ -72,7 +72,7 @@
 }
 
 // excess returns how many requests beyond its quota an account may run in a window.
-func (t Terms) excess(q accounts.Quota) float64 {
+func (t Tolerance) excess(q accounts.Quota) float64 {
 	return t.Overshoot*(q.Rate*t.Window.Seconds()+q.Burst) + t.Slack
 }
 
@@ -81,15 +81,15 @@
 
 const (
 	// OverQuota: the account is over its quota.
-	Over Verdict = iota
+	OverQuota Verdict = iota
 	// Taken: a token was taken.
 	Taken
 	// Insufficient: there is no token here, but others may have some.
-	Short
+	Insufficient
 )
 
 // Decision is the result for one request.
-type Answer struct {
+type Decision struct {
 	Verdict Verdict
 	// Want is how many tokens to request from the others.
 	Want float64
@@ -98,8 +98,8 @@
 }
 
 // Limiter holds a participant's buckets. It is not safe for concurrent use.
-type Book struct {
-	tolerance Terms
+type Limiter struct {
+	tolerance Tolerance
 	self      string
 	started   time.Time
 	// weight is the share of the fleet that follows this participant, as set at
@@ -132,13 +132,13 @@
 }
 
 // NewLimiter returns the limiter of the participant with the address self.
-func NewBook(now time.Time, self string, tolerance Terms) *Book {
-	return &Book{tolerance: tolerance, self: self, started: now, weightSetAt: now, buckets: map[string]*bucket{}}
+func NewLimiter(now time.Time, self string, tolerance Tolerance) *Limiter {
+	return &Limiter{tolerance: tolerance, self: self, started: now, weightSetAt: now, buckets: map[string]*bucket{}}
 }
 
 // SetWeight sets the share of the fleet that follows this participant, 0 to 1. It is
 // called several times a second.
-func (l *Book) SetWeight(now time.Time, weight float64) {
+func (l *Limiter) SetWeight(now time.Time, weight float64) {
 	for account, c := range l.buckets {
 		l.refill(now, c)
 		if now.Sub(c.lastRequest) > idleTimeout && c.level >= l.size(c) {
@@ -152,13 +152,13 @@
 	frozen := now.Sub(l.weightSetAt) > frozenAfter
 	l.weight, l.weightSetAt = weight, now
 	if frozen {
-		l.Frozen()
+		l.DiscardTokens()
 	}
 }
 
 // scaleDown removes the tokens that belong to votes that were lost: it multiplies what is
 // held by factor.
-func (l *Book) scaleDown(factor float64) {
+func (l *Limiter) scaleDown(factor float64) {
 	l.idleRefill *= factor
 	for _, c := range l.buckets {
 		c.level *= factor
@@ -166,13 +166,13 @@
 }
 
 // Weight returns the share of the fleet that follows this participant.
-func (l *Book) Weight() float64 { return l.weight }
+func (l *Limiter) Weight() float64 { return l.weight }
 
 // DiscardTokens removes all tokens.
 //
 // Failure guarded against: a participant is frozen, its daemons follow another one, and
 // it resumes with tokens that have been given out again meanwhile.
-func (l *Book) Frozen() {
+func (l *Limiter) DiscardTokens() {
 	l.idleRefill = 0
 	for _, c := range l.buckets {
 		c.level = 0
@@ -180,36 +180,36 @@
 }
 
 // Take takes a token for a request of the account.
-func (l *Book) Take(now time.Time, account *accounts.Account) Answer {
+func (l *Limiter) Take(now time.Time, account *accounts.Account) Decision {
 	c := l.bucket(now, account)
 	c.countRequest(now)
 	if c.level >= 1 {
 		c.level--
-		return Answer{Verdict: Taken}
+		return Decision{Verdict: Taken}
 	}
 	if now.Before(c.dryUntil) {
-		return Answer{Verdict: Over, RetryAfter: l.retryAfter(now, c)}
+		return Decision{Verdict: OverQuota, RetryAfter: l.retryAfter(now, c)}
 	}
 	want := 1 - c.level + c.rate*requestAhead.Seconds()
-	return Answer{Verdict: Short, Want: min(want, l.headroom(c))}
+	return Decision{Verdict: Insufficient, Want: min(want, l.headroom(c))}
 }
 
 // TakeWith is Take for a request whose participant has requested tokens from the others;
 // got is how many it received.
-func (l *Book) Again(now time.Time, account *accounts.Account, got float64) Answer {
+func (l *Limiter) TakeWith(now time.Time, account *accounts.Account, got float64) Decision {
 	c := l.bucket(now, account)
 	c.level += min(got, l.headroom(c))
 	if c.level >= 1 {
 		c.level--
-		return Answer{Verdict: Taken}
+		return Decision{Verdict: Taken}
 	}
 	c.dryUntil = now.Add(peersDryFor)
-	return Answer{Verdict: Over, RetryAfter: l.retryAfter(now, c)}
+	return Decision{Verdict: OverQuota, RetryAfter: l.retryAfter(now, c)}
 }
 
 // Transfer removes tokens for another participant, want at most, beyond those that are
 // needed here soon, and returns how many.
-func (l *Book) Give(now time.Time, account *accounts.Account, want float64) float64 {
+func (l *Limiter) Transfer(now time.Time, account *accounts.Account, want float64) float64 {
 	c := l.bucket(now, account)
 	given := max(0, min(want, c.level-c.rateAt(now)*reserveFor.Seconds()))
 	c.level -= given
@@ -217,13 +217,13 @@
 }
 
 // Refund returns the token of a request that no target ran.
-func (l *Book) Back(now time.Time, account *accounts.Account) {
+func (l *Limiter) Refund(now time.Time, account *accounts.Account) {
 	c := l.bucket(now, account)
 	c.level += min(1, l.headroom(c))
 }
 
 // bucket returns the account's bucket, refilled up to now.
-func (l *Book) bucket(now time.Time, account *accounts.Account) *bucket {
+func (l *Limiter) bucket(now time.Time, account *accounts.Account) *bucket {
 	c := l.buckets[account.Name]
 	if c == nil {
 		// A bucket that was never used has been refilling all the time.
@@ -239,7 +239,7 @@
 
 // applyQuota puts a quota in force. A bucket without a quota so far holds what has
 // accumulated unused; one with a quota keeps its tokens, up to its new size.
-func (l *Book) applyQuota(c *bucket, q accounts.Quota) {
+func (l *Limiter) applyQuota(c *bucket, q accounts.Quota) {
 	known := c.quota.Bounded()
 	c.quota = q
 	if !known {
@@ -255,7 +255,7 @@
 }
 
 // refill refills a bucket, and adds its share of the excess once.
-func (l *Book) refill(now time.Time, c *bucket) {
+func (l *Limiter) refill(now time.Time, c *bucket) {
 	if l.weight > c.excessWeight && now.Sub(l.started) < startupPeriod {
 		c.level += (l.weight - c.excessWeight) * l.tolerance.excess(c.quota) * startShare
 		c.excessWeight = l.weight
@@ -266,7 +266,7 @@
 }
 
 // size returns how many tokens the bucket can hold.
-func (l *Book) size(c *bucket) float64 {
+func (l *Limiter) size(c *bucket) float64 {
 	size := l.weight * (c.quota.Burst + l.tolerance.excess(c.quota)*(1-startShare))
 	if size < 1 {
 		return math.Floor(size + c.rounding)
@@ -276,13 +276,13 @@
 
 // headroom returns how many tokens may be added from elsewhere; one always may, as it is
 // used at once.
-func (l *Book) headroom(c *bucket) float64 { return max(0, max(1, l.size(c))-c.level) }
+func (l *Limiter) headroom(c *bucket) float64 { return max(0, max(1, l.size(c))-c.level) }
 
 // retryAfter spreads refused callers over the upcoming tokens.
 //
 // Load pattern answered: an account sends several times its quota. With the same retry
 // delay, all its callers would compete for the one token that is free then.
-func (l *Book) retryAfter(now time.Time, c *bucket) time.Duration {
+func (l *Limiter) retryAfter(now time.Time, c *bucket) time.Duration {
 	rate := l.weight * c.quota.Rate
 	if rate <= 0 {
 		return maxRetryAfter
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -20,7 +20,7 @@
 
 var (
 	start     = time.Unix(1_000_000, 0)
-	tolerance = quota.Terms{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
+	tolerance = quota.Tolerance{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 )
 
 func account(rate, burst float64) *accounts.Account {
@@ -28,7 +28,7 @@
 }
 
 // fill lets a limiter's buckets fill over d, with its weight set every 100 ms.
-func fill(b *quota.Book, from time.Time, d time.Duration, weight float64) time.Time {
+func fill(b *quota.Limiter, from time.Time, d time.Duration, weight float64) time.Time {
 	for end := from.Add(d); from.Before(end); from = from.Add(100 * time.Millisecond) {
 		b.SetWeight(from, weight)
 	}
@@ -36,7 +36,7 @@
 }
 
 // takes counts the tokens that can be taken at one moment.
-func takes(b *quota.Book, now time.Time, a *accounts.Account) int {
+func takes(b *quota.Limiter, now time.Time, a *accounts.Account) int {
 	n := 0
 	for b.Take(now, a).Verdict == quota.Taken {
 		n++
@@ -45,10 +45,10 @@
 }
 
 var _ = Describe("A limiter", func() {
-	plain := quota.Terms{Window: 5 * time.Second}
+	plain := quota.Tolerance{Window: 5 * time.Second}
 
 	It("lets the burst through at once and the rate after it", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(10, 30)
 		Expect(takes(b, now, a)).To(Equal(30))
@@ -57,34 +57,34 @@
 	})
 
 	It("does not count a request that no target ran", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(1, 1)
 		Expect(takes(b, now, a)).To(Equal(1))
-		b.Back(now, a)
-		b.Back(now, a)
+		b.Refund(now, a)
+		b.Refund(now, a)
 		Expect(takes(b, now, a)).To(Equal(1))
 	})
 
 	It("applies a quota that is lowered", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 20*time.Second, 1)
 		Expect(b.Take(now, account(100, 100)).Verdict).To(Equal(quota.Taken))
 		Expect(takes(b, now, account(2, 3))).To(Equal(3))
 	})
 
 	It("transfers tokens to a participant that runs short, and creates none", func() {
-		x, y := quota.NewBook(start, "x", plain), quota.NewBook(start, "y", plain)
+		x, y := quota.NewLimiter(start, "x", plain), quota.NewLimiter(start, "y", plain)
 		now := fill(x, start, 10*time.Second, 0.5)
 		fill(y, start, 10*time.Second, 0.5)
 		a := account(10, 20)
 		Expect(takes(x, now, a)).To(Equal(10))
 		answer := x.Take(now, a)
-		Expect(answer.Verdict).To(Equal(quota.Short))
-		got := y.Give(now, a, answer.Want)
+		Expect(answer.Verdict).To(Equal(quota.Insufficient))
+		got := y.Transfer(now, a, answer.Want)
 		Expect(got).To(BeNumerically(">=", 1))
 		rest := 0
-		if x.Again(now, a, got).Verdict == quota.Taken {
+		if x.TakeWith(now, a, got).Verdict == quota.Taken {
 			rest++
 		}
 		rest += takes(x, now, a) + takes(y, now, a)
@@ -93,23 +93,23 @@
 	})
 
 	It("does not query the others again for a moment once they had no tokens", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(10, 1)
 		takes(b, now, a)
-		Expect(b.Again(now, a, 0).Verdict).To(Equal(quota.Over))
-		Expect(b.Take(now.Add(20*time.Millisecond), a).Verdict).To(Equal(quota.Over))
+		Expect(b.TakeWith(now, a, 0).Verdict).To(Equal(quota.OverQuota))
+		Expect(b.Take(now.Add(20*time.Millisecond), a).Verdict).To(Equal(quota.OverQuota))
 		Expect(b.Take(now.Add(110*time.Millisecond), a).Verdict).To(Equal(quota.Taken))
 	})
 
 	// An account sends several times its quota. With the same retry delay, all its
 	// callers would come back together and all but one would be refused again.
 	It("spreads the retries of refused callers over the upcoming tokens", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 1)
 		a := account(10, 5)
 		takes(b, now, a)
-		b.Again(now, a, 0)
+		b.TakeWith(now, a, 0)
 		last := time.Duration(0)
 		for range 5 {
 			wait := b.Take(now, a).RetryAfter
@@ -126,7 +126,7 @@
 	// A leader is frozen and another one takes its place. When it resumes, the other one
 	// has given out what it held.
 	It("has no tokens after it was frozen", func() {
-		b := quota.NewBook(start, "a", tolerance)
+		b := quota.NewLimiter(start, "a", tolerance)
 		now := fill(b, start, 10*time.Second, 0.25)
 		Expect(b.Take(now, account(100, 100)).Verdict).To(Equal(quota.Taken))
 		now = now.Add(3 * time.Second)
@@ -137,7 +137,7 @@
 	// Everything loses power and restarts. No account gets its burst again, and none of
 	// ordinary size has to wait for its first token.
 	It("starts with a share of the excess, once", func() {
-		b := quota.NewBook(start, "a", tolerance)
+		b := quota.NewLimiter(start, "a", tolerance)
 		b.SetWeight(start, 0.25)
 		Expect(takes(b, start, account(9, 9))).To(Equal(3))
 		b.SetWeight(start, 0.01)
@@ -148,7 +148,7 @@
 	// A hotel sends a request now and then. Its bucket must be full by then, although it
 	// was not tracked in between.
 	It("treats an account that it never saw as one that has been idle", func() {
-		b := quota.NewBook(start, "a", plain)
+		b := quota.NewLimiter(start, "a", plain)
 		now := fill(b, start, 10*time.Second, 0.5)
 		Expect(takes(b, now, account(4, 8))).To(Equal(4))
 	})
@@ -171,7 +171,7 @@
 }
 
 type modelDaemon struct {
-	limiter *quota.Book
+	limiter *quota.Limiter
 	zone    int
 	// side is the part of a partitioned network that it is in.
 	side      int
@@ -194,7 +194,7 @@
 
 func (f *fleet) begin(i int) {
 	d := f.daemons[i]
-	d.limiter = quota.NewBook(f.now, fmt.Sprint("daemon-", i), tolerance)
+	d.limiter = quota.NewLimiter(f.now, fmt.Sprint("daemon-", i), tolerance)
 	d.vote, d.votes = quota.Vote{}, quota.Votes{}
 	d.follows = i
 }
@@ -227,7 +227,7 @@
 		if f.random.IntN(10) == 0 {
 			f.elect(i)
 		}
-		if f.reaches(i, d.follows) && d.vote.Lend(f.now, fmt.Sprint(d.follows)) {
+		if f.reaches(i, d.follows) && d.vote.Transfer(f.now, fmt.Sprint(d.follows)) {
 			f.daemons[d.follows].votes[fmt.Sprint(i)] = f.now
 		}
 		d.limiter.SetWeight(f.now, min(1, f.weightFactor*float64(d.votes.Count(f.now))/float64(len(f.daemons))))
@@ -283,8 +283,8 @@
 	}
 	limiter := f.daemons[at].limiter
 	answer := limiter.Take(f.now, a)
-	if answer.Verdict == quota.Short && leads {
-		answer = limiter.Again(f.now, a, f.collect(at, a, answer.Want))
+	if answer.Verdict == quota.Insufficient && leads {
+		answer = limiter.TakeWith(f.now, a, f.collect(at, a, answer.Want))
 	}
 	if answer.Verdict == quota.Taken {
 		f.passed = append(f.passed, f.now)
@@ -300,7 +300,7 @@
 		if j == at || other.follows != j || !f.reaches(at, j) || got >= want {
 			continue
 		}
-		given := other.limiter.Give(f.now, a, want-got)
+		given := other.limiter.Transfer(f.now, a, want-got)
 		if f.random.IntN(20) > 0 {
 			got += given
 		}
@@ -406,7 +406,7 @@
 
 // BenchmarkTake measures the decision on one request among 18,000 accounts.
 func BenchmarkTake(b *testing.B) {
-	limiter := quota.NewBook(start, "a", tolerance)
+	limiter := quota.NewLimiter(start, "a", tolerance)
 	list := make([]*accounts.Account, 18_000)
 	for i := range list {
 		list[i] = &accounts.Account{Name: fmt.Sprint("account-", i), Quota: accounts.Quota{Rate: 10, Burst: 10}}
@@ -423,32 +423,32 @@
 		var v quota.Vote
 		votes := quota.Votes{}
 		late := start.Add(150 * time.Millisecond)
-		Expect(v.Lend(start, "old")).To(BeTrue())
+		Expect(v.Transfer(start, "old")).To(BeTrue())
 		votes["d"] = late
 		at := start
-		for !v.Lend(at, "new") {
+		for !v.Transfer(at, "new") {
 			at = at.Add(10 * time.Millisecond)
 		}
 		Expect(votes.Count(late)).To(Equal(1))
 		Expect(votes.Count(at)).To(BeZero())
-		Expect(v.Lend(at, "old")).To(BeFalse())
+		Expect(v.Transfer(at, "old")).To(BeFalse())
 	})
 
 	It("is due at its interval, and at once for another participant", func() {
 		var v quota.Vote
 		Expect(v.Due(start, "a")).To(BeTrue())
-		Expect(v.Lend(start, "a")).To(BeTrue())
-		Expect(v.Due(start.Add(quota.VoteEvery-1), "a")).To(BeFalse())
-		Expect(v.Due(start.Add(quota.VoteEvery), "a")).To(BeTrue())
+		Expect(v.Transfer(start, "a")).To(BeTrue())
+		Expect(v.Due(start.Add(quota.VoteInterval-1), "a")).To(BeFalse())
+		Expect(v.Due(start.Add(quota.VoteInterval), "a")).To(BeTrue())
 		Expect(v.Due(start, "b")).To(BeTrue())
 	})
 
 	It("is free at once when its holder returns it", func() {
 		var v quota.Vote
-		Expect(v.Lend(start, "old")).To(BeTrue())
+		Expect(v.Transfer(start, "old")).To(BeTrue())
 		v.Returned("other")
-		Expect(v.Lend(start, "new")).To(BeFalse())
+		Expect(v.Transfer(start, "new")).To(BeFalse())
 		v.Returned("old")
-		Expect(v.Lend(start, "new")).To(BeTrue())
+		Expect(v.Transfer(start, "new")).To(BeTrue())
 	})
 })
--- a/core/quota/vote.go
+++ b/core/quota/vote.go
@@ -4,7 +4,7 @@
 
 const (
 	// VoteInterval is the interval at which a daemon renews its vote.
-	VoteEvery = 300 * time.Millisecond
+	VoteInterval = 300 * time.Millisecond
 	// voteTTL is how long a participant holds a vote that is not renewed.
 	voteTTL = 800 * time.Millisecond
 	// retransferAfter is how long after its last transfer a vote may be transferred to
@@ -26,12 +26,12 @@
 // Due reports whether the vote is to be transferred to a participant now, as a new holder
 // or as a renewal.
 func (v *Vote) Due(now time.Time, to string) bool {
-	return v.holder != to || now.Sub(v.transferredAt) >= VoteEvery
+	return v.holder != to || now.Sub(v.transferredAt) >= VoteInterval
 }
 
 // Transfer transfers the vote to a participant, or renews the transfer. It reports
 // whether that participant holds the vote now.
-func (v *Vote) Lend(now time.Time, to string) bool {
+func (v *Vote) Transfer(now time.Time, to string) bool {
 	if v.holder != to && now.Sub(v.transferredAt) < retransferAfter {
 		return false
 	}
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -34,11 +34,11 @@
 func (b *Budget) SetShare(share float64) { b.share = share }
 
 // CountFirst counts a first attempt.
-func (b *Budget) First() { b.add(b.share) }
+func (b *Budget) CountFirst() { b.add(b.share) }
 
 // Take consumes one retry and reports whether there was one.
 func (b *Budget) Take(now time.Time) bool {
-	if !b.Left(now) {
+	if !b.Available(now) {
 		return false
 	}
 	b.tokens--
@@ -46,7 +46,7 @@
 }
 
 // Available reports whether a retry is available now.
-func (b *Budget) Left(now time.Time) bool {
+func (b *Budget) Available(now time.Time) bool {
 	if now.After(b.at) {
 		b.add(FloorPerSecond * now.Sub(b.at).Seconds())
 		b.at = now
--- a/core/retry/delays_test.go
+++ b/core/retry/delays_test.go
@@ -53,7 +53,7 @@
 		next := h.inTransit[0]
 		h.inTransit = h.inTransit[1:]
 		h.nowMs = max(h.nowMs, next.atMs)
-		h.trackers[next.host].Hear(h.nowMs, next.crash)
+		h.trackers[next.host].Apply(h.nowMs, next.crash)
 		h.checkHarmless()
 	}
 	h.nowMs = max(h.nowMs, untilMs)
@@ -63,7 +63,7 @@
 func (h *hosts) checkHarmless() {
 	for at, s := range h.trackers {
 		for i := range 6 {
-			if s.VerdictAt(h.nowMs, harmless(i)) == Condemned {
+			if s.VerdictAt(h.nowMs, harmless(i)) == Quarantined {
 				h.t.Fatalf("host %d quarantines %s", at, harmless(i))
 			}
 		}
@@ -108,14 +108,14 @@
 				h.advance(h.nowMs + 1)
 			}
 			verdict := h.trackers[at].VerdictAt(h.nowMs, crasher)
-			if verdict == Condemned {
+			if verdict == Quarantined {
 				return
 			}
 			if crashed == most {
 				t.Fatalf("the crasher crashed %d targets, verdict %v", crashed, verdict)
 			}
 			seen := map[int][]string{at: {crasher}}
-			if verdict != Quarantined {
+			if verdict != RunAlone {
 				h.share(seen)
 			}
 			h.advance(h.crash(fmt.Sprintf("t%d", crashed), at, seen))
@@ -128,7 +128,7 @@
 	for i := range 6 {
 		host := rapid.IntRange(0, 2).Draw(h.t, "by")
 		v := h.trackers[host].VerdictAt(h.nowMs, harmless(i))
-		if rapid.Bool().Draw(h.t, "beside") && (v == Clear || v == Isolated) {
+		if rapid.Bool().Draw(h.t, "beside") && (v == Clear || v == PreferAlone) {
 			seen[host] = append(seen[host], harmless(i))
 		}
 	}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -30,7 +30,7 @@
 		now, first, passed := epoch, 0, 0
 		for range rapid.IntRange(1, 500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * time.Millisecond)
-			b.First()
+			b.CountFirst()
 			first++
 			for range 3 {
 				if b.Take(now) {
@@ -91,7 +91,7 @@
 		crashed := 0
 		for round := range 12 {
 			at += 10_000
-			if s.Verdict(crasher) == Condemned {
+			if s.Verdict(crasher) == Quarantined {
 				break
 			}
 			target := fmt.Sprintf("t%d", round)
@@ -104,17 +104,17 @@
 				s.Crashed(Crash{Target: target, AtMs: at + int64(rapid.IntRange(0, 900).Draw(t, "late")), Running: seen, Total: len(beside) + 1})
 			}
 			for _, f := range beside {
-				if rapid.Bool().Draw(t, "retried") && s.Verdict(f) != Condemned {
+				if rapid.Bool().Draw(t, "retried") && s.Verdict(f) != Quarantined {
 					s.Completed(f)
 				}
 			}
 			for i := range 6 {
-				if s.Verdict(harmless(i)) == Condemned {
+				if s.Verdict(harmless(i)) == Quarantined {
 					t.Fatalf("%s is quarantined after %d crashes", harmless(i), crashed)
 				}
 			}
 		}
-		if s.Verdict(crasher) != Condemned || crashed > most {
+		if s.Verdict(crasher) != Quarantined || crashed > most {
 			t.Fatalf("the crasher crashed %d targets, verdict %v", crashed, s.Verdict(crasher))
 		}
 	})
@@ -147,11 +147,11 @@
 	for i := range int64(5) {
 		s.Crashed(Crash{Target: "bad", AtMs: i * 60_000, Running: []string{"order"}, Total: 1})
 	}
-	if v := s.Verdict("order"); v != Isolated {
+	if v := s.Verdict("order"); v != PreferAlone {
 		t.Fatalf("verdict %v", v)
 	}
 	s.Crashed(Crash{Target: "other", AtMs: 400_000, Running: []string{"order"}, Total: 1})
-	if v := s.Verdict("order"); v != Condemned {
+	if v := s.Verdict("order"); v != Quarantined {
 		t.Fatalf("verdict %v after a second target", v)
 	}
 }
@@ -163,11 +163,11 @@
 	s.Crashed(Crash{Target: "a", AtMs: 0, Running: []string{"innocent", "crasher"}, Total: 2})
 	s.Crashed(Crash{Target: "b", AtMs: 9_000, Running: []string{"innocent"}, Total: 1})
 	s.Crashed(Crash{Target: "b", AtMs: 9_200, Running: []string{"crasher"}, Total: 1})
-	if v := s.Verdict("innocent"); v != Quarantined {
+	if v := s.Verdict("innocent"); v != RunAlone {
 		t.Fatalf("verdict %v", v)
 	}
 	s.Crashed(Crash{Target: "c", AtMs: 20_000, Running: []string{"crasher"}, Total: 1})
-	if s.Verdict("crasher") != Condemned || s.Verdict("innocent") != Clear {
+	if s.Verdict("crasher") != Quarantined || s.Verdict("innocent") != Clear {
 		t.Fatalf("crasher %v innocent %v", s.Verdict("crasher"), s.Verdict("innocent"))
 	}
 }
--- a/core/retry/silence.go
+++ b/core/retry/silence.go
@@ -6,10 +6,10 @@
 	// LongestWait is the maximum wait for a target about which nothing is learned yet, or
 	// where the request may have to queue. Callers abandon a stream that is silent for
 	// 2 s, and a queue of this length would have been refused on arrival.
-	LongestSilence = 1200 * time.Millisecond
+	LongestWait = 1200 * time.Millisecond
 	// ShortestWait keeps a brief stall of a host or target from causing a second run:
 	// targets answer within some 120 ms, 99 times in 100, where a slot was free.
-	ShortestSilence = 200 * time.Millisecond
+	ShortestWait = 200 * time.Millisecond
 	// minAnswers is how many answers must be observed before the maximum wait follows
 	// them.
 	minAnswers = 16
@@ -33,13 +33,13 @@
 // followed the answers that came in time would give up every request and double the load.
 // So a timeout counts as an answer that took longer, and a few timeouts raise the maximum
 // wait above what the targets now take.
-type Silence struct {
+type WaitEstimator struct {
 	mean, deviation float64 // seconds
 	answers         int
 }
 
 // Answered records the time to the first sign of an answer.
-func (e *Silence) Answered(took time.Duration) {
+func (e *WaitEstimator) Answered(took time.Duration) {
 	seconds := took.Seconds()
 	if e.answers == 0 {
 		e.mean, e.deviation = seconds, seconds/2
@@ -52,14 +52,14 @@
 }
 
 // TimedOut records a request that was given up after the wait.
-func (e *Silence) GaveUp(wait time.Duration) { e.Answered(timeoutFactor * wait) }
+func (e *WaitEstimator) TimedOut(wait time.Duration) { e.Answered(timeoutFactor * wait) }
 
 // MaxWait returns how long to wait for the first sign of an answer where the request has
 // a slot of its own.
-func (e *Silence) Patience() time.Duration {
+func (e *WaitEstimator) MaxWait() time.Duration {
 	if e.answers < minAnswers {
-		return LongestSilence
+		return LongestWait
 	}
 	learned := time.Duration((e.mean + deviations*e.deviation) * float64(time.Second))
-	return min(max(learned, ShortestSilence), LongestSilence)
+	return min(max(learned, ShortestWait), LongestWait)
 }
--- a/core/retry/silence_test.go
+++ b/core/retry/silence_test.go
@@ -15,8 +15,8 @@
 	around := func(r *rand.Rand, mean time.Duration) time.Duration {
 		return time.Duration(float64(mean) * (0.5 + r.ExpFloat64()/2))
 	}
-	learned := func(r *rand.Rand, mean time.Duration) *retry.Silence {
-		var s retry.Silence
+	learned := func(r *rand.Rand, mean time.Duration) *retry.WaitEstimator {
+		var s retry.WaitEstimator
 		for range 200 {
 			s.Answered(around(r, mean))
 		}
@@ -24,21 +24,21 @@
 	}
 
 	It("is the longest until enough answers were seen", func() {
-		var s retry.Silence
+		var s retry.WaitEstimator
 		for range 15 {
-			Expect(s.Patience()).To(Equal(retry.LongestSilence))
+			Expect(s.MaxWait()).To(Equal(retry.LongestWait))
 			s.Answered(20 * time.Millisecond)
 		}
 		s.Answered(20 * time.Millisecond)
-		Expect(s.Patience()).To(BeNumerically("<", retry.LongestSilence))
+		Expect(s.MaxWait()).To(BeNumerically("<", retry.LongestWait))
 	})
 
 	// A guest's question goes to a target that has just stopped answering. Another one
 	// must still answer it within its 300 ms.
 	It("leaves time for another target within the objective where targets are quick", func() {
 		s := learned(rand.New(rand.NewPCG(1, 1)), 30*time.Millisecond)
-		Expect(s.Patience()).To(BeNumerically("<=", 250*time.Millisecond))
-		Expect(s.Patience()).To(BeNumerically(">=", retry.ShortestSilence))
+		Expect(s.MaxWait()).To(BeNumerically("<=", 250*time.Millisecond))
+		Expect(s.MaxWait()).To(BeNumerically(">=", retry.ShortestWait))
 	})
 
 	// All targets become slow together. A maximum wait that gives up requests that would
@@ -50,10 +50,10 @@
 			const requests = 200
 			gaveUp := 0
 			for range requests {
-				patience, took := s.Patience(), around(r, slow)
-				if took > patience && patience < retry.LongestSilence {
+				patience, took := s.MaxWait(), around(r, slow)
+				if took > patience && patience < retry.LongestWait {
 					gaveUp++
-					s.GaveUp(patience)
+					s.TimedOut(patience)
 					continue
 				}
 				s.Answered(took)
@@ -66,13 +66,13 @@
 	It("returns to what targets take once they are quick again", func() {
 		r := rand.New(rand.NewPCG(3, 3))
 		s := learned(r, 30*time.Millisecond)
-		before := s.Patience()
-		s.GaveUp(before)
-		s.GaveUp(s.Patience())
-		Expect(s.Patience()).To(BeNumerically(">", 2*before))
+		before := s.MaxWait()
+		s.TimedOut(before)
+		s.TimedOut(s.MaxWait())
+		Expect(s.MaxWait()).To(BeNumerically(">", 2*before))
 		for range 40 {
 			s.Answered(around(r, 30*time.Millisecond))
 		}
-		Expect(s.Patience()).To(BeNumerically("<=", 300*time.Millisecond))
+		Expect(s.MaxWait()).To(BeNumerically("<=", 300*time.Millisecond))
 	})
 })
--- a/core/retry/suspects.go
+++ b/core/retry/suspects.go
@@ -13,9 +13,9 @@
 	// ReportWindow is how long after its first report a crash stays open: every entry
 	// host with a request there sees its own connection break and reports to the others.
 	// It covers that with a margin; see Suspects.VerdictAt.
-	SettleTime = 150 * time.Millisecond
+	ReportWindow = 150 * time.Millisecond
 	// CrashRetention is how long a crash counts.
-	CrashMemory = time.Hour
+	CrashRetention = time.Hour
 	// MaxCrashes is the maximum number of crashes kept.
 	MaxCrashes = 256
 	// MaxRunning is the maximum number of requests named per crash.
@@ -47,13 +47,13 @@
 	// PreferAlone requests ran on one target when it crashed: they run next where as few
 	// other requests as possible do, so that the next crash, or its absence, is evidence
 	// about them alone.
-	Isolated
+	PreferAlone
 	// RunAlone requests ran on several targets when they crashed: they run only where
 	// nothing else does. If one shared a third crash, that would cost others their
 	// answers and still prove nothing.
-	Quarantined
+	RunAlone
 	// Quarantined requests are refused.
-	Condemned
+	Quarantined
 	// Pending requests wait until the crashes that they took part in are no longer open,
 	// at most ReportWindow.
 	Pending
@@ -84,11 +84,11 @@
 }
 
 // Crashed applies a report of a crash, received at the time of the crash.
-func (s *Suspects) Crashed(c Crash) bool { return s.Hear(c.AtMs, c) }
+func (s *Suspects) Crashed(c Crash) bool { return s.Apply(c.AtMs, c) }
 
 // Apply applies a report of a crash, received now, and reports whether anything in it was
 // new.
-func (s *Suspects) Hear(nowMs int64, c Crash) bool {
+func (s *Suspects) Apply(nowMs int64, c Crash) bool {
 	c = c.bounded()
 	if len(c.Running)+len(c.Cleared) == 0 {
 		return false
@@ -174,7 +174,7 @@
 // Verdict returns how the request may be run.
 func (s *Suspects) Verdict(fingerprint string) Verdict {
 	if s.quarantined[fingerprint] {
-		return Condemned
+		return Quarantined
 	}
 	targets := map[string]bool{}
 	for _, c := range s.crashes {
@@ -186,9 +186,9 @@
 	case 0:
 		return Clear
 	case 1:
-		return Isolated
+		return PreferAlone
 	default:
-		return Quarantined
+		return RunAlone
 	}
 }
 
@@ -211,7 +211,7 @@
 		}
 		targets[c.Target] = true
 		since := nowMs - s.receivedMs[i]
-		open = open || 0 <= since && since < SettleTime.Milliseconds()
+		open = open || 0 <= since && since < ReportWindow.Milliseconds()
 	}
 	if open && len(targets) >= s.limit {
 		return Pending
@@ -223,7 +223,7 @@
 func (s *Suspects) Expire(nowMs int64) {
 	kept := 0
 	for i, c := range s.crashes {
-		if nowMs-c.AtMs <= CrashMemory.Milliseconds() {
+		if nowMs-c.AtMs <= CrashRetention.Milliseconds() {
 			s.crashes[kept], s.receivedMs[kept] = c, s.receivedMs[i]
 			kept++
 		}
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -20,11 +20,11 @@
 	// OutageThreshold is how long the store must have been silent for vanished entries to
 	// be attributed to the outage itself. It is above the interval between queries to the
 	// store in quiet times.
-	AwayAfter = 1500 * time.Millisecond
+	OutageThreshold = 1500 * time.Millisecond
 	// LateWriteWindow is how long an entry of an earlier start is deferred. Writes whose
 	// answer was lost take effect up to 6 s late, and a live target that finds another
 	// entry in place of its own rewrites it with its next heartbeat, some 1.2 s later.
-	LateFor = 8 * time.Second
+	LateWriteWindow = 8 * time.Second
 )
 
 // Target is the content of a target's entry.
@@ -85,8 +85,8 @@
 
 // StoreAnswered records an answer of the store. Call it before Set, Remove, Invalidate
 // and Replace with the content of the answer.
-func (r *Roster) Heard(now time.Time) {
-	if !r.lastAnswer.IsZero() && now.Sub(r.lastAnswer) > AwayAfter {
+func (r *Roster) StoreAnswered(now time.Time) {
+	if !r.lastAnswer.IsZero() && now.Sub(r.lastAnswer) > OutageThreshold {
 		r.graceEnds = now.Add(ReturnGrace)
 		clear(r.vanished)
 		r.version++
@@ -107,7 +107,7 @@
 	known, had := r.entries[t.ID]
 	if had && t.Born < known.Born {
 		if _, isDeferred := r.deferred[t.ID]; !isDeferred {
-			r.deferred[t.ID] = pendingChange{t, now.Add(LateFor)}
+			r.deferred[t.ID] = pendingChange{t, now.Add(LateWriteWindow)}
 			r.version++
 		}
 		return
@@ -149,7 +149,7 @@
 // Invalidate applies an entry that names no usable target. The entry that it replaced is
 // dropped without a grace period: something else has written there, and the target, if it
 // is alive, rewrites its own entry with its next heartbeat.
-func (r *Roster) Spoil(id string) {
+func (r *Roster) Invalidate(id string) {
 	r.version++
 	delete(r.entries, id)
 	delete(r.expired, id)
@@ -168,7 +168,7 @@
 		next[t.ID] = true
 	}
 	for _, id := range invalid {
-		r.Spoil(id)
+		r.Invalidate(id)
 	}
 	for id := range r.entries {
 		if !next[id] {
@@ -234,7 +234,7 @@
 }
 
 // CurrentStart returns the target's current start, "" if none is known.
-func (r *Roster) Current(id string) Start { return r.entries[id].Start }
+func (r *Roster) CurrentStart(id string) Start { return r.entries[id].Start }
 
 // Usable returns the targets that may get new work, sorted by ID, and when the result
 // next changes due to time alone (zero: never).
--- a/core/roster/roster_test.go
+++ b/core/roster/roster_test.go
@@ -28,7 +28,7 @@
 	}
 	fresh := func() *roster.Roster {
 		r := roster.New()
-		r.Heard(at(0))
+		r.StoreAnswered(at(0))
 		r.Replace(at(0), []roster.Target{{ID: "a"}, {ID: "b"}, {ID: "c", Draining: true}})
 		return r
 	}
@@ -38,7 +38,7 @@
 	It("counts changes, but not heartbeats", func() {
 		r := fresh()
 		version := r.Version(at(0))
-		r.Heard(at(time.Second))
+		r.StoreAnswered(at(time.Second))
 		r.Set(at(time.Second), roster.Target{ID: "a"})
 		Expect(r.Version(at(time.Second))).To(Equal(version))
 		r.Set(at(time.Second), roster.Target{ID: "a", Draining: true})
@@ -51,7 +51,7 @@
 	It("counts changes due to time alone", func() {
 		r := fresh()
 		back := at(6 * time.Second)
-		r.Heard(back)
+		r.StoreAnswered(back)
 		r.Replace(back, nil)
 		_, until := r.Usable(back)
 		version := r.Version(back)
@@ -72,7 +72,7 @@
 		Expect(ids(r, at(12*time.Second))).To(Equal([]string{"z"}), "no grace period for what the reader dropped")
 		Expect(r.Complete()).To(BeTrue())
 		r.Adopt(at(13*time.Second), nil, false)
-		r.Heard(at(13 * time.Second))
+		r.StoreAnswered(at(13 * time.Second))
 		r.Replace(at(13*time.Second), []roster.Target{{ID: "a"}})
 		Expect(r.Complete()).To(BeTrue())
 	})
@@ -86,7 +86,7 @@
 
 	It("drops a target immediately if its entry vanishes while the store answers", func() {
 		r := fresh()
-		r.Heard(at(time.Second))
+		r.StoreAnswered(at(time.Second))
 		r.Remove(at(time.Second), "a")
 		Expect(ids(r, at(time.Second))).To(Equal([]string{"b"}))
 	})
@@ -97,7 +97,7 @@
 	It("keeps targets whose entries expired during an outage of the store, until they had time to rewrite them", func() {
 		r := fresh()
 		back := at(6 * time.Second)
-		r.Heard(back)
+		r.StoreAnswered(back)
 		r.Replace(back, nil)
 		Expect(ids(r, back)).To(Equal([]string{"a", "b"}))
 		r.Set(at(0), roster.Target{ID: "a", Address: "new"})
@@ -112,7 +112,7 @@
 		r := fresh()
 		r.Set(at(0), roster.Target{ID: "b", Draining: true})
 		back := at(6 * time.Second)
-		r.Heard(back)
+		r.StoreAnswered(back)
 		r.Replace(back, nil)
 		Expect(ids(r, back)).To(Equal([]string{"a"}))
 	})
@@ -121,7 +121,7 @@
 		r := fresh()
 		back := at(6 * time.Second)
 		for d := time.Duration(0); d <= roster.ReturnGrace; d += roster.ReturnGrace / 4 {
-			r.Heard(back.Add(d))
+			r.StoreAnswered(back.Add(d))
 		}
 		r.Remove(back.Add(roster.ReturnGrace), "a")
 		Expect(ids(r, back.Add(roster.ReturnGrace))).To(Equal([]string{"b"}))
@@ -152,18 +152,18 @@
 		r.Set(at(0), roster.Target{ID: "a", Born: 200, Address: "old"})
 		r.Set(at(time.Second), roster.Target{ID: "a", Born: 150, Address: "new"})
 		_, until := r.Usable(at(2 * time.Second))
-		Expect(until).To(Equal(at(time.Second + roster.LateFor)))
+		Expect(until).To(Equal(at(time.Second + roster.LateWriteWindow)))
 		list, _ := r.Usable(until)
 		Expect(list[0].Address).To(Equal("new"))
 	})
 
 	It("accepts any start once the entry is removed", func() {
 		r := fresh()
-		r.Heard(at(time.Second))
+		r.StoreAnswered(at(time.Second))
 		r.Set(at(time.Second), roster.Target{ID: "a", Born: 200})
 		r.Remove(at(time.Second), "a")
 		r.Set(at(time.Second), roster.Target{ID: "a", Born: 100})
-		Expect(r.Current("a")).To(Equal(roster.StartOf("a", 100)))
+		Expect(r.CurrentStart("a")).To(Equal(roster.StartOf("a", 100)))
 	})
 
 	It("gives each start of a target a different, short name", func() {
@@ -183,7 +183,7 @@
 	It("drops a target immediately if its entry is invalidated", func() {
 		r := fresh()
 		back := at(6 * time.Second)
-		r.Heard(back)
+		r.StoreAnswered(back)
 		r.Replace(back, []roster.Target{{ID: "b"}}, "a")
 		Expect(ids(r, back)).To(Equal([]string{"b"}))
 	})
@@ -193,10 +193,10 @@
 	// ends within that time.
 	It("gives no grace period where only a part of a group vanishes", func() {
 		r := roster.New()
-		r.Heard(at(0))
+		r.StoreAnswered(at(0))
 		r.Replace(at(0), []roster.Target{{ID: "a", Group: "g"}, {ID: "b", Group: "g"}, {ID: "c", Group: "g"}, {ID: "d", Group: "h"}})
 		back := at(6 * time.Second)
-		r.Heard(back)
+		r.StoreAnswered(back)
 		r.Remove(back, "a")
 		Expect(ids(r, back)).To(Equal([]string{"b", "c", "d"}))
 		r.Remove(back, "d")
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -77,7 +77,7 @@
 
 // QuotaKey returns the key under which the waiting tokens of an account's jobs are
 // summed; account is "" for none.
-func (r *Route) Quota(account string) string {
+func (r *Route) QuotaKey(account string) string {
 	if account == "" {
 		return r.Host + r.Prefix
 	}
@@ -165,14 +165,14 @@
 	if r := t.Match(host, path); r != nil {
 		return r, nil
 	}
-	if age > accounts.SureFor {
-		return nil, outcome.Refuse(outcome.NotReady, "the route may be newer than version %d", t.Version).After(accounts.UnsureRetryMs)
+	if age > accounts.MaxConfigAge {
+		return nil, outcome.Refuse(outcome.NotReady, "the route may be newer than version %d", t.Version).After(accounts.StaleRetryAfterMs)
 	}
 	return nil, outcome.Refuse(outcome.NotFound, "no route of version %d", t.Version)
 }
 
 // UsedGroups returns the names of the groups that routes send requests to, sorted.
-func (t *Table) Used() []string {
+func (t *Table) UsedGroups() []string {
 	var names []string
 	for _, list := range t.hosts {
 		for _, r := range list {
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -30,9 +30,9 @@
 		found, refusal := table.Find("b.example", "/x/1", time.Hour)
 		Expect(refusal).To(BeNil())
 		Expect(found.Name).To(Equal("other"))
-		_, refusal = table.Find("b.example", "/new/1", accounts.SureFor)
+		_, refusal = table.Find("b.example", "/new/1", accounts.MaxConfigAge)
 		Expect(refusal.Code).To(Equal(outcome.NotFound))
-		_, refusal = table.Find("b.example", "/new/1", accounts.SureFor+1)
+		_, refusal = table.Find("b.example", "/new/1", accounts.MaxConfigAge+1)
 		Expect(refusal.Code).To(Equal(outcome.NotReady))
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 		Expect(refusal.RetryAfterMs).To(BeNumerically(">", 0))
@@ -71,7 +71,7 @@
 			{Host: "a", Prefix: "/", Groups: []route.Share{{Group: "y", Weight: 1}, {Group: "off", Weight: 0}}},
 			{Host: "b", Prefix: "/", Groups: []route.Share{{Group: "x", Weight: 2}, {Group: "y", Weight: 1}}},
 		}, route.Limits{})
-		Expect(used.Used()).To(Equal([]string{"x", "y"}))
+		Expect(used.UsedGroups()).To(Equal([]string{"x", "y"}))
 	})
 
 	DescribeTable("knows what may be repeated",
--- a/core/routing/admit.go
+++ b/core/routing/admit.go
@@ -11,15 +11,15 @@
 
 // ServiceTime is the running average of the total time of a group's finished requests.
 // The zero value has no measurement yet.
-type Speed struct {
+type ServiceTime struct {
 	mean  time.Duration
 	known bool
 }
 
 // Observe adds the total time of a finished request to the average.
-func (s *Speed) Measured(total time.Duration) {
+func (s *ServiceTime) Observe(total time.Duration) {
 	if !s.known {
-		*s = Speed{mean: total, known: true}
+		*s = ServiceTime{mean: total, known: true}
 		return
 	}
 	change := serviceTimeWeight * float64(total-s.mean)
@@ -29,7 +29,7 @@
 // Wait estimates how long one more request would queue at a target that runs slots
 // requests at once and has load requests already: with all slots taken, one becomes free
 // every total/slots.
-func (s Speed) Queue(load float64, slots int) time.Duration {
+func (s ServiceTime) Wait(load float64, slots int) time.Duration {
 	if slots <= 0 {
 		return 0
 	}
@@ -41,7 +41,7 @@
 }
 
 // ObserveServiceTime adds the total time of a finished request to the group's average.
-func (t *Table) Measured(total time.Duration) { t.serviceTime.Measured(total) }
+func (t *Table) ObserveServiceTime(total time.Duration) { t.serviceTime.Observe(total) }
 
 // Wait estimates how long a request would queue at the target with the shortest queue:
 // with load at or above its slots, one request finishes every total/slots. It is 0 while
@@ -53,7 +53,7 @@
 	}
 	shortest, found := time.Duration(0), false
 	for _, e := range t.usableTargets(now, Request{}, false) {
-		w := t.serviceTime.Queue(e.load(now), t.slotsOf(now, e))
+		w := t.serviceTime.Wait(e.load(now), t.slotsOf(now, e))
 		if !found || w < shortest {
 			shortest, found = w, true
 		}
@@ -85,7 +85,7 @@
 // Load pattern: fewer slots than requests for several seconds. Targets have no
 // priorities, so the less urgent a request is, the shorter the queue that it may join;
 // the rest of the queue is reserved for urgent requests.
-func QueuePatience(left time.Duration, rank int) time.Duration {
+func MaxWait(left time.Duration, rank int) time.Duration {
 	return min(left/2, waitLimit) / time.Duration(1+max(0, rank))
 }
 
--- a/core/routing/doubt.go
+++ b/core/routing/doubt.go
@@ -30,7 +30,7 @@
 // Degradation is the state of a target after failures with no success since. It lasts as
 // long as an ejection after the same number of failures. The zero value is a target that
 // is not degraded; a success resets to it.
-type Doubt struct {
+type Degradation struct {
 	// failures counts consecutive failures, including those that the zone reported.
 	failures int
 	until    time.Time
@@ -39,7 +39,7 @@
 // RecordFailure records a failure. peerFailures is how many consecutive failures other
 // daemons have reported. Failures of requests that were sent before the degradation began
 // arrive together; they count as one.
-func (d *Doubt) Failed(now time.Time, peerFailures int) {
+func (d *Degradation) RecordFailure(now time.Time, peerFailures int) {
 	if now.Before(d.until) {
 		return
 	}
@@ -48,17 +48,17 @@
 }
 
 // Failures returns the number of consecutive failures.
-func (d *Doubt) Failures() int { return d.failures }
+func (d *Degradation) Failures() int { return d.failures }
 
 // Active reports whether requests still avoid the target.
-func (d *Doubt) Lasts(now time.Time) bool { return now.Before(d.until) }
+func (d *Degradation) Active(now time.Time) bool { return now.Before(d.until) }
 
 // peerFailures returns how many consecutive failures the zone's other daemons report.
 func (e *entry) peerFailures(now time.Time) int {
 	if !e.received.fresh(now) {
 		return 0
 	}
-	return e.received.report.Doubt
+	return e.received.report.PeerFailures
 }
 
 // degraded reports whether the target is degraded for a request. Peers' reports count if
@@ -67,29 +67,29 @@
 // be repeated; for others the degradation lasts until the target answers a request.
 func (e *entry) degraded(now time.Time, r Request) bool {
 	d := e.health.degradation
-	if e.peerFailures(now) > d.failures || d.Lasts(now) {
+	if e.peerFailures(now) > d.failures || d.Active(now) {
 		return true
 	}
 	return r.LastChance && (d.failures > 0 || e.peerFailures(now) > 0 || e.health.state(now) == HalfOpen)
 }
 
 // Degraded reports whether the target is degraded for requests that may be repeated.
-func (t *Table) Doubtful(now time.Time, address string) bool {
+func (t *Table) Degraded(now time.Time, address string) bool {
 	e := t.entries[address]
 	return e != nil && e.degraded(now, Request{})
 }
 
 // MarkDegraded records a failure of the target although no request has ended there.
-func (t *Table) Suspect(now time.Time, address string) {
+func (t *Table) MarkDegraded(now time.Time, address string) {
 	if e := t.entries[address]; e != nil {
-		e.health.degradation.Failed(now, e.peerFailures(now))
+		e.health.degradation.RecordFailure(now, e.peerFailures(now))
 	}
 }
 
 // DegradedTargets returns the number of consecutive failures of each target that this
 // daemon's own requests degraded, to be reported to the other daemons of the zone. It
 // returns nil if there are too many of them to be the targets' own fault.
-func (t *Table) Doubts(now time.Time) map[string]int {
+func (t *Table) DegradedTargets(now time.Time) map[string]int {
 	degraded := map[string]int{}
 	for _, address := range t.order {
 		if d := t.entries[address].health.degradation; now.Before(d.until.Add(reportGrace)) {
--- a/core/routing/doubt_test.go
+++ b/core/routing/doubt_test.go
@@ -78,7 +78,7 @@
 // will be answered.
 func (f *zoneFleet) attempt(now time.Time, daemon int, request *Request) bool {
 	table := f.tables[daemon]
-	choice, _ := table.PickLeast(now, *request)
+	choice, _ := table.PickLeastLoaded(now, *request)
 	request.Exclude[choice.Address] = true
 	table.Start(now, choice.Address, false)
 	var number int
@@ -103,7 +103,7 @@
 func (f *zoneFleet) spread(now time.Time) {
 	most := map[string]int{}
 	for _, table := range f.tables {
-		for address, failures := range table.Doubts(now) {
+		for address, failures := range table.DegradedTargets(now) {
 			most[address] = max(most[address], failures)
 		}
 	}
@@ -114,10 +114,10 @@
 		address := fmt.Sprint("t", i)
 		running := 0
 		for _, table := range f.tables {
-			running += table.Own(address)
+			running += table.LocalRequests(address)
 		}
 		for _, table := range f.tables {
-			table.Hear(now, address, Word{OnlineTotal: running, ReportAge: -1, Slots: fleetSlots, Doubt: most[address]})
+			table.ApplyReport(now, address, LoadReport{OnlineTotal: running, ReportAge: -1, Slots: fleetSlots, PeerFailures: most[address]})
 		}
 	}
 }
@@ -145,11 +145,11 @@
 	for _, address := range []string{"a0", "a1"} {
 		table.End(now, address, false, SoftFailed)
 	}
-	if got := table.Doubts(now); len(got) != 2 {
+	if got := table.DegradedTargets(now); len(got) != 2 {
 		t.Fatalf("degraded %v, want two of eight", got)
 	}
 	table.End(now, "a2", false, SoftFailed)
-	if got := table.Doubts(now); len(got) != 0 {
+	if got := table.DegradedTargets(now); len(got) != 0 {
 		t.Fatalf("degraded %v, want none reported at three of eight", got)
 	}
 }
@@ -166,7 +166,7 @@
 		t.Fatalf("picked %s although a0 has answered since", got)
 	}
 	table.End(now, "a0", false, SoftFailed)
-	choice, _ := table.PickLeast(now.Add(FirstHold), Request{Zone: "a"})
+	choice, _ := table.PickLeastLoaded(now.Add(BaseEjectionTime), Request{Zone: "a"})
 	if choice.Address != "a0" {
 		t.Fatalf("picked %s although the degradation of a0 has ended", choice.Address)
 	}
@@ -178,9 +178,9 @@
 	table, _ := zones(1)
 	now := time.Unix(1000, 0)
 	table.End(now, "a0", false, HardFailed)
-	now = now.Add(FirstHold)
-	order, _ := table.PickLeast(now, Request{Zone: "a", LastChance: true})
-	question, _ := table.PickLeast(now, Request{Zone: "a"})
+	now = now.Add(BaseEjectionTime)
+	order, _ := table.PickLeastLoaded(now, Request{Zone: "a", LastChance: true})
+	question, _ := table.PickLeastLoaded(now, Request{Zone: "a"})
 	if order.Address != "b0" || question.Address != "a0" {
 		t.Fatalf("the order goes to %s, the question to %s", order.Address, question.Address)
 	}
--- a/core/routing/fill.go
+++ b/core/routing/fill.go
@@ -19,12 +19,12 @@
 	}
 	peers := 0
 	for _, e := range t.entries {
-		if r.FarIsStale && e.Zone != r.Zone {
+		if r.RemoteStale && e.Zone != r.Zone {
 			continue
 		}
 		peers += t.online(now, e) - e.localRequests
 	}
-	return float64(peers) * r.WordAge.Seconds() / t.serviceTime.mean.Seconds()
+	return float64(peers) * r.LoadReportAge.Seconds() / t.serviceTime.mean.Seconds()
 }
 
 // waterFill chooses a target at random such that all daemons together fill the targets
--- a/core/routing/fill_test.go
+++ b/core/routing/fill_test.go
@@ -17,7 +17,7 @@
 	serviceTime := 700 * time.Millisecond
 	f := newZoneFleet(daemons, targets, 0, false)
 	for _, table := range f.tables {
-		table.Measured(serviceTime)
+		table.ObserveServiceTime(serviceTime)
 	}
 	running := map[string]int{}
 	now := time.Unix(1000, 0)
@@ -36,7 +36,7 @@
 			spreadAt = now
 		}
 		daemon := random.Below(daemons)
-		choice, _ := f.tables[daemon].PickLeast(now, Request{Zone: "z", WordAge: age, SeedValue: random.Next()})
+		choice, _ := f.tables[daemon].PickLeastLoaded(now, Request{Zone: "z", LoadReportAge: age, SeedValue: random.Next()})
 		f.tables[daemon].Start(now, choice.Address, false)
 		if running[choice.Address] >= fleetSlots && len(f.answers) < targets*fleetSlots && i > requests/10 {
 			misplaced++
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -5,11 +5,11 @@
 const (
 	// SoftFailureThreshold is how many consecutive failures eject a target when each of
 	// them alone could have been the request's fault (a timeout, a 5xx answer).
-	SoftFailures = 3
+	SoftFailureThreshold = 3
 	// BaseEjectionTime is how long a target's first ejection lasts.
-	FirstHold = 500 * time.Millisecond
+	BaseEjectionTime = 500 * time.Millisecond
 	// MaxEjectionTime bounds the doubling of the ejection time.
-	MaxHold = 15 * time.Second
+	MaxEjectionTime = 15 * time.Second
 	// healthyAllowance is the allowance at which a returning target counts as healthy.
 	healthyAllowance = 16
 )
@@ -23,7 +23,7 @@
 	// HalfOpen targets return gradually: the allowance doubles with each success.
 	HalfOpen
 	// Ejected targets get no requests while another target is available.
-	Removed
+	Ejected
 )
 
 // String returns the state's name for logs and status pages.
@@ -55,13 +55,13 @@
 	// allowance bounds this daemon's requests in flight while half-open; 0 means healthy.
 	allowance int
 	// degradation is milder than an ejection and begins with the first failure.
-	degradation Doubt
+	degradation Degradation
 }
 
 func (h *health) state(now time.Time) State {
 	switch {
 	case now.Before(h.ejectedUntil):
-		return Removed
+		return Ejected
 	case h.allowance > 0:
 		return HalfOpen
 	default:
@@ -76,7 +76,7 @@
 		return h.succeeded(now)
 	case SoftFailed:
 		h.failures++
-		if h.failures < SoftFailures && h.allowance == 0 {
+		if h.failures < SoftFailureThreshold && h.allowance == 0 {
 			return false
 		}
 		return h.eject(now)
@@ -89,7 +89,7 @@
 
 func (h *health) succeeded(now time.Time) bool {
 	h.failures = 0
-	h.degradation = Doubt{}
+	h.degradation = Degradation{}
 	if h.allowance == 0 || now.Before(h.ejectedUntil) {
 		return false
 	}
@@ -119,9 +119,9 @@
 func ejectionTime(previous int) time.Duration {
 	const beyondMax = 5 // BaseEjectionTime doubled five times exceeds MaxEjectionTime
 	if previous >= beyondMax {
-		return MaxHold
+		return MaxEjectionTime
 	}
-	return min(MaxHold, FirstHold<<previous)
+	return min(MaxEjectionTime, BaseEjectionTime<<previous)
 }
 
 // End records the end of a request that Start counted. It returns the target's state and
@@ -144,13 +144,13 @@
 // the state changed.
 func (e *entry) recordOutcome(now time.Time, o Outcome) bool {
 	if o == SoftFailed || o == HardFailed {
-		e.health.degradation.Failed(now, e.peerFailures(now))
+		e.health.degradation.RecordFailure(now, e.peerFailures(now))
 	}
 	return e.health.record(now, o)
 }
 
 // EjectedUntil returns the end of the target's ejection.
-func (t *Table) Hold(address string) time.Time {
+func (t *Table) EjectedUntil(address string) time.Time {
 	if e := t.entries[address]; e != nil {
 		return e.health.ejectedUntil
 	}
@@ -164,7 +164,7 @@
 	for _, address := range t.order {
 		e := t.entries[address]
 		ends := e.health.ejectedUntil.Sub(now)
-		if e.health.allowance > 0 && !e.leaving && ends <= FirstHold {
+		if e.health.allowance > 0 && !e.leaving && ends <= BaseEjectionTime {
 			due = append(due, address)
 		}
 	}
@@ -173,12 +173,12 @@
 
 // RecordProbe records a probe's result: a failed probe extends the ejection of a target
 // that has not returned yet.
-func (t *Table) Probed(now time.Time, address string, ok bool) {
+func (t *Table) RecordProbe(now time.Time, address string, ok bool) {
 	e := t.entries[address]
 	if e == nil || ok || e.health.allowance == 0 {
 		return
 	}
-	if e.health.ejectedUntil.Sub(now) < FirstHold {
-		e.health.ejectedUntil = now.Add(FirstHold)
+	if e.health.ejectedUntil.Sub(now) < BaseEjectionTime {
+		e.health.ejectedUntil = now.Add(BaseEjectionTime)
 	}
 }
--- a/core/routing/least.go
+++ b/core/routing/least.go
@@ -14,14 +14,14 @@
 // target is better by more than ZoneMargin. A target with a free slot is preferred to one
 // where batch work would have to be preempted: a preempted item processes its prompt
 // again elsewhere. It returns false if every target is ejected, leaving or tried.
-func (t *Table) PickLeast(now time.Time, r Request) (Choice, bool) {
+func (t *Table) PickLeastLoaded(now time.Time, r Request) (Choice, bool) {
 	usable := t.usableTargets(now, r, true)
 	if len(usable) == 0 {
 		return Choice{}, false
 	}
 	random := splitmix.Generator(r.SeedValue)
 	unreported := t.unreported(now, r)
-	if r.FarIsStale {
+	if r.RemoteStale {
 		if e := t.localZoneFirst(now, usable, r, unreported, &random); e != nil {
 			return Choice{e.Address, ByLoad}, true
 		}
@@ -136,13 +136,13 @@
 }
 
 // Available reports whether the target's health lets it take one more request.
-func (t *Table) Open(now time.Time, address string) bool {
+func (t *Table) Available(now time.Time, address string) bool {
 	e := t.entries[address]
 	return e != nil && !e.leaving && e.available(now)
 }
 
 // RecordOutcome records the outcome of a request that Start did not count.
-func (t *Table) Note(now time.Time, address string, o Outcome) {
+func (t *Table) RecordOutcome(now time.Time, address string, o Outcome) {
 	if e := t.entries[address]; e != nil {
 		e.recordOutcome(now, o)
 	}
--- a/core/routing/least_test.go
+++ b/core/routing/least_test.go
@@ -15,13 +15,13 @@
 	}
 	t := NewTable("g", targets, 4)
 	return t, func(address string, online, batch int) {
-		t.Hear(time.Unix(1000, 0), address, Word{OnlineTotal: online, BatchRunning: batch, Slots: 4, ReportAge: -1})
+		t.ApplyReport(time.Unix(1000, 0), address, LoadReport{OnlineTotal: online, BatchRunning: batch, Slots: 4, ReportAge: -1})
 	}
 }
 
 func pick(t *testing.T, table *Table, r Request) string {
 	t.Helper()
-	choice, ok := table.PickLeast(time.Unix(1000, 0), r)
+	choice, ok := table.PickLeastLoaded(time.Unix(1000, 0), r)
 	if !ok {
 		t.Fatal("no target")
 	}
@@ -51,7 +51,7 @@
 // If they chose the lowest load in the outdated reports, they would all choose one target.
 func TestPickLeastLoadedWithStaleRemoteLoadsSpreadsOverFreeTargets(t *testing.T) {
 	table, report := zones(3)
-	request := Request{Zone: "a", FarIsStale: true}
+	request := Request{Zone: "a", RemoteStale: true}
 	report("a0", 1, 3)
 	for _, full := range []string{"a1", "a2"} {
 		report(full, 4, 0)
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -9,9 +9,9 @@
 	// LoadReportTTL is how long a dispatcher's load report is valid. Reports come back
 	// with every signal, so an older one means that the dispatcher is gone or that
 	// nothing of this daemon has run there; then only the local load is known.
-	WordLife = 2 * time.Second
+	LoadReportTTL = 2 * time.Second
 	// EngineReportTTL is how long an engine's own report is valid.
-	ReportLife = 3 * time.Second
+	EngineReportTTL = 3 * time.Second
 	// BatchLoad is the load of one batch item, in online requests: it slows the engine,
 	// but its dispatcher cancels it when online load rises.
 	BatchLoad = 0.25
@@ -43,7 +43,7 @@
 		return 0
 	}
 	reportedAt := e.received.receivedAt.Add(-report.ReportAge)
-	if now.Sub(reportedAt) > ReportLife {
+	if now.Sub(reportedAt) > EngineReportTTL {
 		return 0
 	}
 	online := max(0, report.Reported-report.BatchRunning)
@@ -52,7 +52,7 @@
 }
 
 func (h receivedReport) fresh(now time.Time) bool {
-	return h.valid && now.Sub(h.receivedAt) <= WordLife
+	return h.valid && now.Sub(h.receivedAt) <= LoadReportTTL
 }
 
 // history holds the most recent times of an event, oldest first.
@@ -62,7 +62,7 @@
 
 func (h *history) add(now time.Time) {
 	cut := 0
-	for cut < len(h.at) && now.Sub(h.at[cut]) > ReportLife {
+	for cut < len(h.at) && now.Sub(h.at[cut]) > EngineReportTTL {
 		cut++
 	}
 	if len(h.at)-cut >= historySize {
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -38,10 +38,10 @@
 	// Zone is the entry host's availability zone.
 	Zone string
 	// LoadReportAge is the maximum age of the load reports that PickLeastLoaded uses.
-	WordAge time.Duration
+	LoadReportAge time.Duration
 	// RemoteStale tells PickLeastLoaded that the loads of other zones arrive late or not
 	// at all.
-	FarIsStale bool
+	RemoteStale bool
 	// Exclude holds the targets already tried; they are used again only when no other
 	// target is left.
 	Exclude map[string]bool
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -54,7 +54,7 @@
 			case "fail":
 				table.Start(now, a, false)
 				table.End(now, a, false, HardFailed)
-				until[a], returning[a] = table.Hold(a), true
+				until[a], returning[a] = table.EjectedUntil(a), true
 			case "succeed":
 				table.Start(now, a, false)
 				table.End(now, a, false, Succeeded)
@@ -130,7 +130,7 @@
 		for range requests {
 			choice, _ := table.Pick(epoch, Request{SeedValue: random.Next()})
 			table.Start(epoch, choice.Address, false)
-			worst = max(worst, table.Own(choice.Address))
+			worst = max(worst, table.LocalRequests(choice.Address))
 		}
 		if least := requests / targets; worst > least+4 {
 			t.Fatalf("highest load %d, least loaded gives %d", worst, least)
@@ -147,11 +147,11 @@
 	table.Start(epoch.Add(900*time.Millisecond), a, false)
 	table.End(epoch.Add(950*time.Millisecond), a, false, Succeeded)
 	now := epoch.Add(time.Second)
-	table.Hear(now, a, Word{Reported: 5, ReportAge: 500 * time.Millisecond, OnlineTotal: 2, BatchRunning: 1})
+	table.ApplyReport(now, a, LoadReport{Reported: 5, ReportAge: 500 * time.Millisecond, OnlineTotal: 2, BatchRunning: 1})
 	if got := table.entries[a].load(now); got != 4+1-1+BatchLoad {
 		t.Fatalf("load %v: want 4 reported online, 1 started and 1 ended since, and a batch item", got)
 	}
-	if got := table.entries[a].load(now.Add(WordLife + time.Millisecond)); got != 1 {
+	if got := table.entries[a].load(now.Add(LoadReportTTL + time.Millisecond)); got != 1 {
 		t.Fatalf("load %v by an expired report: want the local request alone", got)
 	}
 }
@@ -190,10 +190,10 @@
 	table := tableOf(1)
 	a := address(0)
 	table.Start(epoch, a, false)
-	if state, changed := table.End(epoch, a, false, HardFailed); state != Removed || !changed {
+	if state, changed := table.End(epoch, a, false, HardFailed); state != Ejected || !changed {
 		t.Fatalf("state %v changed %v", state, changed)
 	}
-	now := epoch.Add(FirstHold)
+	now := epoch.Add(BaseEjectionTime)
 	e := table.entries[a]
 	for _, allowance := range []int{1, 2, 4, 8} {
 		for range allowance {
@@ -245,7 +245,7 @@
 // time; while any slot is free no request is refused.
 func TestAdmitRefusesByTheQueue(t *testing.T) {
 	table := tableOf(1)
-	table.Measured(4 * time.Second)
+	table.ObserveServiceTime(4 * time.Second)
 	deadline := epoch.Add(time.Second)
 	for i := range 8 {
 		if r := table.Admit(epoch, deadline); r != nil {
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -20,7 +20,7 @@
 }
 
 // LoadReport is the last load report of the target's batch dispatcher.
-type Word struct {
+type LoadReport struct {
 	// OnlineTotal counts the online requests of all entry hosts at the target.
 	OnlineTotal int
 	// BatchRunning counts the batch items at the target.
@@ -35,7 +35,7 @@
 	Slots int
 	// PeerFailures is the highest number of consecutive failures for which another daemon
 	// of the local zone has the target degraded, 0 for none.
-	Doubt int
+	PeerFailures int
 }
 
 // Table is one daemon's view of one target group.
@@ -44,7 +44,7 @@
 	slots       int
 	order       []string
 	entries     map[string]*entry
-	serviceTime Speed
+	serviceTime ServiceTime
 }
 
 // entry is the state of one target.
@@ -63,7 +63,7 @@
 
 // receivedReport is the dispatcher's last load report and the local load when it arrived.
 type receivedReport struct {
-	report        Word
+	report        LoadReport
 	receivedAt    time.Time
 	localRequests int
 	valid         bool
@@ -110,7 +110,7 @@
 }
 
 // ApplyReport records a load report of the target's batch dispatcher.
-func (t *Table) Hear(now time.Time, address string, report Word) {
+func (t *Table) ApplyReport(now time.Time, address string, report LoadReport) {
 	if e := t.entries[address]; e != nil {
 		e.received = receivedReport{report: report, receivedAt: now, localRequests: e.localRequests, valid: true}
 	}
@@ -143,7 +143,7 @@
 	Address string
 	Zone    string
 	// LocalRequests counts this daemon's requests at the target.
-	Own int
+	LocalRequests int
 	// Estimate is the estimated load, corrected for the lag of reports.
 	Estimate float64
 	// State is "healthy", "half_open", "removed" or "leaving".
@@ -160,14 +160,14 @@
 			state = "leaving"
 		}
 		loads = append(loads, Load{
-			Address: address, Zone: e.Zone, Own: e.localRequests, Estimate: e.load(now), State: state,
+			Address: address, Zone: e.Zone, LocalRequests: e.localRequests, Estimate: e.load(now), State: state,
 		})
 	}
 	return loads
 }
 
 // LocalRequests returns how many of this daemon's requests run at the target.
-func (t *Table) Own(address string) int {
+func (t *Table) LocalRequests(address string) int {
 	if e := t.entries[address]; e != nil {
 		return e.localRequests
 	}
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -29,7 +29,7 @@
 	Shards int
 	Held   int
 	// ReleasedToSelf reports whether the last holder released the shard to this daemon.
-	Named bool
+	ReleasedToSelf bool
 	// StepMs is the time between the attempts of successive ranks, in milliseconds.
 	StepMs int64
 }
@@ -46,7 +46,7 @@
 // already holds its fair share waits longer, so that at a cold start the first daemon
 // doesn't claim every shard; it still claims the shard if no other daemon does.
 func ClaimAfter(f Facts) (ms int64, ok bool) {
-	if f.Named {
+	if f.ReleasedToSelf {
 		return 0, true
 	}
 	rank := -1
--- a/core/slots/grant.go
+++ b/core/slots/grant.go
@@ -15,11 +15,11 @@
 	sampleSize = 64
 	// FreeSlotsTTL is how long another zone's report of its free slots is valid; its
 	// leader sends several in that time.
-	RoomLife = 400 * time.Millisecond
+	FreeSlotsTTL = 400 * time.Millisecond
 )
 
 // Request is a request for a slot.
-type Ask struct {
+type Request struct {
 	ID    ID
 	Group string
 	// Batch marks a request for a batch item: it gets only slots that online work leaves
@@ -84,7 +84,7 @@
 //
 // In a large group only some targets are examined first, so that the cost of a grant does
 // not depend on the group's size while most targets have free slots.
-func (l *Ledger) Grant(now time.Time, r Ask, seed uint64) Grant {
+func (l *Ledger) Grant(now time.Time, r Request, seed uint64) Grant {
 	g := l.groups[r.Group]
 	if g == nil || len(g.targets) == 0 {
 		return l.otherZone(now, r)
@@ -116,7 +116,7 @@
 
 // grantBatch grants a batch item the emptiest target that leaves the headroom free. A
 // slot whose item is being preempted counts as taken until that item has ended.
-func (l *Ledger) grantBatch(now time.Time, r Ask, from []candidate) Grant {
+func (l *Ledger) grantBatch(now time.Time, r Request, from []candidate) Grant {
 	if c, ok := firstMatch(from, func(c candidate) bool { return c.online+c.usage.batch+r.Headroom < c.Slots }); ok {
 		return l.grantLease(now, r, c)
 	}
@@ -124,12 +124,12 @@
 }
 
 // queue grants the target with the shortest queue if that is short enough.
-func (l *Ledger) queue(now time.Time, r Ask, g *group, from []candidate) Grant {
+func (l *Ledger) queue(now time.Time, r Request, g *group, from []candidate) Grant {
 	if len(from) == 0 {
 		return Grant{Verdict: None}
 	}
 	best := from[0]
-	wait := g.serviceTime.Queue(float64(best.online), best.Slots)
+	wait := g.serviceTime.Wait(float64(best.online), best.Slots)
 	if wait > r.Patience {
 		return Grant{Verdict: Overloaded, Wait: wait}
 	}
@@ -146,7 +146,7 @@
 }
 
 // empty reports whether nothing runs at the target, so that no other is better for r.
-func (c candidate) empty(r Ask) bool {
+func (c candidate) empty(r Request) bool {
 	return c.taken == 0 && c.usage.batch == 0 && (c.Slots > r.Headroom || !r.Batch)
 }
 
@@ -155,7 +155,7 @@
 // ones in the order given by seed: the healthy ones, and the degraded ones. Targets that
 // the request excludes come last among the degraded ones, for use if there is no better
 // one.
-func (l *Ledger) candidates(now time.Time, g *group, r Ask, seed uint64, sample int) (healthy, degraded []candidate) {
+func (l *Ledger) candidates(now time.Time, g *group, r Request, seed uint64, sample int) (healthy, degraded []candidate) {
 	var excluded []candidate
 	n := len(g.targets)
 	for i := range sample {
@@ -190,7 +190,7 @@
 	switch {
 	case u.degradation.Failures() == 0:
 		return false
-	case lastChance || u.degradation.Lasts(now):
+	case lastChance || u.degradation.Active(now):
 		return true
 	default:
 		return u.online+u.batch > 0
@@ -219,7 +219,7 @@
 
 // grantLease begins a lease at the target and preempts as many batch items there as then
 // exceed its slots.
-func (l *Ledger) grantLease(now time.Time, r Ask, c candidate) Grant {
+func (l *Ledger) grantLease(now time.Time, r Request, c candidate) Grant {
 	le := l.add(now, r.ID, Running{Number: r.ID.Number, Target: c.Start, Batch: r.Batch})
 	le.group = r.Group
 	grant := Grant{Verdict: Granted, Target: c.Start, At: c.Target, Running: c.taken}
@@ -260,7 +260,7 @@
 }
 
 // FreeSlots counts the free slots of the zone's healthy targets, by group.
-func (l *Ledger) Free(now time.Time) map[string]int {
+func (l *Ledger) FreeSlots(now time.Time) map[string]int {
 	free := map[string]int{}
 	for name, g := range l.groups {
 		for _, t := range g.targets {
@@ -274,20 +274,20 @@
 }
 
 // ApplyRemoteFree records the free slots that the leader of another zone reports.
-func (l *Ledger) HearRoom(now time.Time, zone, leader string, free map[string]int) {
+func (l *Ledger) ApplyRemoteFree(now time.Time, zone, leader string, free map[string]int) {
 	l.remote[zone] = &remoteFree{leader: leader, free: maps.Clone(free), at: now}
 }
 
 // otherZone chooses the zone with the most free slots. Requests sent there are subtracted
 // until that zone reports again, so that the requests that this zone sends between two
 // reports do not compete for the same slots.
-func (l *Ledger) otherZone(now time.Time, r Ask) Grant {
+func (l *Ledger) otherZone(now time.Time, r Request) Grant {
 	if r.Visiting || r.Stay {
 		return Grant{Verdict: None}
 	}
 	name, most := "", remoteMinFree-1
 	for zone, report := range l.remote {
-		if now.Sub(report.at) > RoomLife {
+		if now.Sub(report.at) > FreeSlotsTTL {
 			continue
 		}
 		free := report.free[r.Group]
--- a/core/slots/ledger.go
+++ b/core/slots/ledger.go
@@ -27,10 +27,10 @@
 const (
 	// LeaseTTL is how long a lease is valid without being renewed. It bounds how long the
 	// work of a daemon that died is still counted.
-	LeaseLife = 1500 * time.Millisecond
+	LeaseTTL = 1500 * time.Millisecond
 	// ReportInterval is the interval at which holders report their leases. A lease
 	// survives the loss of two reports.
-	ReportEvery = 500 * time.Millisecond
+	ReportInterval = 500 * time.Millisecond
 	// maxGrantDelay is how long a grant may take to reach its holder. A report does not
 	// end a younger lease that it does not name.
 	maxGrantDelay = 300 * time.Millisecond
@@ -88,7 +88,7 @@
 type group struct {
 	targets []Target
 	// serviceTime is that of online requests.
-	serviceTime routing.Speed
+	serviceTime routing.ServiceTime
 }
 
 // usage is the state of one target.
@@ -96,7 +96,7 @@
 	online, batch int
 	// leases holds the leases of the target.
 	leases      map[*lease]bool
-	degradation routing.Doubt
+	degradation routing.Degradation
 }
 
 // lease is one taken slot.
@@ -230,15 +230,15 @@
 	u := l.usageOf(e.Target)
 	switch e.Outcome {
 	case routing.Succeeded:
-		u.degradation = routing.Doubt{}
+		u.degradation = routing.Degradation{}
 	case routing.SoftFailed, routing.HardFailed:
-		u.degradation.Failed(now, 0)
+		u.degradation.RecordFailure(now, 0)
 	}
 	if le == nil || e.Took <= 0 {
 		return
 	}
 	if g := l.groups[le.group]; g != nil {
-		g.serviceTime.Measured(e.Took)
+		g.serviceTime.Observe(e.Took)
 	}
 }
 
@@ -246,7 +246,7 @@
 func (l *Ledger) Expire(now time.Time) {
 	for _, held := range l.holders {
 		for _, le := range held {
-			if now.Sub(le.renewed) > LeaseLife {
+			if now.Sub(le.renewed) > LeaseTTL {
 				l.drop(le)
 			}
 		}
@@ -280,10 +280,10 @@
 }
 
 // DegradedTargets returns the number of consecutive failures of each degraded target.
-func (l *Ledger) Doubts(now time.Time) map[string]int {
+func (l *Ledger) DegradedTargets(now time.Time) map[string]int {
 	degraded := map[string]int{}
 	for start, u := range l.usage {
-		if u.degradation.Lasts(now) {
+		if u.degradation.Active(now) {
 			degraded[start] = u.degradation.Failures()
 		}
 	}
--- a/core/slots/load_test.go
+++ b/core/slots/load_test.go
@@ -65,7 +65,7 @@
 			e.at, e.reported = e.at.Add(reportDelay), true
 			heap.Push(&ends, e)
 		}
-		got := l.Grant(now, slots.Ask{ID: slots.ID{Holder: "h", Number: number}, Group: "g", Patience: time.Minute, Stay: true}, number)
+		got := l.Grant(now, slots.Request{ID: slots.ID{Holder: "h", Number: number}, Group: "g", Patience: time.Minute, Stay: true}, number)
 		if running[got.Target] >= perTarget && taken < targets*perTarget {
 			misplaced++
 		}
--- a/core/slots/priority_test.go
+++ b/core/slots/priority_test.go
@@ -32,7 +32,7 @@
 			running = running[1:]
 		}
 		rank := int(n%2) * 2
-		request := slots.Ask{ID: slots.ID{Holder: "h", Number: n + 1}, Group: "g", Patience: routing.QueuePatience(5*time.Second, rank)}
+		request := slots.Request{ID: slots.ID{Holder: "h", Number: n + 1}, Group: "g", Patience: routing.MaxWait(5*time.Second, rank)}
 		if l.Grant(now, request, n).Verdict != slots.Granted {
 			refused[rank]++
 			continue
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -38,24 +38,24 @@
 
 // request returns a slot request for an online request of the holder h, changed by the
 // given options.
-func request(change ...func(*slots.Ask)) slots.Ask {
+func request(change ...func(*slots.Request)) slots.Request {
 	numbers++
-	a := slots.Ask{ID: slots.ID{Holder: "h", Number: numbers}, Group: "g", Patience: time.Second}
+	a := slots.Request{ID: slots.ID{Holder: "h", Number: numbers}, Group: "g", Patience: time.Second}
 	for _, c := range change {
 		c(&a)
 	}
 	return a
 }
 
-func batch(a *slots.Ask)      { a.Batch = true }
-func visiting(a *slots.Ask)   { a.Visiting = true }
-func staying(a *slots.Ask)    { a.Stay = true }
-func lastChance(a *slots.Ask) { a.LastChance = true }
+func batch(a *slots.Request)      { a.Batch = true }
+func visiting(a *slots.Request)   { a.Visiting = true }
+func staying(a *slots.Request)    { a.Stay = true }
+func lastChance(a *slots.Request) { a.LastChance = true }
 
-func holder(name string) func(*slots.Ask) { return func(a *slots.Ask) { a.ID.Holder = name } }
+func holder(name string) func(*slots.Request) { return func(a *slots.Request) { a.ID.Holder = name } }
 
-func without(targets ...string) func(*slots.Ask) {
-	return func(a *slots.Ask) { a.Exclude = targets }
+func without(targets ...string) func(*slots.Request) {
+	return func(a *slots.Request) { a.Exclude = targets }
 }
 
 var _ = Describe("The ledger of a zone's slots", func() {
@@ -63,7 +63,7 @@
 	var now time.Time
 	BeforeEach(func() { l, now = ledger(2), start })
 
-	granted := func(change ...func(*slots.Ask)) slots.Grant {
+	granted := func(change ...func(*slots.Request)) slots.Grant {
 		GinkgoHelper()
 		got := l.Grant(now, request(change...), numbers)
 		Expect(got.Verdict).To(Equal(slots.Granted))
@@ -75,13 +75,13 @@
 			granted()
 		}
 		Expect(l.Counts()).To(Equal(map[string]board.Count{"t0": {Online: perTarget}, "t1": {Online: perTarget}}))
-		Expect(l.Free(now)["g"]).To(BeZero())
+		Expect(l.FreeSlots(now)["g"]).To(BeZero())
 		Expect(l.Grant(now, request(visiting), 0).Verdict).To(Equal(slots.None))
 		Expect(l.Grant(now, request(batch), 0).Verdict).To(Equal(slots.None))
 	})
 
 	It("preempts as many batch items as online work needs, the last ones first", func() {
-		var items []slots.Ask
+		var items []slots.Request
 		for range 2 * perTarget {
 			a := request(batch, holder(fmt.Sprint("h", len(items))))
 			Expect(l.Grant(now, a, numbers).Verdict).To(Equal(slots.Granted))
@@ -163,9 +163,9 @@
 			Expect(granted().Target).To(Equal("t1"))
 		}
 		// Its slots do not count as free, but are preferred to a queue at another target.
-		Expect(l.Free(now)["g"]).To(BeZero())
-		now = now.Add(routing.FirstHold)
-		l = ledgerAfterFailure(now.Add(-routing.FirstHold))
+		Expect(l.FreeSlots(now)["g"]).To(BeZero())
+		now = now.Add(routing.BaseEjectionTime)
+		l = ledgerAfterFailure(now.Add(-routing.BaseEjectionTime))
 		trial := request()
 		Expect(l.Grant(now, trial, 0).Target).To(Equal("t0"))
 		for range perTarget {
@@ -188,8 +188,8 @@
 		for range 2 * perTarget {
 			granted()
 		}
-		l.HearRoom(now, "y", "y:1", map[string]int{"g": 3})
-		l.HearRoom(now, "x", "x:1", map[string]int{"g": 4})
+		l.ApplyRemoteFree(now, "y", "y:1", map[string]int{"g": 3})
+		l.ApplyRemoteFree(now, "x", "x:1", map[string]int{"g": 4})
 		var zones []string
 		for range 5 {
 			got := l.Grant(now, request(), 0)
@@ -204,8 +204,8 @@
 		Expect(zones).To(Equal([]string{"x", "x", "y", "x", "y"}))
 		Expect(l.Grant(now, request(), 0).Verdict).To(Equal(slots.Granted))
 		Expect(l.Grant(now, request(staying), 0).Verdict).To(Equal(slots.Granted))
-		now = now.Add(slots.RoomLife + time.Millisecond)
-		l.HearRoom(now, "v", "v:1", map[string]int{"g": 2})
+		now = now.Add(slots.FreeSlotsTTL + time.Millisecond)
+		l.ApplyRemoteFree(now, "v", "v:1", map[string]int{"g": 2})
 		Expect(l.Grant(now, request(), 0).Zone).To(Equal("v"))
 	})
 
@@ -235,7 +235,7 @@
 	It("uses a target that the request excludes only if there is no other", func() {
 		Expect(granted(without("t0")).Target).To(Equal("t1"))
 		Expect(granted(without("t0", "t1")).Target).NotTo(BeEmpty())
-		Expect(l.Grant(now, request(func(a *slots.Ask) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
+		Expect(l.Grant(now, request(func(a *slots.Request) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
 	})
 
 	// A leader's host loses power. The next leader does not know what runs, and must not
@@ -256,14 +256,14 @@
 		granted()
 		l.Report(now, "h", nil, nil)
 		Expect(l.Counts()).To(HaveLen(1))
-		now = now.Add(slots.ReportEvery)
+		now = now.Add(slots.ReportInterval)
 		l.Report(now, "h", nil, nil)
 		Expect(l.Counts()).To(BeEmpty())
 	})
 
 	It("drops the leases of a holder that sends no reports", func() {
 		granted()
-		now = now.Add(slots.LeaseLife)
+		now = now.Add(slots.LeaseTTL)
 		l.Expire(now)
 		Expect(l.Counts()).To(HaveLen(1))
 		now = now.Add(time.Millisecond)
@@ -289,7 +289,7 @@
 				switch rapid.IntRange(0, 2).Draw(t, "step") {
 				case 0:
 					last++
-					a := slots.Ask{ID: slots.ID{Holder: h, Number: last}, Group: "g", Patience: time.Second, Batch: rapid.Bool().Draw(t, "batch")}
+					a := slots.Request{ID: slots.ID{Holder: h, Number: last}, Group: "g", Patience: time.Second, Batch: rapid.Bool().Draw(t, "batch")}
 					if got := l.Grant(now, a, last); got.Verdict == slots.Granted {
 						held[key{h, last}] = slots.Running{Number: last, Target: got.Target, Batch: a.Batch}
 					}
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -109,18 +109,18 @@
 	var err error
 	l := d.settings.Ledger
 	d.shards, err = shards.New(shards.Options{
-		Log:          d.log,
-		View:         d.members,
-		Peer:         d.peerClient,
-		Registrar:    d.peerServer,
-		Config:       d.config.Current,
-		Shards:       l.Shards,
-		AppendPace:   l.AppendPace,
-		AppendBudget: float64(l.AppendBudget),
-		Lease:        l.Lease,
-		Retention:    d.settings.Platform.Retention,
-		Logger:       d.logger,
-		Metrics:      d.metrics,
+		Log:            d.log,
+		View:           d.members,
+		Peer:           d.peerClient,
+		Registrar:      d.peerServer,
+		Config:         d.config.Current,
+		Shards:         l.Shards,
+		AppendInterval: l.AppendPace,
+		AppendBudget:   float64(l.AppendBudget),
+		Lease:          l.Lease,
+		Retention:      d.settings.Platform.Retention,
+		Logger:         d.logger,
+		Metrics:        d.metrics,
 	})
 	return err
 }
@@ -243,7 +243,7 @@
 		MaxUploads:        h.MaxUploads,
 		MaxBodyMemory:     h.MaxBodyMemory,
 		DrainGrace:        max(d.settings.Drain.Grace, time.Millisecond),
-		Refused:           d.burn.Refused,
+		OnRefused:         d.burn.Refused,
 		Logger:            d.logger,
 		Metrics:           d.metrics,
 	})
--- a/daemon/burnlog/collector.go
+++ b/daemon/burnlog/collector.go
@@ -17,8 +17,8 @@
 type Collector struct {
 	opt    Options
 	meter  *meter
-	events *duty.Ring[burn.Event]
-	items  *duty.Ring[unresolvedEnd]
+	events *duty.Queue[burn.Event]
+	items  *duty.Queue[unresolvedEnd]
 	leases *lru.Cache[itemKey, lease]
 
 	// mu guards the counts of this daemon.
@@ -52,8 +52,8 @@
 	set := o.Metrics
 	c := &Collector{
 		opt:         o,
-		events:      duty.NewRing[burn.Event](eventRingSize),
-		items:       duty.NewRing[unresolvedEnd](itemRingSize),
+		events:      duty.NewQueue[burn.Event](eventRingSize),
+		items:       duty.NewQueue[unresolvedEnd](itemRingSize),
 		leases:      leases,
 		recorder:    burn.NewRecorder(o.View.Self().ID()),
 		unsent:      burn.NewSet(),
--- a/daemon/configsync/loops.go
+++ b/daemon/configsync/loops.go
@@ -74,10 +74,10 @@
 		return err
 	}
 	stuck := false
-	s.update(func(f *configlog.Folder) {
-		f.Step(page.First, inputs(page))
+	s.update(func(f *configlog.Replayer) {
+		f.Apply(page.First, inputs(page))
 		s.atEnd = f.Next() >= page.Next
-		s.caughtUp = s.caughtUp || (f.Anchored() && s.atEnd)
+		s.caughtUp = s.caughtUp || (f.Complete() && s.atEnd)
 		stuck = !s.atEnd && len(page.Records) == 0
 	})
 	if stuck {
@@ -138,7 +138,7 @@
 		s.opt.Logger.Warn("config_fetch_failed", zap.String("peer", address), zap.Error(err))
 		return
 	}
-	s.update(func(f *configlog.Folder) { s.fetched = f.Adopt(state) || s.fetched })
+	s.update(func(f *configlog.Replayer) { s.fetched = f.Adopt(state) || s.fetched })
 }
 
 // rewriteLoop rewrites the state forward on the stream before the records that hold it
@@ -167,7 +167,7 @@
 	now := s.opt.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.caughtUp || !s.folder.Anchored() || s.folder.State().Version == 0 {
+	if !s.caughtUp || !s.folder.Complete() || s.folder.State().Version == 0 {
 		return false
 	}
 	if ms := s.folder.RestatedMs(); ms > 0 {
--- a/daemon/configsync/publish.go
+++ b/daemon/configsync/publish.go
@@ -83,7 +83,7 @@
 // accepted.
 func (s *Sync) newChange(text string, base uint64, author string) (configlog.Change, error) {
 	s.mu.Lock()
-	state, anchored := s.folder.State(), s.folder.Anchored()
+	state, anchored := s.folder.State(), s.folder.Complete()
 	expired := !anchored && s.atEnd && state.Version == 0
 	unread := !s.atEnd && state.Through < 0
 	s.mu.Unlock()
--- a/daemon/configsync/sync.go
+++ b/daemon/configsync/sync.go
@@ -33,7 +33,7 @@
 	unresolved chan configlog.Change
 
 	mu     sync.Mutex
-	folder *configlog.Folder
+	folder *configlog.Replayer
 	// seenVersion is the highest known version, whether in force or not.
 	seenVersion uint64
 	// caughtUp reports that the stream was once read to its end without a gap.
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	s := &Sync{
-		opt: o, folder: configlog.NewFolder(), changed: make(chan struct{}),
+		opt: o, folder: configlog.NewReplayer(), changed: make(chan struct{}),
 		unresolved: make(chan configlog.Change, maxUnresolved),
 	}
 	s.current.Store(emptyConfig())
@@ -186,7 +186,7 @@
 
 // update runs f on the folder, brings a newer version into force, and wakes those who wait
 // for a state.
-func (s *Sync) update(f func(*configlog.Folder)) {
+func (s *Sync) update(f func(*configlog.Replayer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.folder)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -43,7 +43,7 @@
 	settings *settings.Settings
 	logger   *zap.Logger
 	level    zap.AtomicLevel
-	history  *trail.Trail
+	history  *trail.History
 	metrics  *metrics.Set
 	started  time.Time
 
--- a/daemon/duty/ring.go
+++ b/daemon/duty/ring.go
@@ -4,16 +4,16 @@
 
 // Queue is a bounded queue between two loops. A full queue rejects values instead of
 // blocking, so that no loop waits for a slower one; rejected values are counted.
-type Ring[T any] struct {
+type Queue[T any] struct {
 	ch      chan T
 	dropped atomic.Uint64
 }
 
 // NewQueue returns a queue of the given capacity.
-func NewRing[T any](capacity int) *Ring[T] { return &Ring[T]{ch: make(chan T, capacity)} }
+func NewQueue[T any](capacity int) *Queue[T] { return &Queue[T]{ch: make(chan T, capacity)} }
 
 // Offer adds v and reports whether the queue had room for it.
-func (r *Ring[T]) Offer(v T) bool {
+func (r *Queue[T]) Offer(v T) bool {
 	select {
 	case r.ch <- v:
 		return true
@@ -24,10 +24,10 @@
 }
 
 // C returns the receiving side.
-func (r *Ring[T]) C() <-chan T { return r.ch }
+func (r *Queue[T]) C() <-chan T { return r.ch }
 
 // Len returns the number of queued values.
-func (r *Ring[T]) Len() int { return len(r.ch) }
+func (r *Queue[T]) Len() int { return len(r.ch) }
 
 // Dropped returns the number of values rejected so far.
-func (r *Ring[T]) Dropped() uint64 { return r.dropped.Load() }
+func (r *Queue[T]) Dropped() uint64 { return r.dropped.Load() }
--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -43,27 +43,27 @@
 	// at least as new, and age is the time since the log last confirmed that.
 	Packed(version int64) (packed []byte, known bool, age time.Duration)
 	// ApplyPacked applies what another daemon's Packed returned; from names that daemon.
-	TakePacked(packed []byte, from string) error
+	ApplyPacked(packed []byte, from string) error
 	// Confirm records that nothing newer than the held version was active at the time at.
-	Hear(at time.Time)
+	Confirm(at time.Time)
 	// Age returns the time since the configuration was last confirmed.
 	Age(now time.Time) time.Duration
 	// Version returns the active version, negative before the first.
 	Version() int64
 	// Changed returns a channel that is closed at the next configuration.
-	Routed() <-chan struct{}
+	Changed() <-chan struct{}
 }
 
 // Targets are the targets that are passed on; see places.Places.
 type Targets interface {
-	OwnZone() places.Zone
+	LocalZone() places.Zone
 	SetRoles(places.Roles)
-	SetCutOff(cutOff bool)
+	SetCutOffFromLog(cutOff bool)
 	Sample(holder string, whole bool, about []string) (places.Sample, bool)
-	Listed() <-chan struct{}
+	TargetsChanged() <-chan struct{}
 	Adopt(at time.Time, targets []roster.Target, whole bool)
 	Confirm(at time.Time, started map[string]roster.Start)
-	Working() []string
+	BusyTargets() []string
 	TargetsAge(now time.Time) (age time.Duration, complete bool)
 	Rebuild()
 }
@@ -80,7 +80,7 @@
 	// known.
 	Large func() (large, known bool)
 	// FleetSize returns the number of the fleet's daemons, 0 for unknown.
-	Daemons       func() int
+	FleetSize     func() int
 	Configuration Configuration
 	Targets       Targets
 	Peers         peer.Caller
@@ -119,7 +119,7 @@
 func New(o Options) *Feed {
 	f := &Feed{Options: o, readers: feed.NewReaders(o.Self), standby: feed.NewStandby(o.Self), logReachedAt: map[string]time.Time{}, source: feed.NewSource(o.Self), fallback: feed.NewFallback(time.Now())}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_feed_reads_log", func() float64 {
-		if f.Reads() {
+		if f.ReadsLog() {
 			return 1
 		}
 		return 0
@@ -144,7 +144,7 @@
 }
 
 // ReadsLog reports whether this daemon reads the targets from the log.
-func (f *Feed) Reads() bool {
+func (f *Feed) ReadsLog() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.targetReading.Running()
@@ -170,7 +170,7 @@
 	if !known {
 		return
 	}
-	zone := f.Targets.OwnZone()
+	zone := f.Targets.LocalZone()
 	f.mu.Lock()
 	sizeChanged := large != f.large
 	f.large = large
@@ -178,7 +178,7 @@
 	if large {
 		configuration, targets = f.role(now, zone)
 	} else {
-		f.Targets.SetCutOff(false)
+		f.Targets.SetCutOffFromLog(false)
 	}
 	f.setReadings(ctx, configuration, targets)
 	report := f.reportDue(now, zone, targets)
@@ -199,7 +199,7 @@
 	}
 	f.leads = false
 	f.recordReached(now, zone)
-	f.Targets.SetCutOff(f.cutOffFromLog(now))
+	f.Targets.SetCutOffFromLog(f.cutOffFromLog(now))
 	if len(zone.Readers) > 0 {
 		f.source.SetReaders(zone.Readers)
 	}
@@ -225,11 +225,11 @@
 	f.chosenAt = now
 	own := f.logAge(now)
 	list := f.readers.Select(now, own, zone.Members)
-	f.Targets.SetRoles(places.Roles{Readers: list, Standby: f.standby.Select(now, zone.Members), Daemons: f.Daemons()})
+	f.Targets.SetRoles(places.Roles{Readers: list, Standby: f.standby.Select(now, zone.Members), Daemons: f.FleetSize()})
 	f.source.SetReaders(list)
 	zone.Leader, zone.Readers, zone.ReceivedAt = f.Self, list, now
 	f.recordReached(now, zone)
-	f.Targets.SetCutOff(f.cutOffFromLog(now))
+	f.Targets.SetCutOffFromLog(f.cutOffFromLog(now))
 }
 
 // recordReached records which readers reach the log, as far as the zone's leader knows.
@@ -283,7 +283,7 @@
 // situation returns the input of the fallback's decision. f.mu is held.
 func (f *Feed) situation(now time.Time, zone places.Zone) feed.Situation {
 	turn := max(0, slices.Index(zone.Members, f.Self))
-	return feed.Situation{Turn: turn, Members: len(zone.Members), Targets: f.targetCount,
+	return feed.Situation{Position: turn, Members: len(zone.Members), Targets: f.targetCount,
 		ConfigurationAge: f.configurationReading.age(now), TargetsAge: f.targetReading.age(now)}
 }
 
--- a/daemon/feed/feed_test.go
+++ b/daemon/feed/feed_test.go
@@ -27,16 +27,16 @@
 	roles  places.Roles
 }
 
-func (t *fakeTargets) OwnZone() places.Zone    { return t.zone }
-func (t *fakeTargets) SetRoles(r places.Roles) { t.roles = r }
-func (t *fakeTargets) SetCutOff(cutOff bool)   { t.cutOff = cutOff }
+func (t *fakeTargets) LocalZone() places.Zone       { return t.zone }
+func (t *fakeTargets) SetRoles(r places.Roles)      { t.roles = r }
+func (t *fakeTargets) SetCutOffFromLog(cutOff bool) { t.cutOff = cutOff }
 func (t *fakeTargets) Sample(string, bool, []string) (places.Sample, bool) {
 	return places.Sample{}, true
 }
-func (t *fakeTargets) Listed() <-chan struct{}                              { return nil }
+func (t *fakeTargets) TargetsChanged() <-chan struct{}                      { return nil }
 func (t *fakeTargets) Adopt(time.Time, []roster.Target, bool)               {}
 func (t *fakeTargets) Confirm(time.Time, map[string]roster.Start)           {}
-func (t *fakeTargets) Working() []string                                    { return nil }
+func (t *fakeTargets) BusyTargets() []string                                { return nil }
 func (t *fakeTargets) TargetsAge(time.Time) (age time.Duration, whole bool) { return 0, true }
 func (t *fakeTargets) Rebuild()                                             {}
 
@@ -44,11 +44,11 @@
 type fakeConfiguration struct{}
 
 func (fakeConfiguration) Packed(int64) ([]byte, bool, time.Duration) { return nil, true, 0 }
-func (fakeConfiguration) TakePacked([]byte, string) error            { return nil }
-func (fakeConfiguration) Hear(time.Time)                             {}
+func (fakeConfiguration) ApplyPacked([]byte, string) error           { return nil }
+func (fakeConfiguration) Confirm(time.Time)                          {}
 func (fakeConfiguration) Age(time.Time) time.Duration                { return 0 }
 func (fakeConfiguration) Version() int64                             { return 1 }
-func (fakeConfiguration) Routed() <-chan struct{}                    { return nil }
+func (fakeConfiguration) Changed() <-chan struct{}                   { return nil }
 
 // calls records the notifications to other daemons.
 type calls struct{ reports []ReaderReport }
@@ -72,7 +72,7 @@
 		sent = &calls{}
 		targets = &fakeTargets{zone: places.Zone{Leader: "leader", ReceivedAt: now, Members: []string{"leader", "self", "other"},
 			Roles: places.Roles{Readers: []feed.Reader{{Address: "leader", Age: 0}, {Address: "self", Age: feed.Never}}}}}
-		f = New(Options{Host: "self", Self: "self", Large: func() (bool, bool) { return true, true }, Daemons: func() int { return 3 },
+		f = New(Options{Host: "self", Self: "self", Large: func() (bool, bool) { return true, true }, FleetSize: func() int { return 3 },
 			Configuration: fakeConfiguration{}, Targets: targets, Peers: sent, Logger: zap.NewNop(), Metrics: metrics.NewSet()})
 		read := func(ctx context.Context, answered func()) {
 			if answers {
--- a/daemon/feed/serve.go
+++ b/daemon/feed/serve.go
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	for {
-		routed, listed := s.feed.Configuration.Routed(), s.feed.Targets.Listed()
+		routed, listed := s.feed.Configuration.Changed(), s.feed.Targets.TargetsChanged()
 		*reply = s.feed.view(args)
 		if !reply.Serves || reply.hasUpdates(args) || ctx.Err() != nil {
 			break
@@ -120,11 +120,11 @@
 
 // view answers a request from the current state.
 func (f *Feed) view(args ViewArgs) ViewReply {
-	zone := f.Targets.OwnZone()
+	zone := f.Targets.LocalZone()
 	f.mu.Lock()
 	serves, readsTargets := f.configurationReading.Running(), f.targetReading.Running()
 	if args.Whole {
-		f.standby.Seen(time.Now(), args.From)
+		f.standby.FullListRequested(time.Now(), args.From)
 	}
 	f.mu.Unlock()
 	reply := ViewReply{Readers: zone.Readers}
--- a/daemon/feed/subscribe.go
+++ b/daemon/feed/subscribe.go
@@ -43,7 +43,7 @@
 // nextReader returns the reader to poll, false for a daemon that needs none or knows
 // none.
 func (f *Feed) nextReader(now time.Time) (string, bool) {
-	zone := f.Targets.OwnZone()
+	zone := f.Targets.LocalZone()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.large || zone.Leads || !f.chosenAt.IsZero() && now.Sub(f.chosenAt) < roleTTL {
@@ -74,10 +74,10 @@
 	ctx, cancel := context.WithTimeout(ctx, holdTime+replySlack)
 	defer cancel()
 	f.mu.Lock()
-	zone := f.Targets.OwnZone()
+	zone := f.Targets.LocalZone()
 	args := ViewArgs{Host: f.Host, From: f.Self, Whole: zone.Standby == f.Self, Version: f.Configuration.Version(), Sample: f.adoptedDigest, WaitMs: holdTime.Milliseconds()}
 	f.mu.Unlock()
-	args.Working = f.Targets.Working()
+	args.Working = f.Targets.BusyTargets()
 	sentAt := time.Now()
 	var reply ViewReply
 	if err := f.Peers.Call(ctx, address, viewMethod, args, &reply); err != nil {
@@ -105,18 +105,18 @@
 	}
 	repliedAt := sentAt.Add(time.Duration(reply.HeldMs) * time.Millisecond)
 	if len(reply.Configuration) > 0 {
-		if err := f.Configuration.TakePacked(reply.Configuration, address); err != nil {
+		if err := f.Configuration.ApplyPacked(reply.Configuration, address); err != nil {
 			f.Logger.Error("configuration_unreadable", zap.String("reader", address), zap.Error(err))
 			return false
 		}
 	}
 	if reply.Known {
-		f.Configuration.Hear(repliedAt.Add(-time.Duration(reply.ConfigurationAgeMs) * time.Millisecond))
+		f.Configuration.Confirm(repliedAt.Add(-time.Duration(reply.ConfigurationAgeMs) * time.Millisecond))
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if reply.Sampled {
-		f.fallback.Served(time.Now())
+		f.fallback.ReaderAnswered(time.Now())
 		f.applyTargets(repliedAt, whole, reply)
 	}
 	return true
--- a/daemon/front/borrow.go
+++ b/daemon/front/borrow.go
@@ -75,7 +75,7 @@
 
 // pollPeers polls a few daemons without waiting for them.
 func (b *peerFetcher) pollPeers(ctx context.Context) {
-	others := b.configuration.Others()
+	others := b.configuration.ListPeers()
 	for range min(peersPerPoll, len(others)) {
 		go b.pollPeer(ctx, others[rand.IntN(len(others))].Address)
 	}
@@ -93,7 +93,7 @@
 	switch {
 	case !reply.Known || reply.Version < held:
 	case reply.Version == held:
-		c.Hear(sentAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond))
+		c.Confirm(sentAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond))
 	default:
 		b.fetch(ctx, address)
 	}
@@ -115,12 +115,12 @@
 	}
 	if len(reply.Packed) > 0 {
 		c.peerBytes.Add(len(reply.Packed))
-		if err := c.TakePacked(reply.Packed, address); err != nil {
+		if err := c.ApplyPacked(reply.Packed, address); err != nil {
 			c.Logger.Error("configuration_unreadable", zap.String("peer", address), zap.Error(err))
 			return
 		}
 	}
-	c.Hear(sentAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond))
+	c.Confirm(sentAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond))
 }
 
 // beginFetch reports whether no fetch is under way, and returns the time limit of the one
--- a/daemon/front/callers.go
+++ b/daemon/front/callers.go
@@ -57,7 +57,7 @@
 }
 
 // ServeInternal serves readiness or metrics in the background until the process ends.
-func (n *Node) ServeSide(address string, handler http.Handler) error {
+func (n *Node) ServeInternal(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	}()
 	n.hosts.deregister(ctx)
 	duty.Pause(ctx, drainDelay-time.Since(began))
-	if err := n.callers.listener.CloseQuietly(ctx, drainDelay); err != nil {
+	if err := n.callers.listener.CloseGracefully(ctx, drainDelay); err != nil {
 		n.Logger.Info("queued_connections_reset", zap.Error(err))
 	}
 	if open := n.callers.listener.Open(); open > 0 {
--- a/daemon/front/configuration.go
+++ b/daemon/front/configuration.go
@@ -31,9 +31,9 @@
 	// Decode decodes the operator's file. Its errors contain no API key.
 	Decode func(written []byte) (*route.Table, error)
 	// Peers calls the other daemons, and ListPeers lists them.
-	Peers  peer.Caller
-	Others func() []places.Peer
-	Logger *zap.Logger
+	Peers     peer.Caller
+	ListPeers func() []places.Peer
+	Logger    *zap.Logger
 	// Metrics receives the counters; may be nil.
 	Metrics *metrics.Set
 }
@@ -49,7 +49,7 @@
 
 	active atomic.Pointer[revision]
 	// changed notifies of each new configuration.
-	changed duty.News
+	changed duty.Notifier
 
 	mu sync.Mutex
 	// confirmedAt is the time at which it was last known that nothing newer was active;
@@ -98,7 +98,7 @@
 // log. It returns the errors of Decode. A configuration that is older than the active one
 // is ignored: a daemon that reads the history again, or polls a daemon that lags, must
 // not go back.
-func (c *Configuration) Take(written []byte, from string) error {
+func (c *Configuration) Apply(written []byte, from string) error {
 	if held := c.active.Load(); held != nil && bytes.Equal(held.written, written) {
 		return nil // the source and a peer deliver the same version
 	}
@@ -114,7 +114,7 @@
 		return nil
 	}
 	c.active.Store(&revision{table: table, written: written})
-	c.changed.Tell()
+	c.changed.Notify()
 	c.Logger.Info("configuration_in_force", zap.Int64("version", table.Version), zap.String("from", from),
 		zap.Int("accounts", table.Accounts.Len()), zap.Int("bytes", len(written)), zap.Int64("decode_ms", decodeTime.Milliseconds()))
 	if len(table.FaultyAccounts) > 0 {
@@ -124,7 +124,7 @@
 }
 
 // Confirm records that nothing newer than the held version was active at the time at.
-func (c *Configuration) Hear(at time.Time) {
+func (c *Configuration) Confirm(at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if at.After(c.confirmedAt) {
@@ -141,7 +141,7 @@
 }
 
 // Changed returns a channel that is closed at the next configuration.
-func (c *Configuration) Routed() <-chan struct{} { return c.changed.Next() }
+func (c *Configuration) Changed() <-chan struct{} { return c.changed.Next() }
 
 // Packed returns the configuration for a daemon that holds the given version: the newer
 // configuration, compressed, or nothing. known reports that the version here is at least
@@ -166,12 +166,12 @@
 }
 
 // ApplyPacked is Apply for what Packed returned.
-func (c *Configuration) TakePacked(packed []byte, from string) error {
+func (c *Configuration) ApplyPacked(packed []byte, from string) error {
 	written, err := unpack(packed)
 	if err != nil {
 		return err
 	}
-	return c.Take(written, from)
+	return c.Apply(written, from)
 }
 
 // Age returns the time since the configuration was last confirmed.
