--- a/daemon/front/configuration_test.go
+++ b/daemon/front/configuration_test.go
@@ -63,7 +63,7 @@
 	BeforeEach(func() {
 		cut, other = newTestConfiguration(), newTestConfiguration()
 		others = &fakePeers{others: map[string]*Configuration{"other": other}}
-		cut.Peers, cut.Others = others, others.list
+		cut.Peers, cut.ListPeers = others, others.list
 	})
 	borrow := func() { go cut.fetchFromPeers(GinkgoT().Context()) }
 
@@ -72,9 +72,9 @@
 	// them for as long as the platform rejects it.
 	It("fetches a newer configuration from another daemon", func() {
 		cut.applyVersion(7)
-		cut.Hear(time.Now().Add(-time.Minute))
+		cut.Confirm(time.Now().Add(-time.Minute))
 		other.applyVersion(8)
-		other.Hear(time.Now())
+		other.Confirm(time.Now())
 		borrow()
 		Eventually(func() int64 { return cut.Routes().Version }).WithTimeout(limit).Should(BeEquivalentTo(8))
 		Eventually(func() time.Duration { return cut.Age(time.Now()) }).WithTimeout(limit).Should(BeNumerically("<", time.Minute))
@@ -82,7 +82,7 @@
 
 	It("fetches its first configuration from another daemon", func() {
 		other.applyVersion(8)
-		other.Hear(time.Now())
+		other.Confirm(time.Now())
 		borrow()
 		Eventually(cut.Routes).WithTimeout(limit).ShouldNot(BeNil())
 	})
@@ -93,7 +93,7 @@
 	It("accepts nothing from a daemon whose configuration is older or unconfirmed", func() {
 		cut.applyVersion(7)
 		other.applyVersion(5)
-		other.Hear(time.Now())
+		other.Confirm(time.Now())
 		newPeerFetcher(cut).pollPeer(context.Background(), "other")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(7))
 		Expect(cut.Age(time.Now())).To(BeNumerically(">", time.Hour))
@@ -102,7 +102,7 @@
 		others.others["stale"] = stale
 		newPeerFetcher(cut).pollPeer(context.Background(), "stale")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(7))
-		stale.Hear(time.Now().Add(-time.Minute))
+		stale.Confirm(time.Now().Add(-time.Minute))
 		newPeerFetcher(cut).pollPeer(context.Background(), "stale")
 		Expect(cut.Routes().Version).To(BeEquivalentTo(8))
 		Expect(cut.Age(time.Now())).To(BeNumerically(">=", time.Minute))
@@ -117,13 +117,13 @@
 		for range 4 {
 			holder := newTestConfiguration()
 			holder.applyPadded(8, 600<<10)
-			holder.Hear(time.Now().Add(time.Hour))
+			holder.Confirm(time.Now().Add(time.Hour))
 			addresses = append(addresses, link.serve(holder))
 		}
 		client := peer.NewClient(peer.ClientOptions{})
 		DeferCleanup(client.Close)
 		cut.Peers = client
-		cut.Others = func() []places.Peer {
+		cut.ListPeers = func() []places.Peer {
 			var list []places.Peer
 			for _, a := range addresses {
 				list = append(list, places.Peer{Address: a})
@@ -138,7 +138,7 @@
 	It("fetches from one daemon at a time, with more time after a time-out", func() {
 		cut.applyVersion(7)
 		other.applyVersion(8)
-		other.Hear(time.Now())
+		other.Confirm(time.Now())
 		b := newPeerFetcher(cut)
 		limit, free := b.beginFetch()
 		Expect(free).To(BeTrue())
@@ -159,7 +159,7 @@
 
 	It("polls nobody while its source answers", func() {
 		cut.applyVersion(7)
-		cut.Hear(time.Now().Add(time.Hour))
+		cut.Confirm(time.Now().Add(time.Hour))
 		borrow()
 		Consistently(others.called, 2*peerPollEvery).Should(BeZero())
 	})
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -90,22 +90,22 @@
 	n.pool = h1.NewPool(opened.Inc)
 	set.GetOrCreateGauge("tarragonhollow_target_connections_idle", func() float64 { return float64(n.pool.Idle()) })
 	self := places.Peer{Address: s.PeerAddress, Zone: s.Zone, Cores: s.Cores}
-	n.hosts = newHosts(hostsOptions{Log: a.Log, Topic: a.HostsTopic, Parts: s.LogParts, Host: s.Host, Own: self, Zones: s.Zones, Logger: logger})
+	n.hosts = newHosts(hostsOptions{Log: a.Log, Topic: a.HostsTopic, Parts: s.LogPartitions, Host: s.Host, Local: self, Zones: s.Zones, Logger: logger})
 	n.peers = peer.NewClient(peer.ClientOptions{Logger: logger, Metrics: set})
 	n.peerServer = peer.NewServer(peer.ServerOptions{Logger: logger, Metrics: set})
-	n.Configuration = NewConfiguration(ConfigurationOptions{Decode: a.Decode, Peers: n.peers, Others: n.hosts.peers, Logger: logger, Metrics: set})
+	n.Configuration = NewConfiguration(ConfigurationOptions{Decode: a.Decode, Peers: n.peers, ListPeers: n.hosts.peers, Logger: logger, Metrics: set})
 	n.Places = places.New(places.Options{
-		Host: s.Host, Zone: s.Zone, PeerAddress: s.PeerAddress, Cores: s.Cores, Fleet: n.hosts.fleetSize, Peers: n.peers,
-		Lean:    n.hosts.isLarge,
-		Counted: func() bool { return n.accounts().Len() > 0 },
-		Logger:  logger, Metrics: set,
+		Host: s.Host, Zone: s.Zone, PeerAddress: s.PeerAddress, Cores: s.Cores, FleetSize: n.hosts.fleetSize, Peers: n.peers,
+		LargeZone:   n.hosts.isLarge,
+		QuotasInUse: func() bool { return n.accounts().Len() > 0 },
+		Logger:      logger, Metrics: set,
 	})
-	n.Places.OnGone(n.pool.Forget)
+	n.Places.OnRemoved(n.pool.CloseIdle)
 	n.Feed = feed.New(feed.Options{
-		Host: s.Host, Self: s.PeerAddress, Large: n.hosts.large, Daemons: n.hosts.knownFleetSize,
+		Host: s.Host, Self: s.PeerAddress, Large: n.hosts.large, FleetSize: n.hosts.knownFleetSize,
 		Configuration: n.Configuration, Targets: n.Places, Peers: n.peers, Logger: logger, Metrics: set,
 	})
-	n.hosts.readsLog, n.hosts.leaderFleetSize = n.Feed.Reads, n.Places.Daemons
+	n.hosts.readsLog, n.hosts.leaderFleetSize = n.Feed.ReadsLog, n.Places.LeaderFleetSize
 	var err error
 	n.suspects, err = suspects.New(suspects.Options{
 		View: n.hosts, Peer: n.peers, Registrar: n.peerServer, Limit: func() int { return crashLimit }, Logger: logger, Metrics: set,
@@ -114,16 +114,16 @@
 		return nil, err
 	}
 	n.quotas = quotas.New(quotas.Options{
-		Self: s.PeerAddress, Leaders: n.Places, Fleet: n.hosts.knownFleetSize, Accounts: n.accounts, Peers: n.peers, Logger: logger, Metrics: set,
-		Terms: quota.Terms{Window: s.QuotaWindow, Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
+		Self: s.PeerAddress, Leaders: n.Places, FleetSize: n.hosts.knownFleetSize, Accounts: n.accounts, Peers: n.peers, Logger: logger, Metrics: set,
+		Terms: quota.Tolerance{Window: s.QuotaWindow, Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
 	})
-	crashes := relay.NewCrashes(n.suspects, n.pool)
+	crashes := relay.NewCrashDetector(n.suspects, n.pool)
 	n.Relay = relay.New(relay.Options{
 		Wire: a.Wire, Pool: n.pool, Places: n.Places, Crashes: crashes, Quotas: n.quotas, Logger: logger, Metrics: set,
 	})
 	n.Jobs = jobs.New(jobs.Options{
 		Host: s.Host, Zone: s.Zone, Log: a.Log, Groups: a.Groups, Peers: n.peers, Address: n.hosts.addressOf,
-		Others: n.hosts.peers, Fleet: n.hosts.fleetSize, Large: n.hosts.isLarge, Roomy: n.hosts.hasAmpleCores, Topics: a.Topics, Parts: s.LogParts, Routes: n.Configuration.Routes,
+		ListPeers: n.hosts.peers, FleetSize: n.hosts.fleetSize, LargeZone: n.hosts.isLarge, CanHoldPartitions: n.hosts.hasAmpleCores, Topics: a.Topics, Parts: s.LogPartitions, Routes: n.Configuration.Routes,
 		Places: n.Places, Pool: n.pool, Wire: a.Wire, Crashes: crashes, KeepFor: s.JobsReadable, Headroom: s.BatchHeadroom,
 		Logger: logger, Metrics: set,
 	})
@@ -154,7 +154,7 @@
 // targets, has read the jobs, and is not stopping.
 func (n *Node) Ready() bool {
 	table := n.Configuration.Routes()
-	return !n.stopping.Load() && table != nil && n.Places.Known() && n.Jobs.Loaded() && n.hasTargets(table, time.Now())
+	return !n.stopping.Load() && table != nil && n.Places.TargetsKnown() && n.Jobs.Loaded() && n.hasTargets(table, time.Now())
 }
 
 // InLargeZone reports whether only a few daemons of the local zone read the log, for all
@@ -165,10 +165,10 @@
 // its first targets; Await returns nil if there are no routes by then, or ctx is done.
 func (n *Node) Await(ctx context.Context) *route.Table {
 	table := n.Configuration.Await(ctx)
-	if left := startupWait - time.Since(n.started); table != nil && left > 0 && !n.Places.Known() {
+	if left := startupWait - time.Since(n.started); table != nil && left > 0 && !n.Places.TargetsKnown() {
 		ctx, cancel := context.WithTimeout(ctx, left)
 		defer cancel()
-		n.Places.AwaitKnown(ctx)
+		n.Places.AwaitTargets(ctx)
 	}
 	return table
 }
@@ -182,8 +182,8 @@
 	if n.targetsReady.Load() {
 		return true
 	}
-	for _, group := range table.Used() {
-		if now.Sub(n.started) < startupTargetWait && !n.Places.Has(group) {
+	for _, group := range table.UsedGroups() {
+		if now.Sub(n.started) < startupTargetWait && !n.Places.HasTargets(group) {
 			return false
 		}
 	}
@@ -206,10 +206,10 @@
 	group.Go(n.hosts.run)
 	n.Feed.Run(group, readConfiguration, readTargets)
 	group.Go(n.Configuration.fetchFromPeers)
-	group.Go(func(ctx context.Context) { duty.Every(ctx, idleCloseEvery, n.pool.Sweep) })
-	group.Go(func(ctx context.Context) { n.Places.Spread(ctx, n.peers, n.hosts.peers) })
+	group.Go(func(ctx context.Context) { duty.Every(ctx, idleCloseEvery, n.pool.CloseExpired) })
+	group.Go(func(ctx context.Context) { n.Places.BroadcastLoad(ctx, n.peers, n.hosts.peers) })
 	group.Go(func(ctx context.Context) { n.Places.Lead(ctx, n.hosts.peers) })
-	group.Go(n.Places.Report)
+	group.Go(n.Places.ReportLeases)
 	group.Go(n.quotas.Run)
 	n.suspects.Run(group)
 	n.Jobs.Run(group)
--- a/daemon/front/front_test.go
+++ b/daemon/front/front_test.go
@@ -40,16 +40,16 @@
 func (c *Configuration) applyPadded(version int64, size int) {
 	padding := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{}).Read(padding) // never fails
-	Expect(c.Take(append([]byte(strconv.FormatInt(version, 10)+"\n"), padding...), "source")).To(Succeed())
+	Expect(c.Apply(append([]byte(strconv.FormatInt(version, 10)+"\n"), padding...), "source")).To(Succeed())
 }
 
 func (c *Configuration) applyVersion(version int64) {
-	Expect(c.Take([]byte(strconv.FormatInt(version, 10)), "source")).To(Succeed())
+	Expect(c.Apply([]byte(strconv.FormatInt(version, 10)), "source")).To(Succeed())
 }
 
 // hostsOf returns the options of a daemon of a fleet in the zones z1 and z2.
 func hostsOf(log partlog.Log, host, address, zone string) hostsOptions {
-	return hostsOptions{Log: log, Topic: "hosts", Parts: 4, Host: host, Own: places.Peer{Address: address, Zone: zone}, Zones: []string{"z1", "z2"}, Logger: zap.NewNop()}
+	return hostsOptions{Log: log, Topic: "hosts", Parts: 4, Host: host, Local: places.Peer{Address: address, Zone: zone}, Zones: []string{"z1", "z2"}, Logger: zap.NewNop()}
 }
 
 func table(version int64) *route.Table {
@@ -82,10 +82,10 @@
 			return table(7), nil
 		}})
 		for range 3 {
-			Expect(c.Take([]byte("7"), "source")).To(Succeed())
+			Expect(c.Apply([]byte("7"), "source")).To(Succeed())
 		}
 		Expect(decoded).To(Equal(1))
-		Expect(c.Take([]byte("7 "), "source")).To(Succeed())
+		Expect(c.Apply([]byte("7 "), "source")).To(Succeed())
 		Expect(decoded).To(Equal(2))
 	})
 
@@ -120,7 +120,7 @@
 
 	It("stays ready when its targets are removed later", func() {
 		n.Places.Update(func(now time.Time, r *roster.Roster) {
-			r.Heard(now)
+			r.StoreAnswered(now)
 			r.Replace(now, []roster.Target{{ID: "t", Group: "g"}})
 		})
 		Expect(n.hasTargets(table(1), start)).To(BeTrue())
@@ -156,7 +156,7 @@
 	It("drops the lists of other zones that it no longer follows, once its zone is large", func() {
 		log := fakepartlog.New(1)
 		put := func(h *hosts) {
-			_, err := log.Append(context.Background(), h.localList().partition, []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Own)}}, partlog.Anywhere)
+			_, err := log.Append(context.Background(), h.localList().partition, []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Local)}}, partlog.AnyOffset)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		a := newHosts(hostsOf(log, "a", "1:1", "z1"))
@@ -189,7 +189,7 @@
 	It("skips records of its topic that name no peer", func() {
 		log := fakepartlog.New(1)
 		a := newHosts(hostsOf(log, "a", "1:1", "z1"))
-		a.localList().apply([]partlog.Kept{
+		a.localList().apply([]partlog.StoredRecord{
 			{Record: partlog.Record{Key: "b", Value: encodeEntry(places.Peer{Address: "2:2", Zone: "z2"})}},
 			{Record: partlog.Record{Key: "c", Value: []byte("3:3")}},
 			{Record: partlog.Record{Key: "d", Value: []byte("somewhere z2")}},
--- a/daemon/front/hosts.go
+++ b/daemon/front/hosts.go
@@ -42,11 +42,11 @@
 // hostsPace is the pace of a small zone: a new daemon's counts may be missing for as long
 // as a read takes.
 var (
-	hostsPace = partlog.Pace{Wait: 8 * time.Second, Gather: 100 * time.Millisecond}
+	hostsPace = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 100 * time.Millisecond}
 	// largeZonePace is the pace of a large zone: every daemon there reads each change of
 	// its list, and a daemon that is missing from it for some seconds has no
 	// disadvantage. While the log is down, not all of them may call it all the time.
-	largeZonePace = partlog.Pace{Wait: 8 * time.Second, Gather: 2 * time.Second, LongestPause: 8 * time.Second}
+	largeZonePace = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 2 * time.Second, MaxBackoff: 8 * time.Second}
 )
 
 // hostsOptions configure hosts.
@@ -56,7 +56,7 @@
 	// Parts is the number of partitions of the topic.
 	Parts int
 	Host  string
-	Own   places.Peer
+	Local places.Peer
 	// Zones are all availability zones.
 	Zones  []string
 	Logger *zap.Logger
@@ -103,7 +103,7 @@
 func newHosts(o hostsOptions) *hosts {
 	h := &hosts{hostsOptions: o, incarnation: uint64(time.Now().UnixNano()), lists: map[int]*hostList{},
 		readsLog: func() bool { return false }, leaderFleetSize: func() int { return 0 }}
-	h.list(h.part(o.Own.Zone))
+	h.list(h.part(o.Local.Zone))
 	return h
 }
 
@@ -120,7 +120,7 @@
 	return h.lists[part]
 }
 
-func (h *hosts) localList() *hostList { return h.list(h.part(h.Own.Zone)) }
+func (h *hosts) localList() *hostList { return h.list(h.part(h.Local.Zone)) }
 
 // encodeEntry returns the value of a daemon's record: its peer address, its zone and the
 // cores that it may use.
@@ -175,19 +175,19 @@
 
 // announce writes this daemon's entry.
 func (h *hosts) announce(ctx context.Context) {
-	entry := []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Own)}}
+	entry := []partlog.Record{{Key: h.Host, Value: encodeEntry(h.Local)}}
 	h.retry(ctx, "not_announced", func() error {
-		_, err := h.Log.Append(ctx, h.localList().partition, entry, partlog.Anywhere)
+		_, err := h.Log.Append(ctx, h.localList().partition, entry, partlog.AnyOffset)
 		return err
 	})
 	if ctx.Err() == nil {
-		h.Logger.Info("announced", zap.String("address", h.Own.Address))
+		h.Logger.Info("announced", zap.String("address", h.Local.Address))
 	}
 }
 
 // deregister removes this daemon's entry.
 func (h *hosts) deregister(ctx context.Context) {
-	if _, err := h.Log.Append(ctx, h.localList().partition, []partlog.Record{{Key: h.Host}}, partlog.Anywhere); err != nil {
+	if _, err := h.Log.Append(ctx, h.localList().partition, []partlog.Record{{Key: h.Host}}, partlog.AnyOffset); err != nil {
 		h.Logger.Info("entry_not_removed", zap.Error(err))
 	}
 }
@@ -196,7 +196,7 @@
 // needed.
 func (h *hosts) follow(ctx context.Context) {
 	followers := map[int]*duty.Switch{}
-	local, large := h.part(h.Own.Zone), h.isLarge()
+	local, large := h.part(h.Local.Zone), h.isLarge()
 	for {
 		if now := h.isLarge(); now != large {
 			large = now
@@ -249,7 +249,7 @@
 func (h *hosts) remoteParts() []int {
 	var parts []int
 	for _, zone := range h.Zones {
-		if part := h.part(zone); part != h.part(h.Own.Zone) && !slices.Contains(parts, part) {
+		if part := h.part(zone); part != h.part(h.Local.Zone) && !slices.Contains(parts, part) {
 			parts = append(parts, part)
 		}
 	}
@@ -315,7 +315,7 @@
 func (h *hosts) allListsRead() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, zone := range append([]string{h.Own.Zone}, h.Zones...) {
+	for _, zone := range append([]string{h.Local.Zone}, h.Zones...) {
 		l := h.lists[h.part(zone)]
 		if l == nil || l.position < 0 {
 			return false
@@ -331,11 +331,11 @@
 	defer h.mu.Unlock()
 	most := 0.0
 	for _, p := range h.allPeers {
-		if p.Zone == h.Own.Zone {
+		if p.Zone == h.Local.Zone {
 			most = max(most, p.Cores)
 		}
 	}
-	return h.Own.Cores >= ampleCoresShare*most
+	return h.Local.Cores >= ampleCoresShare*most
 }
 
 // addressOf returns a daemon's peer address.
@@ -352,7 +352,7 @@
 
 // Self implements suspects.Fleet.
 func (h *hosts) Self() membership.Member {
-	return membership.Member{Host: h.Host, Zone: h.Own.Zone, PeerAddress: h.Own.Address, Incarnation: h.incarnation}
+	return membership.Member{Host: h.Host, Zone: h.Local.Zone, PeerAddress: h.Local.Address, Incarnation: h.incarnation}
 }
 
 // Members implements suspects.Fleet.
@@ -376,21 +376,21 @@
 }
 
 // Load implements partlog.Reader.
-func (l *hostList) Load(records []partlog.Kept, end int64) {
+func (l *hostList) Load(records []partlog.StoredRecord, end int64) {
 	h := l.hosts
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	l.known = map[string]places.Peer{}
 	l.apply(records)
 	l.position = end
-	if h.loaded.IsZero() && l == h.lists[h.part(h.Own.Zone)] {
+	if h.loaded.IsZero() && l == h.lists[h.part(h.Local.Zone)] {
 		h.loaded = time.Now()
 		_, h.announcedBefore = l.known[h.Host]
 	}
 }
 
 // Take implements partlog.Reader.
-func (l *hostList) Take(page partlog.Page) {
+func (l *hostList) Apply(page partlog.Page) {
 	l.hosts.mu.Lock()
 	defer l.hosts.mu.Unlock()
 	l.apply(page.Records)
@@ -398,10 +398,10 @@
 }
 
 // Heard implements partlog.Reader; package jobs logs outages of the log.
-func (l *hostList) Heard(time.Time, error) {}
+func (l *hostList) CallEnded(time.Time, error) {}
 
 // apply applies records to the list. hosts.mu is held.
-func (l *hostList) apply(records []partlog.Kept) {
+func (l *hostList) apply(records []partlog.StoredRecord) {
 	for _, k := range records {
 		delete(l.known, k.Key)
 		if len(k.Value) == 0 && !k.Unreadable {
@@ -423,9 +423,9 @@
 	h.allPeers, h.zonePeers = nil, 0
 	for _, l := range h.lists {
 		for host, p := range l.known {
-			if host != h.Host && p.Address != h.Own.Address {
+			if host != h.Host && p.Address != h.Local.Address {
 				h.allPeers = append(h.allPeers, p)
-				if p.Zone == h.Own.Zone {
+				if p.Zone == h.Local.Zone {
 					h.zonePeers++
 				}
 			}
--- a/daemon/front/zone_test.go
+++ b/daemon/front/zone_test.go
@@ -152,18 +152,18 @@
 
 func (c *configurationLog) Position() int64 { return c.position }
 
-func (c *configurationLog) Load(records []partlog.Kept, end int64) {
+func (c *configurationLog) Load(records []partlog.StoredRecord, end int64) {
 	for _, k := range records {
-		_ = c.Configuration.Take(k.Value, "log")
+		_ = c.Configuration.Apply(k.Value, "log")
 	}
 	c.position = end
 }
 
-func (c *configurationLog) Take(page partlog.Page) { c.Load(page.Records, page.Next) }
+func (c *configurationLog) Apply(page partlog.Page) { c.Load(page.Records, page.Next) }
 
-func (c *configurationLog) Heard(asOf time.Time, err error) {
+func (c *configurationLog) CallEnded(asOf time.Time, err error) {
 	if !asOf.IsZero() {
-		c.Hear(asOf)
+		c.Confirm(asOf)
 	}
 	if err == nil {
 		c.answered()
@@ -180,21 +180,21 @@
 
 func (e *entryLog) Position() int64 { return e.position }
 
-func (e *entryLog) Load(records []partlog.Kept, end int64) {
+func (e *entryLog) Load(records []partlog.StoredRecord, end int64) {
 	var all []roster.Target
 	for _, k := range records {
 		all = append(all, targetOf(k))
 	}
 	e.places.Update(func(now time.Time, r *roster.Roster) {
-		r.Heard(now)
+		r.StoreAnswered(now)
 		r.Replace(now, all)
 	})
 	e.position = end
 }
 
-func (e *entryLog) Take(page partlog.Page) {
+func (e *entryLog) Apply(page partlog.Page) {
 	e.places.Update(func(now time.Time, r *roster.Roster) {
-		r.Heard(now)
+		r.StoreAnswered(now)
 		for _, k := range page.Records {
 			r.Set(now, targetOf(k))
 		}
@@ -202,7 +202,7 @@
 	e.position = page.Next
 }
 
-func (e *entryLog) Heard(_ time.Time, err error) {
+func (e *entryLog) CallEnded(_ time.Time, err error) {
 	if err == nil {
 		e.answered()
 	}
@@ -210,7 +210,7 @@
 
 const drains = "draining "
 
-func targetOf(k partlog.Kept) roster.Target {
+func targetOf(k partlog.StoredRecord) roster.Target {
 	zone, draining := strings.CutPrefix(string(k.Value), drains)
 	return roster.Target{ID: k.Key, Group: "g", Address: k.Key, Zone: zone, Slots: 4, Draining: draining}
 }
@@ -234,7 +234,7 @@
 	for i := range largeZones * zoneDaemons {
 		m := f.newMember(i)
 		all = append(all, m)
-		f.put(m.hosts.localList().partition, m.name, string(encodeEntry(m.hosts.Own)))
+		f.put(m.hosts.localList().partition, m.name, string(encodeEntry(m.hosts.Local)))
 	}
 	for _, m := range all {
 		f.start(m)
@@ -244,7 +244,7 @@
 }
 
 func (f *zoneFleet) put(p partlog.Partition, key, value string) {
-	_, err := f.log.Append(context.Background(), p, []partlog.Record{{Key: key, Value: []byte(value)}}, partlog.Anywhere)
+	_, err := f.log.Append(context.Background(), p, []partlog.Record{{Key: key, Value: []byte(value)}}, partlog.AnyOffset)
 	Expect(err).NotTo(HaveOccurred())
 }
 
@@ -254,15 +254,15 @@
 	set := metrics.NewSet()
 	caller := endpoint{f.network, m.name}
 	o := hostsOf(m.log, m.name, m.name, own.Zone)
-	o.Own = own
+	o.Local = own
 	m.hosts = newHosts(o)
 	m.configuration = newTestConfiguration()
-	m.configuration.Peers, m.configuration.Others = caller, m.hosts.peers
-	m.places = places.New(places.Options{Host: m.name, Zone: own.Zone, PeerAddress: m.name, Cores: own.Cores, Fleet: m.hosts.fleetSize,
-		Lean: m.hosts.isLarge, Peers: caller, AskTime: zoneLimit, Logger: zap.NewNop()})
-	m.feed = feed.New(feed.Options{Host: m.name, Self: m.name, Large: m.hosts.large, Daemons: m.hosts.knownFleetSize, Configuration: m.configuration,
+	m.configuration.Peers, m.configuration.ListPeers = caller, m.hosts.peers
+	m.places = places.New(places.Options{Host: m.name, Zone: own.Zone, PeerAddress: m.name, Cores: own.Cores, FleetSize: m.hosts.fleetSize,
+		LargeZone: m.hosts.isLarge, Peers: caller, SlotTimeout: zoneLimit, Logger: zap.NewNop()})
+	m.feed = feed.New(feed.Options{Host: m.name, Self: m.name, Large: m.hosts.large, FleetSize: m.hosts.knownFleetSize, Configuration: m.configuration,
 		Targets: m.places, Peers: caller, Logger: zap.NewNop(), Metrics: set})
-	m.hosts.readsLog, m.hosts.leaderFleetSize = m.feed.Reads, m.places.Daemons
+	m.hosts.readsLog, m.hosts.leaderFleetSize = m.feed.ReadsLog, m.places.LeaderFleetSize
 	Expect(m.places.Register(f.network.At(m.name))).To(Succeed())
 	Expect(m.feed.Register(f.network.At(m.name))).To(Succeed())
 	return m
@@ -273,8 +273,8 @@
 	group := duty.NewGroup(ctx)
 	group.Go(m.hosts.run)
 	group.Go(func(ctx context.Context) { m.places.Lead(ctx, m.hosts.peers) })
-	group.Go(m.places.Report)
-	pace := partlog.Pace{Wait: 300 * time.Millisecond}
+	group.Go(m.places.ReportLeases)
+	pace := partlog.ReadOptions{Wait: 300 * time.Millisecond}
 	m.feed.Run(group,
 		func(ctx context.Context, answered func()) {
 			partlog.Follow(ctx, m.log, configurations, pace, &configurationLog{m.configuration, -1, answered})
@@ -301,7 +301,7 @@
 // leader returns the daemon that leads a zone, nil for none.
 func (f *zoneFleet) leader(zone string) *member {
 	for _, m := range f.members {
-		if m.hosts.Own.Zone == zone && m.places.OwnZone().Leads {
+		if m.hosts.Local.Zone == zone && m.places.LocalZone().Leads {
 			return m
 		}
 	}
@@ -312,7 +312,7 @@
 func (f *zoneFleet) readers() int {
 	n := 0
 	for _, m := range f.members {
-		if m.feed.Reads() {
+		if m.feed.ReadsLog() {
 			n++
 		}
 	}
@@ -328,14 +328,14 @@
 			continue
 		}
 		Eventually(m.configuration.Version).WithTimeout(zoneLimit).Should(BeEquivalentTo(version), m.name)
-		Eventually(func() bool { return m.places.Has("g") }).WithTimeout(zoneLimit).Should(BeTrue(), m.name)
+		Eventually(func() bool { return m.places.HasTargets("g") }).WithTimeout(zoneLimit).Should(BeTrue(), m.name)
 	}
 }
 
 // acquireAndRelease acquires a slot at a member, releases it, and returns the target's
 // ID.
 func (m *member) acquireAndRelease() string {
-	place, refusal := m.places.Take(context.Background(), places.Ask{Group: "g", Patience: time.Second})
+	place, refusal := m.places.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 	if refusal != nil {
 		return ""
 	}
@@ -365,7 +365,7 @@
 		f.awaitSupplied(13)
 		calls := int64(0)
 		for _, m := range f.members {
-			if !m.feed.Reads() {
+			if !m.feed.ReadsLog() {
 				calls += m.log.calls.Load() - before[m]
 			}
 		}
--- a/daemon/jobs/allowance.go
+++ b/daemon/jobs/allowance.go
@@ -18,14 +18,14 @@
 	if r.jobs.Places.Scheduled() {
 		return maxStartsPerStep
 	}
-	free := r.jobs.Places.Free(group, r.jobs.Headroom)
+	free := r.jobs.Places.FreeSlots(group, r.jobs.Headroom)
 	p := r.pacers[group]
 	if p == nil {
 		p = &batch.Pacer{}
 		r.pacers[group] = p
 	}
-	fleet := r.jobs.Fleet()
-	n := p.Allow(time.Now(), free, min(fleet, r.jobs.Parts), places.WordAge(fleet), rand.Float64())
+	fleet := r.jobs.FleetSize()
+	n := p.Allow(time.Now(), free, min(fleet, r.jobs.Parts), places.LoadReportAge(fleet), rand.Float64())
 	if n < free {
 		// The rest of the share becomes available over time, without another event.
 		r.wake()
--- a/daemon/jobs/bodies.go
+++ b/daemon/jobs/bodies.go
@@ -68,7 +68,7 @@
 
 func (b *bodyStore) append(ctx context.Context, p partlog.Partition, records []partlog.Record) error {
 	for attempt := 1; ; attempt++ {
-		_, err := b.jobs.Log.Append(ctx, p, records, partlog.Anywhere)
+		_, err := b.jobs.Log.Append(ctx, p, records, partlog.AnyOffset)
 		if err == nil {
 			return nil
 		}
@@ -188,22 +188,22 @@
 func (r *bodyReader) Position() int64 { return r.position }
 
 // Load implements partlog.Reader.
-func (r *bodyReader) Load(records []partlog.Kept, end int64) {
+func (r *bodyReader) Load(records []partlog.StoredRecord, end int64) {
 	r.cacheChunks(records)
 	r.position = end
 }
 
 // Take implements partlog.Reader.
-func (r *bodyReader) Take(page partlog.Page) {
+func (r *bodyReader) Apply(page partlog.Page) {
 	r.cacheChunks(page.Records)
 	r.position = page.Next
 }
 
 // Heard implements partlog.Reader. The cursor of the partition's results reports outages.
-func (r *bodyReader) Heard(time.Time, error) {}
+func (r *bodyReader) CallEnded(time.Time, error) {}
 
 // cacheChunks caches the chunks of items that have not ended.
-func (r *bodyReader) cacheChunks(records []partlog.Kept) {
+func (r *bodyReader) cacheChunks(records []partlog.StoredRecord) {
 	for _, k := range records {
 		if _, isList := batch.ParseItemsKey(k.Key); isList {
 			_ = r.store.jobs.applyItems(k) // it logs an unreadable record
--- a/daemon/jobs/body.go
+++ b/daemon/jobs/body.go
@@ -54,7 +54,7 @@
 	if refusal := j.requireJob(ctx, account, id); refusal != nil {
 		return nil, refusal
 	}
-	if !forwards && !j.holds(id) && j.Fleet() > maxFleetForLogReads {
+	if !forwards && !j.holds(id) && j.FleetSize() > maxFleetForLogReads {
 		if body, ok := j.bodyFromHolder(ctx, account, id, item); ok {
 			return body, nil
 		}
@@ -86,7 +86,7 @@
 func (j *Jobs) loadItems(ctx context.Context, id string) error {
 	j.mu.Lock()
 	known := j.store.Job(id)
-	hasItems := known != nil && known.Listed()
+	hasItems := known != nil && known.HasItems()
 	j.mu.Unlock()
 	if known == nil || hasItems {
 		return nil
@@ -102,7 +102,7 @@
 }
 
 // applyItems applies a list of items to the store.
-func (j *Jobs) applyItems(k partlog.Kept) error {
+func (j *Jobs) applyItems(k partlog.StoredRecord) error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	change, err := j.store.ApplyItems(k.Key, k.Value)
@@ -112,7 +112,7 @@
 	}
 	if change.Job != "" {
 		j.runner.onChange(change)
-		j.changes.Tell()
+		j.changes.Notify()
 	}
 	return nil
 }
--- a/daemon/jobs/calls.go
+++ b/daemon/jobs/calls.go
@@ -60,17 +60,17 @@
 	}
 	j.Logger.Info("job_submitted", zap.String("job", s.ID), zap.String("account", s.Account), zap.String("from", from), zap.String("route", r.Name),
 		zap.Int("items", len(s.Items)), zap.String("outcome", result), zap.Bool("log_lost", j.accepted.isFailing()),
-		zap.Int64("waiting_tokens", j.waitingTokens(r.Quota(s.Account))), zap.Int64("cap", r.TokenCap))
+		zap.Int64("waiting_tokens", j.waitingTokens(r.QuotaKey(s.Account))), zap.Int64("cap", r.TokenCap))
 }
 
 func (j *Jobs) waitingTokens(quota string) int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.store.Waiting(quota)
+	return j.store.WaitingTokens(quota)
 }
 
 func newRecord(s *Submission, r *route.Route) *batch.JobRecord {
-	record := &batch.JobRecord{ID: s.ID, Account: s.Account, Host: s.Host, Path: s.Path, Quota: r.Quota(s.Account), AcceptedMs: time.Now().UnixMilli()}
+	record := &batch.JobRecord{ID: s.ID, Account: s.Account, Host: s.Host, Path: s.Path, Quota: r.QuotaKey(s.Account), AcceptedMs: time.Now().UnixMilli()}
 	for i := range s.Items {
 		item := s.Items[i].Item
 		item.BodyBytes = len(s.Items[i].Body)
@@ -145,7 +145,7 @@
 		if j.readWithin(c, maxReadAge) {
 			continue
 		}
-		if c.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.Fleet()) {
+		if c.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.FleetSize()) {
 			return false, refuseUnavailable(partlog.Unavailable.New("what waits is not known here"))
 		}
 		if err := j.catchUp(ctx, c); err != nil {
@@ -175,7 +175,7 @@
 	for i := range record.Items {
 		tokens += record.Items[i].Tokens
 	}
-	if waiting := j.store.Waiting(record.Quota); waiting+tokens > r.TokenCap {
+	if waiting := j.store.WaitingTokens(record.Quota); waiting+tokens > r.TokenCap {
 		return false, outcome.Refuse(outcome.CallerLimit, "%d tokens wait, %d more would pass the cap of %d",
 			waiting, tokens, r.TokenCap).After(quotaRetryMs)
 	}
@@ -211,7 +211,7 @@
 	if refusal := j.requireJob(ctx, account, id); refusal != nil {
 		return View{}, refusal
 	}
-	if !j.holds(id) && j.Fleet() > maxFleetForLogReads {
+	if !j.holds(id) && j.FleetSize() > maxFleetForLogReads {
 		if view, refusal, ok := j.readFromHolder(ctx, account, id, after, wait); ok && refusal == nil {
 			return view, nil
 		}
@@ -303,7 +303,7 @@
 	if j.readWithin(c, maxReadAge) {
 		return nil
 	}
-	if c.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.Fleet()) {
+	if c.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.FleetSize()) {
 		return refuseUnavailable(partlog.Unavailable.New("the results of %s are at their holder, which is not reached", id))
 	}
 	if err := j.catchUp(ctx, c); err != nil {
@@ -371,7 +371,7 @@
 	}
 	records := []partlog.Record{{Key: batch.EndedKey(id), Value: []byte{1}}}
 	for {
-		offset, err := j.Log.Append(ctx, j.accepted.partition, records, partlog.Anywhere)
+		offset, err := j.Log.Append(ctx, j.accepted.partition, records, partlog.AnyOffset)
 		if err == nil {
 			j.applyAppended(j.accepted, offset, records)
 			return nil
--- a/daemon/jobs/detour.go
+++ b/daemon/jobs/detour.go
@@ -91,7 +91,7 @@
 	route  *route.Route
 	// peers are the daemons that may still be called.
 	peers    []places.Peer
-	attempts batch.Ways
+	attempts batch.Attempts
 	done     chan *outcome.Refusal
 	// direct is set once the job was sent to the log from here.
 	direct bool
@@ -192,14 +192,14 @@
 // which causes no traffic between zones, then random others; in a large zone those that
 // hold partitions.
 func (j *Jobs) fallbackPeers(job string) []places.Peer {
-	if j.Large() {
+	if j.LargeZone() {
 		return j.holders(job)
 	}
-	if j.Others == nil {
+	if j.ListPeers == nil {
 		return nil
 	}
 	var local, remote []places.Peer
-	for _, other := range j.Others() {
+	for _, other := range j.ListPeers() {
 		if other.Zone == j.Zone {
 			local = append(local, other)
 		} else {
--- a/daemon/jobs/fakes_test.go
+++ b/daemon/jobs/fakes_test.go
@@ -202,15 +202,15 @@
 // noPartitions assigns no partitions.
 type noPartitions struct{ *fakepartlog.Log }
 
-func (noPartitions) Join(context.Context, string, string, []string, time.Duration, int64) (partlog.Claim, error) {
-	return partlog.Claim{Generation: 1}, nil
+func (noPartitions) Join(context.Context, string, string, []string, time.Duration, int64) (partlog.Assignment, error) {
+	return partlog.Assignment{Generation: 1}, nil
 }
 
 // allPartitions assigns all partitions to every member.
 type allPartitions struct{ *fakepartlog.Log }
 
-func (allPartitions) Join(_ context.Context, _, _ string, names []string, _ time.Duration, _ int64) (partlog.Claim, error) {
-	claim := partlog.Claim{Generation: 1}
+func (allPartitions) Join(_ context.Context, _, _ string, names []string, _ time.Duration, _ int64) (partlog.Assignment, error) {
+	claim := partlog.Assignment{Generation: 1}
 	for part := range 4 {
 		claim.Parts = append(claim.Parts, partlog.Partition{Topic: names[0], Part: part})
 	}
@@ -223,16 +223,16 @@
 	unreachable atomic.Bool
 }
 
-func (l *losableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
+func (l *losableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Assignment, error) {
 	if l.unreachable.Load() {
-		return partlog.Claim{}, partlog.Unavailable.New("not this host")
+		return partlog.Assignment{}, partlog.Unavailable.New("not this host")
 	}
 	return l.allPartitions.Join(ctx, group, member, names, ttl, generation)
 }
 
 // reportReceiver is the RPC service to which daemons send their load reports.
 type reportReceiver interface {
-	Hear(board.Word, *places.Ack) error
+	Hear(board.LoadReport, *places.Ack) error
 }
 
 // reportRegistrar records the service among a view's that receives load reports.
@@ -266,9 +266,9 @@
 	revoked atomic.Bool
 }
 
-func (t *revocableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Claim, error) {
+func (t *revocableGroup) Join(ctx context.Context, group, member string, names []string, ttl time.Duration, generation int64) (partlog.Assignment, error) {
 	if t.revoked.Load() {
-		return partlog.Claim{Generation: 2}, nil
+		return partlog.Assignment{Generation: 2}, nil
 	}
 	return t.allPartitions.Join(ctx, group, member, names, ttl, generation)
 }
--- a/daemon/jobs/follow.go
+++ b/daemon/jobs/follow.go
@@ -66,7 +66,7 @@
 // partition, or finishes what it began while it held one. The ends of jobs are in the
 // same partition.
 func (j *Jobs) needsAccepted() bool {
-	return !j.Large() || j.holdsAny() || j.runner.finishing(time.Now()) || !j.allWritten()
+	return !j.LargeZone() || j.holdsAny() || j.runner.finishing(time.Now()) || !j.allWritten()
 }
 
 // holdsAny reports whether this daemon holds a partition.
@@ -96,7 +96,7 @@
 // them does so only as a last resort, for a call that no holder of a partition answers;
 // the rate of such first reads is limited over the whole fleet.
 func (j *Jobs) catchUpAccepted(ctx context.Context) error {
-	if !j.following.running() && j.accepted.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.Fleet()) {
+	if !j.following.running() && j.accepted.Position() < 0 && !j.loadLimiter.allow(time.Now(), j.FleetSize()) {
 		return partlog.Unavailable.New("no daemon that follows the jobs is reached")
 	}
 	return j.catchUp(ctx, j.accepted)
@@ -133,7 +133,7 @@
 // Failure guarded against: this daemon has not read for a while, and jobs were removed
 // meanwhile. Their tokens would count as waiting for ever, and jobs that fit the quota
 // would be refused.
-func (j *Jobs) retainAccepted(records []partlog.Kept) {
+func (j *Jobs) retainAccepted(records []partlog.StoredRecord) {
 	kept := map[string]bool{}
 	for _, k := range records {
 		if id, ok := batch.ParseAcceptedKey(k.Key); ok {
--- a/daemon/jobs/item.go
+++ b/daemon/jobs/item.go
@@ -93,9 +93,9 @@
 	received := p.eventCount()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.estimator.Ran(received-before-1, time.Since(run.startedAt))
+	r.estimator.ObserveRun(received-before-1, time.Since(run.startedAt))
 	if end.complete {
-		r.estimator.Finished(received, c.item.Tokens)
+		r.estimator.ObserveFinished(received, c.item.Tokens)
 	}
 }
 
@@ -120,15 +120,15 @@
 	}
 	sender := relay.Sender{Wire: r.jobs.Wire, Pool: r.jobs.Pool}
 	answer, verdict, err := sender.Send(ctx, request, run.target, relay.NoDeadline, p.lastEvent, h1.Options{
-		MaxIdle: itemMaxIdle, Deadline: time.Now().Add(itemTimeout), Patience: itemFirstMaxWait,
+		MaxIdle: itemMaxIdle, Deadline: time.Now().Add(itemTimeout), MaxWait: itemFirstMaxWait,
 	})
 	if err != nil {
 		return errorResult(err)
 	}
 	switch verdict {
-	case relay.TurnedAway:
+	case relay.Rejected:
 		return runResult{cause: "rejected by the target", delay: rejectedDelay, health: routing.Neutral}
-	case relay.Elsewhere:
+	case relay.WrongTarget:
 		return runResult{cause: "another target has the address", delay: rejectedDelay, health: routing.HardFailed}
 	}
 	defer answer.Close()
--- a/daemon/jobs/jobs.go
+++ b/daemon/jobs/jobs.go
@@ -57,12 +57,12 @@
 	Peers   peer.Caller
 	Address func(host string) (string, bool)
 	// ListPeers lists the other daemons; nil means none.
-	Others func() []places.Peer
+	ListPeers func() []places.Peer
 	// FleetSize returns the number of daemons.
-	Fleet func() int
+	FleetSize func() int
 	// LargeZone reports whether the local zone is so large that few of its daemons hold
 	// partitions, and CanHoldPartitions whether this host may; nil means a small zone.
-	Large, Roomy func() bool
+	LargeZone, CanHoldPartitions func() bool
 	// Holders names the daemons that hold partitions, in a large zone; nil means Places.
 	Holders Holders
 	Topics  Topics
@@ -75,7 +75,7 @@
 	// Wire prepares items in the same way as requests.
 	Wire relay.Wire
 	// Crashes records which items were running when targets broke connections.
-	Crashes *relay.Crashes
+	Crashes *relay.CrashDetector
 	// KeepFor is how long after its acceptance a closed job can still be read.
 	KeepFor time.Duration
 	// Headroom is the number of slots of each target that batch leaves free.
@@ -88,9 +88,9 @@
 // wait, so what has to be seen within 3 s, such as the end of a job, is read at least
 // every second. Results and bodies that are needed sooner are read on demand.
 var (
-	jobsPace    = partlog.Pace{Wait: time.Second, Gather: 300 * time.Millisecond}
-	resultsPace = partlog.Pace{Wait: 8 * time.Second, Gather: 200 * time.Millisecond}
-	bodiesPace  = partlog.Pace{Wait: 8 * time.Second, Gather: 200 * time.Millisecond}
+	jobsPace    = partlog.ReadOptions{Wait: time.Second, Linger: 300 * time.Millisecond}
+	resultsPace = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 200 * time.Millisecond}
+	bodiesPace  = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 200 * time.Millisecond}
 )
 
 // Jobs accepts batch jobs, runs their items and returns their results. It is safe for
@@ -102,9 +102,9 @@
 	following following
 
 	mu    sync.Mutex
-	store *batch.Book
+	store *batch.Store
 	// changes is notified of each change of the store.
-	changes     duty.News
+	changes     duty.Notifier
 	accepted    *cursor
 	results     []*cursor
 	writers     []*writer
@@ -116,16 +116,16 @@
 
 // New returns Jobs that has read no records yet.
 func New(o Options) *Jobs {
-	if o.Large == nil {
-		o.Large = func() bool { return false }
+	if o.LargeZone == nil {
+		o.LargeZone = func() bool { return false }
 	}
 	if o.Holders == nil {
 		o.Holders = o.Places
 	}
-	if o.Roomy == nil {
-		o.Roomy = func() bool { return true }
+	if o.CanHoldPartitions == nil {
+		o.CanHoldPartitions = func() bool { return true }
 	}
-	j := &Jobs{Options: o, store: batch.NewBook()}
+	j := &Jobs{Options: o, store: batch.NewStore()}
 	j.accepted = j.newCursor(partlog.Partition{Topic: o.Topics.Jobs}, j.store.ApplyJob)
 	j.following.loop.Loop = func(ctx context.Context) { partlog.Follow(ctx, j.Log, j.accepted.partition, jobsPace, j.accepted) }
 	for part := range o.Parts {
@@ -190,7 +190,7 @@
 
 // Load implements partlog.Reader. Records that were already applied change nothing; the
 // others follow them in log order.
-func (c *cursor) Load(records []partlog.Kept, end int64) {
+func (c *cursor) Load(records []partlog.StoredRecord, end int64) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
 	first := c.position < 0
@@ -206,11 +206,11 @@
 		c.jobs.Logger.Info("partition_loaded", zap.String("topic", c.partition.Topic), zap.Int("part", c.partition.Part),
 			zap.Int("records", len(records)), zap.Int64("end", end))
 	}
-	c.jobs.changes.Tell()
+	c.jobs.changes.Notify()
 }
 
 // Take implements partlog.Reader.
-func (c *cursor) Take(page partlog.Page) {
+func (c *cursor) Apply(page partlog.Page) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
 	c.applyRecords(page.Records)
@@ -221,7 +221,7 @@
 
 // applyRecords applies the records that were not applied yet: local appends are applied
 // as soon as they are acknowledged, and a read in flight may return them again.
-func (c *cursor) applyRecords(records []partlog.Kept) {
+func (c *cursor) applyRecords(records []partlog.StoredRecord) {
 	applied := false
 	for _, k := range records {
 		if k.Offset != c.position {
@@ -232,11 +232,11 @@
 		applied = true
 	}
 	if applied {
-		c.jobs.changes.Tell()
+		c.jobs.changes.Notify()
 	}
 }
 
-func (c *cursor) applyOne(k partlog.Kept) {
+func (c *cursor) applyOne(k partlog.StoredRecord) {
 	change, err := batch.Change{}, error(batch.ErrRecord.New("no key and value"))
 	if !k.Unreadable {
 		change, err = c.apply(k.Key, k.Value)
@@ -251,7 +251,7 @@
 }
 
 // Heard implements partlog.Reader.
-func (c *cursor) Heard(_ time.Time, err error) {
+func (c *cursor) CallEnded(_ time.Time, err error) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
 	failing := err != nil
@@ -276,7 +276,7 @@
 		if err != nil {
 			return err
 		}
-		c.Take(page)
+		c.Apply(page)
 		if page.Next >= page.End {
 			return nil
 		}
@@ -322,9 +322,9 @@
 func (j *Jobs) applyAppended(c *cursor, offset int64, records []partlog.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	kept := make([]partlog.Kept, len(records))
+	kept := make([]partlog.StoredRecord, len(records))
 	for i, r := range records {
-		kept[i] = partlog.Kept{Record: r, Offset: offset + int64(i)}
+		kept[i] = partlog.StoredRecord{Record: r, Offset: offset + int64(i)}
 	}
 	c.applyRecords(kept)
 }
--- a/daemon/jobs/jobs_test.go
+++ b/daemon/jobs/jobs_test.go
@@ -129,7 +129,7 @@
 		view := places.New(places.Options{Host: name, Zone: "z", Logger: zap.NewNop()})
 		views[name] = view
 		view.Update(func(now time.Time, r *roster.Roster) {
-			r.Heard(now)
+			r.StoreAnswered(now)
 			r.Replace(now, []roster.Target{{ID: "t", Group: "g", Address: target.Address, Zone: "z", Slots: 8}})
 		})
 		pool := h1.NewPool(func() {})
@@ -142,9 +142,9 @@
 			holders = fixedHolder{name, holder}
 		}
 		j := jobs.New(jobs.Options{
-			Large: func() bool { return holder != "" }, Roomy: func() bool { return name == holder }, Holders: holders,
-			Host: name, Zone: "z", Log: reached, Groups: groups, Others: func() []places.Peer { return peers.list(name) }, Peers: peers, Address: peers.address, Fleet: func() int { return fleet }, Topics: topics, Parts: 4, Routes: func() *route.Table { return table },
-			Places: view, Pool: pool, Wire: fakewire.Wire{}, Crashes: relay.NewCrashes(noSuspects{}, pool), KeepFor: time.Hour, Logger: logger, Metrics: metrics.NewSet(),
+			LargeZone: func() bool { return holder != "" }, CanHoldPartitions: func() bool { return name == holder }, Holders: holders,
+			Host: name, Zone: "z", Log: reached, Groups: groups, ListPeers: func() []places.Peer { return peers.list(name) }, Peers: peers, Address: peers.address, FleetSize: func() int { return fleet }, Topics: topics, Parts: 4, Routes: func() *route.Table { return table },
+			Places: view, Pool: pool, Wire: fakewire.Wire{}, Crashes: relay.NewCrashDetector(noSuspects{}, pool), KeepFor: time.Hour, Logger: logger, Metrics: metrics.NewSet(),
 		})
 		Expect(j.Register(peers.registrar(name))).To(Succeed())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -234,7 +234,7 @@
 		Eventually(running).WithTimeout(limit).Should(Receive())
 		groups.revoked.Store(true)
 		Eventually(func() int { return lines.FilterMessage("partition_given_up").Len() }).WithTimeout(limit).Should(Equal(4))
-		_, err := log.Append(ctx(), partlog.Partition{Topic: topics.Jobs}, []partlog.Record{{Key: batch.EndedKey("j"), Value: []byte{1}}}, partlog.Anywhere)
+		_, err := log.Append(ctx(), partlog.Partition{Topic: topics.Jobs}, []partlog.Record{{Key: batch.EndedKey("j"), Value: []byte{1}}}, partlog.AnyOffset)
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(func() int { return lines.FilterMessage("item_run_ended").Len() }).WithTimeout(limit).Should(Equal(1))
 		Expect(lines.FilterMessage("item_run_ended").All()[0].ContextMap()).To(HaveKeyWithValue("cause", "the item or its job is over"))
@@ -559,7 +559,7 @@
 		number := uint64(0)
 		tellParts := func() {
 			number++
-			Expect(hearer.Hear(board.Word{From: "b", Number: number, Zone: "z", Held: []uint64{1}, Parts: []int{0, 1, 2, 3}}, nil)).To(Succeed())
+			Expect(hearer.Hear(board.LoadReport{From: "b", Number: number, Zone: "z", Held: []uint64{1}, Parts: []int{0, 1, 2, 3}}, nil)).To(Succeed())
 		}
 		turn := 0
 		// A membership that was just renewed takes precedence over another daemon's report.
@@ -634,7 +634,7 @@
 		a := alone()
 		log.DelayAppends(1)
 		Expect(submit(a, withoutBodies("j"))).To(BeNil())
-		log.Settle()
+		log.RunDelayed()
 		Expect(acceptances()).To(Equal(1))
 	})
 
@@ -650,7 +650,7 @@
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Run).To(Equal(outcome.MayHaveRun))
 		log.DelayAppends(0)
-		log.Settle()
+		log.RunDelayed()
 		Expect(submit(a, withoutBodies("j"))).To(BeNil())
 		Expect(acceptances()).To(Equal(1))
 	})
@@ -687,7 +687,7 @@
 	// read of the log did not return it, and so that daemon told the client that the same
 	// position was empty.
 	It("does not say that a position is empty whose result another daemon has returned", func() {
-		log.SetDeaf(true)
+		log.SetNotificationsLost(true)
 		a := alone()
 		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 1))).To(BeNil())
--- a/daemon/jobs/membership.go
+++ b/daemon/jobs/membership.go
@@ -32,7 +32,7 @@
 	generation := int64(0)
 	lastExpiry := time.Now()
 	for !r.isStopping() {
-		if r.jobs.Large() && !r.jobs.Roomy() {
+		if r.jobs.LargeZone() && !r.jobs.CanHoldPartitions() {
 			r.leaveGroup(ctx)
 			if !duty.Pause(ctx, renewInterval) {
 				return
@@ -71,7 +71,7 @@
 		r.jobs.Logger.Info("group_not_left", zap.Error(err))
 		return
 	}
-	r.updateHeld(ctx, partlog.Claim{})
+	r.updateHeld(ctx, partlog.Assignment{})
 }
 
 func (r *runner) isStopping() bool {
@@ -81,7 +81,7 @@
 }
 
 // updateHeld sets the partitions whose items the daemon runs from now on.
-func (r *runner) updateHeld(ctx context.Context, claim partlog.Claim) {
+func (r *runner) updateHeld(ctx context.Context, claim partlog.Assignment) {
 	held := map[int]bool{}
 	for _, p := range claim.Parts {
 		held[p.Part] = true
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for _, id := range r.jobs.store.Forgettable(time.Now(), r.jobs.KeepFor+expiryGrace) {
+	for _, id := range r.jobs.store.Expired(time.Now(), r.jobs.KeepFor+expiryGrace) {
 		if _, held := r.heldSince[r.jobs.part(id)]; held {
 			ids = append(ids, id)
 		}
@@ -177,7 +177,7 @@
 		return err
 	}
 	tombstones := []partlog.Record{{Key: batch.AcceptedKey(id)}, {Key: batch.EndedKey(id)}}
-	if _, err := j.Log.Append(ctx, j.accepted.partition, tombstones, partlog.Anywhere); err != nil {
+	if _, err := j.Log.Append(ctx, j.accepted.partition, tombstones, partlog.AnyOffset); err != nil {
 		return err
 	}
 	var results, progress []partlog.Record
@@ -190,12 +190,12 @@
 		}
 	}
 	part := j.part(id)
-	if _, err := j.Log.Append(ctx, j.results[part].partition, results, partlog.Anywhere); err != nil {
+	if _, err := j.Log.Append(ctx, j.results[part].partition, results, partlog.AnyOffset); err != nil {
 		return err
 	}
-	if _, err := j.Log.Append(ctx, partlog.Partition{Topic: j.Topics.Progress, Part: part}, progress, partlog.Anywhere); err != nil {
+	if _, err := j.Log.Append(ctx, partlog.Partition{Topic: j.Topics.Progress, Part: part}, progress, partlog.AnyOffset); err != nil {
 		return err
 	}
-	_, err := j.Log.Append(ctx, j.bodies.partition(part), bodies, partlog.Anywhere)
+	_, err := j.Log.Append(ctx, j.bodies.partition(part), bodies, partlog.AnyOffset)
 	return err
 }
--- a/daemon/jobs/progress.go
+++ b/daemon/jobs/progress.go
@@ -120,7 +120,7 @@
 // saveAnyGrowth saves all new progress; it is used when the daemon stops, since no later
 // save follows.
 func saveAnyGrowth(events, saved int64, bytes int) bool {
-	return events > saved && batch.WorthKeeping(events, 0, bytes)
+	return events > saved && batch.ShouldSave(events, 0, bytes)
 }
 
 // snapshot returns the item's progress if it should be saved, and marks it as saved.
@@ -144,7 +144,7 @@
 
 // saveProgressLoop saves the progress of items to the log until ctx is done.
 func (r *runner) saveProgressLoop(ctx context.Context) {
-	duty.Every(ctx, saveInterval, func() { r.saveProgress(ctx, batch.WorthKeeping) })
+	duty.Every(ctx, saveInterval, func() { r.saveProgress(ctx, batch.ShouldSave) })
 }
 
 // saveProgress writes the progress that should be saved, in one append per partition. A
@@ -154,7 +154,7 @@
 	defer cancel()
 	for part, records := range r.progressRecords(shouldSave) {
 		p := partlog.Partition{Topic: r.jobs.Topics.Progress, Part: part}
-		_, err := r.jobs.Log.Append(ctx, p, records, partlog.Anywhere)
+		_, err := r.jobs.Log.Append(ctx, p, records, partlog.AnyOffset)
 		if err != nil {
 			r.jobs.Logger.Info("progress_not_kept", zap.Int("part", part), zap.Int("records", len(records)), zap.Error(err))
 		}
@@ -219,13 +219,13 @@
 func (pr *progressReader) Position() int64 { return noEvent }
 
 // Heard implements partlog.Reader.
-func (pr *progressReader) Heard(time.Time, error) {}
+func (pr *progressReader) CallEnded(time.Time, error) {}
 
 // Take implements partlog.Reader.
-func (pr *progressReader) Take(partlog.Page) {}
+func (pr *progressReader) Apply(partlog.Page) {}
 
 // Load implements partlog.Reader.
-func (pr *progressReader) Load(records []partlog.Kept, _ int64) {
+func (pr *progressReader) Load(records []partlog.StoredRecord, _ int64) {
 	restored := 0
 	for _, k := range records {
 		if pr.restoreOne(k) {
@@ -241,7 +241,7 @@
 }
 
 // restoreOne restores the progress of an item that has not ended and does not run here.
-func (pr *progressReader) restoreOne(k partlog.Kept) bool {
+func (pr *progressReader) restoreOne(k partlog.StoredRecord) bool {
 	r := pr.runner
 	if k.Unreadable {
 		return false
--- a/daemon/jobs/runner.go
+++ b/daemon/jobs/runner.go
@@ -42,7 +42,7 @@
 type itemRun struct {
 	key       itemKey
 	target    roster.Target
-	slot      places.Place
+	slot      places.Slot
 	startedAt time.Time
 	// due is when the item is due, tokens its size; see batch.Item.
 	due    time.Time
@@ -83,7 +83,7 @@
 	stopping   bool
 	meter      *meter
 	// estimator estimates how long items run.
-	estimator batch.Speed
+	estimator batch.Estimator
 	// lastLogged is when the waiting items were last logged.
 	lastLogged time.Time
 	// pacers limit, by group, how many items may start.
@@ -104,7 +104,7 @@
 // after it.
 func (r *runner) onChange(change batch.Change) {
 	known := r.jobs.store.Job(change.Job)
-	over := change.Forgotten || known != nil && known.Ended
+	over := change.Removed || known != nil && known.Ended
 	if over {
 		r.jobs.bodies.evictJob(change.Job)
 	}
@@ -179,7 +179,7 @@
 	}
 	free := 0
 	if first.route != nil {
-		free = r.jobs.Places.Free(first.route.Groups[0].Group, r.jobs.Headroom)
+		free = r.jobs.Places.FreeSlots(first.route.Groups[0].Group, r.jobs.Headroom)
 	}
 	r.jobs.Logger.Info("batch_waits", zap.Int("waiting", len(waiting)), zap.Int("behind", late), zap.Int("running", active), zap.Int("free_places", free),
 		zap.String("first_job", first.key.job), zap.Int64("first_due_in_ms", time.Until(first.due).Milliseconds()))
@@ -196,7 +196,7 @@
 // resume later after the last event received, so only the processing of their prompt is
 // lost.
 func (r *runner) preempt() {
-	preemptions := r.jobs.Places.Yields()
+	preemptions := r.jobs.Places.Preemptions()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for target, n := range preemptions {
@@ -238,7 +238,7 @@
 		r.fetchBody(ctx, c, p)
 		return
 	}
-	slot, ok := r.jobs.Places.TakeBatch(ctx, group, map[string]bool{p.avoidTarget: true}, r.jobs.Headroom)
+	slot, ok := r.jobs.Places.AcquireBatch(ctx, group, map[string]bool{p.avoidTarget: true}, r.jobs.Headroom)
 	if !ok {
 		startsLeft[group] = 0
 		return
--- a/daemon/jobs/tenure.go
+++ b/daemon/jobs/tenure.go
@@ -41,7 +41,7 @@
 		parts = slices.Sorted(maps.Keys(r.heldSince))
 	}
 	r.mu.Unlock()
-	r.jobs.Places.SetHeld(held, parts)
+	r.jobs.Places.SetHeldWork(held, parts)
 }
 
 // runScope is which items of a partition this daemon runs.
--- a/daemon/jobs/waiting.go
+++ b/daemon/jobs/waiting.go
@@ -69,8 +69,8 @@
 // sortByDue sorts the items by their due time, those that can't finish by then last; see
 // batch.OnTime. r.mu is held.
 func (r *runner) sortByDue(now time.Time, list []candidate) {
-	r.estimator.Had(now, len(r.active))
-	slots, known := r.estimator.Places()
+	r.estimator.ObserveSlots(now, len(r.active))
+	slots, known := r.estimator.Slots()
 	if known {
 		work := make([]batch.Work, 0, len(list)+len(r.active))
 		for i := range list {
@@ -97,7 +97,7 @@
 	if p := r.progress[key]; p != nil {
 		received = p.eventCount()
 	}
-	return r.estimator.Left(tokens, received)
+	return r.estimator.Remaining(tokens, received)
 }
 
 // compareBool orders false before true.
--- a/daemon/members/loops.go
+++ b/daemon/members/loops.go
@@ -59,7 +59,7 @@
 			return
 		case address := <-m.probeRequests:
 			var probes []membership.Probe
-			m.update(func(machine *membership.Machine) { probes = machine.Doubt(m.opt.Clock(), address) })
+			m.update(func(machine *membership.Machine) { probes = machine.CallFailed(m.opt.Clock(), address) })
 			m.startProbes(ctx, probes)
 		}
 	}
@@ -68,7 +68,7 @@
 // ProbeNow has the member at the peer address probed at once, because a call to it failed,
 // instead of at its turn. It never blocks: if the channel is full, the member is probed at
 // its turn.
-func (m *Members) Doubt(address string) {
+func (m *Members) ProbeNow(address string) {
 	select {
 	case m.probeRequests <- address:
 	default:
--- a/daemon/members/members_test.go
+++ b/daemon/members/members_test.go
@@ -140,7 +140,7 @@
 		id := fleet[2].Self().ID()
 		fleet[2].stop()
 		for _, i := range []int{0, 1, 3} {
-			fleet[i].Doubt(fleet[2].address)
+			fleet[i].ProbeNow(fleet[2].address)
 			Eventually(func() bool { return fleet[i].LiveID(id) }, "20s").Should(BeFalse())
 		}
 	})
--- a/daemon/online/cancel.go
+++ b/daemon/online/cancel.go
@@ -28,11 +28,11 @@
 // Cancels are asynchronous, and cancelling an unknown stream is not an error.
 type canceller struct {
 	opt   Options
-	queue *duty.Ring[abandonedStream]
+	queue *duty.Queue[abandonedStream]
 }
 
 func newCanceller(o Options) *canceller {
-	return &canceller{opt: o, queue: duty.NewRing[abandonedStream](cancelQueueSize)}
+	return &canceller{opt: o, queue: duty.NewQueue[abandonedStream](cancelQueueSize)}
 }
 
 func (c *canceller) cancelLoop(ctx context.Context) {
--- a/daemon/online/finish.go
+++ b/daemon/online/finish.go
@@ -33,7 +33,7 @@
 // finisher reports the results of keyed runs to the ledger until they are durable.
 type finisher struct {
 	opt     Options
-	queue   *duty.Ring[*pendingFinish]
+	queue   *duty.Queue[*pendingFinish]
 	waiting atomic.Int64
 	lost    *metrics.Counter
 }
@@ -51,7 +51,7 @@
 
 func newFinisher(o Options) *finisher {
 	f := &finisher{
-		opt: o, queue: duty.NewRing[*pendingFinish](finishQueueSize),
+		opt: o, queue: duty.NewQueue[*pendingFinish](finishQueueSize),
 		lost: o.Metrics.GetOrCreateCounter("tarragonhollow_online_finish_lost_total"),
 	}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_online_finish_waiting", func() float64 { return float64(f.pending()) })
--- a/daemon/online/group.go
+++ b/daemon/online/group.go
@@ -67,7 +67,7 @@
 	g.metrics.GetOrCreateGauge(name, func() float64 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return float64(g.table.Own(address))
+		return float64(g.table.LocalRequests(address))
 	})
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-func (g *group) applyReport(now time.Time, r signal.Word) {
-	report := routing.Word{
+func (g *group) applyReport(now time.Time, r signal.TargetReport) {
+	report := routing.LoadReport{
 		OnlineTotal: r.OnlineTotal, BatchRunning: r.BatchRunning,
 		Reported:  r.Report.Running + r.Report.Waiting,
 		ReportAge: time.Duration(r.ReportAgeMs) * time.Millisecond,
@@ -98,7 +98,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Hear(now, r.Address, report)
+	g.table.ApplyReport(now, r.Address, report)
 }
 
 func (g *group) loads(now time.Time) []TargetLoad {
@@ -107,7 +107,7 @@
 	var out []TargetLoad
 	for _, l := range g.table.Loads(now) {
 		out = append(out, TargetLoad{
-			Address: l.Address, Zone: l.Zone, InFlight: l.Own, Estimate: l.Estimate, State: l.State,
+			Address: l.Address, Zone: l.Zone, InFlight: l.LocalRequests, Estimate: l.Estimate, State: l.State,
 		})
 	}
 	return out
@@ -119,7 +119,7 @@
 	defer g.mu.Unlock()
 	refusal := g.table.Admit(now, deadline)
 	if refusal == nil {
-		g.budget.First()
+		g.budget.CountFirst()
 	}
 	return refusal
 }
@@ -188,14 +188,14 @@
 		zap.String("group", g.name), zap.String("target", address),
 		zap.String("state", state.String()), zap.String("request_id", r.call.RequestID),
 	}
-	if state != routing.Removed {
+	if state != routing.Ejected {
 		g.logger.Info("target_returned", fields...)
 		return
 	}
-	hold := g.table.Hold(address).Sub(now)
+	hold := g.table.EjectedUntil(address).Sub(now)
 	g.logger.Warn("target_taken_out", append(fields,
 		zap.Int64("hold_ms", hold.Milliseconds()), zap.String("cause", r.lastDetail),
-		zap.Int("own_in_flight", g.table.Own(address)))...)
+		zap.Int("own_in_flight", g.table.LocalRequests(address)))...)
 }
 
 // decide decides whether a failed attempt is retried.
@@ -222,7 +222,7 @@
 func (g *group) canRetry() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget.Left(g.clock())
+	return g.budget.Available(g.clock())
 }
 
 // finished records a complete answer: its duration, and the prefixes that the target now
@@ -230,7 +230,7 @@
 func (g *group) finished(address string, total time.Duration, prefixes []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Measured(total)
+	g.table.ObserveServiceTime(total)
 	g.lastProgress[address] = g.clock()
 	for _, p := range prefixes {
 		g.table.Hint(address, p, true)
--- a/daemon/online/keyed.go
+++ b/daemon/online/keyed.go
@@ -47,7 +47,7 @@
 // anyway, and its answer is stored once the owner is back. Until then its key does not
 // prevent duplicate runs.
 func (o *Online) keyed(ctx context.Context, r *run, work func(context.Context) (*ledger.Answer, *outcome.Refusal)) (answer *ledger.Answer, replayed bool, refusal *outcome.Refusal) {
-	if o.opt.Suspects.Verdict(r.call.Fingerprint) == retry.Condemned {
+	if o.opt.Suspects.Verdict(r.call.Fingerprint) == retry.Quarantined {
 		return nil, false, quarantinedRefusal()
 	}
 	begin := o.beginRequest(r.call)
@@ -102,7 +102,7 @@
 	if begin.Repeatable || refusal.Code != outcome.NoOwner || refusal.Run != outcome.NotRun {
 		return nil, false, o.correctRunState(begin.Key, refusal)
 	}
-	found, err := o.opt.Ledger.OnLog(context.WithoutCancel(ctx), begin)
+	found, err := o.opt.Ledger.LookupOnLog(context.WithoutCancel(ctx), begin)
 	switch {
 	case err != nil || found.Verdict == ledger.StillRunning:
 		return nil, false, refusal.WithRun(outcome.MayHaveRun)
@@ -132,9 +132,9 @@
 // begin calls Begin until the key is granted or has a result. Repeating the call with the
 // same nonce is safe: the owner repeats its reply.
 func (o *Online) begin(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, *outcome.Refusal) {
-	maxWait := o.opt.BeginPatience
+	maxWait := o.opt.RepeatableBeginWait
 	if !req.Repeatable {
-		maxWait = o.opt.OrderPatience
+		maxWait = o.opt.NonRepeatableBeginWait
 	}
 	giveUpAt := o.opt.Clock().Add(maxWait)
 	for {
@@ -264,5 +264,5 @@
 }
 
 func isFinal(code outcome.Code) bool {
-	return code == outcome.Unprocessable || code == outcome.Condemned
+	return code == outcome.Unprocessable || code == outcome.Quarantined
 }
--- a/daemon/online/online.go
+++ b/daemon/online/online.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	o.Signals.OnWords(on.applyReports)
+	o.Signals.OnTargetReports(on.applyReports)
 	o.Metrics.GetOrCreateGauge("tarragonhollow_online_in_flight", func() float64 { return float64(on.InFlight()) })
 	return on, nil
 }
@@ -163,7 +163,7 @@
 }
 
 // applyReports applies the stewards' target reports to all groups.
-func (o *Online) applyReports(reports []signal.Word) {
+func (o *Online) applyReports(reports []signal.TargetReport) {
 	now := o.opt.Clock()
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -176,9 +176,9 @@
 
 // Status is the state of the online path as shown to operators.
 type Status struct {
-	InFlight int                     `json:"in_flight"`
-	Unkept   int                     `json:"answers_not_durable_yet"`
-	Groups   map[string][]TargetLoad `json:"groups"`
+	InFlight   int                     `json:"in_flight"`
+	NotDurable int                     `json:"answers_not_durable_yet"`
+	Groups     map[string][]TargetLoad `json:"groups"`
 }
 
 // TargetLoad is the load and state of one target.
@@ -192,7 +192,7 @@
 
 // Status returns the current state for operators.
 func (o *Online) Status() Status {
-	s := Status{InFlight: o.InFlight(), Unkept: o.finish.pending(), Groups: map[string][]TargetLoad{}}
+	s := Status{InFlight: o.InFlight(), NotDurable: o.finish.pending(), Groups: map[string][]TargetLoad{}}
 	now := o.opt.Clock()
 	o.mu.RLock()
 	defer o.mu.RUnlock()
--- a/daemon/online/online_test.go
+++ b/daemon/online/online_test.go
@@ -226,7 +226,7 @@
 		close(gate)
 		_, err := b.online.Chat(context.Background(), chatOf(order, "k1", "hello"), nil)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.online.Status().Unkept).To(Equal(1))
+		Expect(b.online.Status().NotDurable).To(Equal(1))
 		b.ledger.setDown(false)
 		b.online.Drain(context.Background())
 		end, ok := b.ledger.end("hotel/k1")
@@ -349,7 +349,7 @@
 		b.start()
 		for range 5 {
 			_, err := b.online.Chat(context.Background(), chatOf(menu, "", "crasher"), nil)
-			Expect(refusalOf(err).Code).To(Equal(outcome.Condemned))
+			Expect(refusalOf(err).Code).To(Equal(outcome.Quarantined))
 			Expect(refusalOf(err).Run).To(Equal(outcome.MayHaveRun))
 		}
 		Expect(b.engine.Calls()).To(HaveLen(2))
--- a/daemon/online/onlog_test.go
+++ b/daemon/online/onlog_test.go
@@ -23,7 +23,7 @@
 	return ledger.BeginReply{}, outcome.Refuse(outcome.NoOwner, "the owner can't be reached")
 }
 
-func (l *ownerless) OnLog(context.Context, ledger.BeginRequest) (ledger.BeginReply, error) {
+func (l *ownerless) LookupOnLog(context.Context, ledger.BeginRequest) (ledger.BeginReply, error) {
 	return l.reply, l.err
 }
 
--- a/daemon/online/options.go
+++ b/daemon/online/options.go
@@ -55,7 +55,7 @@
 	// Watch sets the targets whose stewards' reports are wanted.
 	Watch(addresses []string)
 	// OnTargetReports sets the function that receives those reports; it must not block.
-	OnWords(func([]signal.Word))
+	OnTargetReports(func([]signal.TargetReport))
 }
 
 // Suspects tracks which requests crash targets; see suspects.Tracker.
@@ -96,8 +96,8 @@
 	Clock func() time.Time
 	// FinishWait, RepeatableBeginWait, NonRepeatableBeginWait, StallMin and StallMax: zero
 	// selects the defaults above.
-	FinishWait, BeginPatience, OrderPatience time.Duration
-	StallMin, StallMax                       time.Duration
+	FinishWait, RepeatableBeginWait, NonRepeatableBeginWait time.Duration
+	StallMin, StallMax                                      time.Duration
 }
 
 func (o Options) checked() (Options, error) {
@@ -117,8 +117,8 @@
 		o.Clock = time.Now
 	}
 	o.FinishWait = orDefault(o.FinishWait, defaultFinishWait)
-	o.BeginPatience = orDefault(o.BeginPatience, defaultRepeatableBeginWait)
-	o.OrderPatience = orDefault(o.OrderPatience, defaultNonRepeatableBeginWait)
+	o.RepeatableBeginWait = orDefault(o.RepeatableBeginWait, defaultRepeatableBeginWait)
+	o.NonRepeatableBeginWait = orDefault(o.NonRepeatableBeginWait, defaultNonRepeatableBeginWait)
 	o.StallMin = orDefault(o.StallMin, defaultStallMin)
 	o.StallMax = orDefault(o.StallMax, defaultStallMax)
 	return o, nil
--- a/daemon/online/probe.go
+++ b/daemon/online/probe.go
@@ -67,5 +67,5 @@
 	err := checker.Health(call, address)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Probed(g.clock(), address, err == nil)
+	g.table.RecordProbe(g.clock(), address, err == nil)
 }
--- a/daemon/online/run.go
+++ b/daemon/online/run.go
@@ -145,18 +145,18 @@
 		}
 		verdict = o.opt.Suspects.Verdict(r.call.Fingerprint)
 	}
-	if verdict == retry.Condemned {
+	if verdict == retry.Quarantined {
 		return quarantinedRefusal()
 	}
-	r.pick.Alone = verdict == retry.Isolated
-	r.pick.OnlyAlone = verdict == retry.Quarantined
+	r.pick.Alone = verdict == retry.PreferAlone
+	r.pick.OnlyAlone = verdict == retry.RunAlone
 	return nil
 }
 
 // quarantinedRefusal returns may_have_run: a request is quarantined only if targets
 // received its content.
 func quarantinedRefusal() *outcome.Refusal {
-	return outcome.Refuse(outcome.Condemned, "this request crashed the targets that ran it").
+	return outcome.Refuse(outcome.Quarantined, "this request crashed the targets that ran it").
 		WithRun(outcome.MayHaveRun)
 }
 
--- a/daemon/online/shares.go
+++ b/daemon/online/shares.go
@@ -74,7 +74,7 @@
 	defer s.mu.Unlock()
 	grants := make([]limits.Grant, 0, len(a.Asks))
 	for _, ask := range a.Asks {
-		grants = append(grants, s.arbiter.Ask(now, a.Daemon, ask))
+		grants = append(grants, s.arbiter.Allocate(now, a.Daemon, ask))
 	}
 	return grants
 }
@@ -88,7 +88,7 @@
 	}
 	key := limits.Key{Profile: call.Profile.Name, Caller: call.Caller}
 	verdict := s.tryAcquire(key, limit, false)
-	if verdict == limits.AskFirst {
+	if verdict == limits.ShareNeeded {
 		s.awaitRound(ctx)
 		verdict = s.tryAcquire(key, limit, true)
 	}
@@ -196,6 +196,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range reply.Grants {
-		s.local.Granted(sentAt, g)
+		s.local.ApplyGrant(sentAt, g)
 	}
 }
--- a/daemon/online/suite_test.go
+++ b/daemon/online/suite_test.go
@@ -55,10 +55,10 @@
 	open int
 }
 
-func (s *signals) Begin(string, int)           { s.mu.Lock(); s.open++; s.mu.Unlock() }
-func (s *signals) End(string, int)             { s.mu.Lock(); s.open--; s.mu.Unlock() }
-func (s *signals) Watch([]string)              {}
-func (s *signals) OnWords(func([]signal.Word)) {}
+func (s *signals) Begin(string, int)                           { s.mu.Lock(); s.open++; s.mu.Unlock() }
+func (s *signals) End(string, int)                             { s.mu.Lock(); s.open--; s.mu.Unlock() }
+func (s *signals) Watch([]string)                              {}
+func (s *signals) OnTargetReports(func([]signal.TargetReport)) {}
 
 // fakeLedger grants each key once and stores its result; down makes every call fail with
 // log_unavailable.
@@ -179,7 +179,7 @@
 		Signals: b.signals, Suspects: fakesuspects.New(2),
 		Host: "d1", Zone: "hai-chau",
 		StallMin: 50 * time.Millisecond, StallMax: 50 * time.Millisecond,
-		BeginPatience: 20 * time.Millisecond, OrderPatience: cmp.Or(b.nonRepeatableBeginWait, 100*time.Millisecond),
+		RepeatableBeginWait: 20 * time.Millisecond, NonRepeatableBeginWait: cmp.Or(b.nonRepeatableBeginWait, 100*time.Millisecond),
 	})
 	Expect(err).NotTo(HaveOccurred())
 	var ctx context.Context
--- a/daemon/orders/options.go
+++ b/daemon/orders/options.go
@@ -29,7 +29,7 @@
 
 const (
 	// DefaultInterval is the time between two checks of the targets of a model.
-	DefaultEvery = 2 * time.Second
+	DefaultInterval = 2 * time.Second
 	// observeTimeout limits the fetch of a load report, probeTimeout the one-token
 	// request that checks whether a target serves.
 	observeTimeout = time.Second
@@ -59,7 +59,7 @@
 	// Shards is the number of the ledger's shards; required.
 	Shards int
 	// Interval is the time between two checks of the targets; default DefaultInterval.
-	Every time.Duration
+	Interval time.Duration
 	// Bounds are the options of the rollout planner; default orders.DefaultOptions.
 	Bounds orders.Options
 	// Logger gets one line for each order; may be nil.
@@ -74,8 +74,8 @@
 	if o.Config == nil || o.View == nil || o.Leadership == nil || o.Engine == nil || o.Shards <= 0 {
 		return BadOptions.New("Config, View, Leadership, Engine and Shards are required")
 	}
-	if o.Every <= 0 {
-		o.Every = DefaultEvery
+	if o.Interval <= 0 {
+		o.Interval = DefaultInterval
 	}
 	if o.Bounds == (orders.Options{}) {
 		o.Bounds = orders.DefaultOptions()
--- a/daemon/orders/orders.go
+++ b/daemon/orders/orders.go
@@ -97,7 +97,7 @@
 
 // orderLoop periodically checks every model whose orders this daemon issues.
 func (s *Orders) orderLoop(ctx context.Context) {
-	ticker := time.NewTicker(s.opt.Every)
+	ticker := time.NewTicker(s.opt.Interval)
 	defer ticker.Stop()
 	for {
 		s.round(ctx)
--- a/daemon/orders/send.go
+++ b/daemon/orders/send.go
@@ -91,7 +91,7 @@
 		answer = orders.StoreMissing
 	}
 	retry, _ := extern.IsLimited(err)
-	r.planner.StoreSaid(s.nowMs(), answer, retry.Milliseconds())
+	r.planner.StoreAnswered(s.nowMs(), answer, retry.Milliseconds())
 	if err != nil {
 		s.opt.Logger.Warn("weights_not_ready", zap.String("model", a.model.Name),
 			zap.String("version", a.model.Version), zap.Bool("missing", answer == orders.StoreMissing), zap.Error(err))
--- a/daemon/places/lead.go
+++ b/daemon/places/lead.go
@@ -46,7 +46,7 @@
 	started := time.Now()
 	interval := startupElectionEvery
 	for duty.Pause(ctx, interval) {
-		interval = election.HeartbeatEvery
+		interval = election.HeartbeatInterval
 		switch {
 		case time.Since(started) < startupElectionTime && !p.knowsLeader():
 			interval = startupElectionEvery
@@ -86,12 +86,12 @@
 	s.leads = s.election.Lead(now, s.targetsKnown && !s.stopping && !s.cutOffFromLog)
 	s.updateLeader(now, "election")
 	leads := s.leads
-	var report Room
-	var heartbeat *Beat
+	var report ZoneReport
+	var heartbeat *Heartbeat
 	if leads {
 		s.ledger.Expire(now)
-		report = Room{Zone: s.zone, Leader: s.self, Free: s.ledger.Free(now), Held: s.heldInZone(now)}
-		if now.Sub(s.lastHeartbeat) >= election.HeartbeatEvery {
+		report = ZoneReport{Zone: s.zone, Leader: s.self, Free: s.ledger.FreeSlots(now), Held: s.heldInZone(now)}
+		if now.Sub(s.lastHeartbeat) >= election.HeartbeatInterval {
 			s.lastHeartbeat = now
 			heartbeat = s.newHeartbeat(now)
 		}
@@ -105,30 +105,30 @@
 			s.notifyZone(*heartbeat, peers)
 		}
 	case led:
-		s.notifyZone(Beat{From: s.self, Resigned: true}, peers)
+		s.notifyZone(Heartbeat{From: s.self, Resigned: true}, peers)
 	}
 	return leads
 }
 
 // members lists the daemons of the local zone, this one included.
 func (s *scheduler) members(peers []Peer) []election.Member {
-	list := []election.Member{{Address: s.self, Room: s.cores}}
+	list := []election.Member{{Address: s.self, Capacity: s.cores}}
 	for _, other := range peers {
 		if other.Zone == s.zone {
-			list = append(list, election.Member{Address: other.Address, Room: other.Cores})
+			list = append(list, election.Member{Address: other.Address, Capacity: other.Cores})
 		}
 	}
 	return list
 }
 
 // newHeartbeat returns the next heartbeat for the zone's daemons. s.mu is held.
-func (s *scheduler) newHeartbeat(now time.Time) *Beat {
-	b := &Beat{From: s.self, Leaders: s.otherLeaders(now), Roles: s.roles}
+func (s *scheduler) newHeartbeat(now time.Time) *Heartbeat {
+	b := &Heartbeat{From: s.self, Leaders: s.otherLeaders(now), Roles: s.roles}
 	s.heartbeats++
 	if b.Brief = s.heartbeats%(1+len(s.election.Ordered())/membersPerBriefHeartbeat) != 0; b.Brief {
 		return b
 	}
-	b.Counts, b.Doubts, b.Held = s.ledger.Fullest(maxHeartbeatCounts), s.ledger.Doubts(now), s.heldInZone(now)
+	b.Counts, b.Doubts, b.Held = s.ledger.Fullest(maxHeartbeatCounts), s.ledger.DegradedTargets(now), s.heldInZone(now)
 	for _, z := range s.zoneStates {
 		if now.Sub(z.at) > zoneReportTTL {
 			continue
@@ -145,7 +145,7 @@
 func (s *scheduler) otherLeaders(now time.Time) []string {
 	var list []string
 	for _, z := range s.zoneStates {
-		if now.Sub(z.at) <= election.Silence {
+		if now.Sub(z.at) <= election.LeaderTimeout {
 			list = append(list, z.leader)
 		}
 	}
@@ -175,7 +175,7 @@
 
 // RecordCall records how a call to the local zone's leader ended, whatever its purpose;
 // late reports that it ran out of time.
-func (p *Places) NoteCall(leader string, err error, late bool) {
+func (p *Places) RecordCall(leader string, err error, late bool) {
 	p.scheduler.recordCall(leader, err, late)
 }
 
@@ -184,7 +184,7 @@
 	held := map[string]HeldWork{}
 	for holder, last := range s.holderStates {
 		switch {
-		case now.Sub(last.at) > slots.LeaseLife:
+		case now.Sub(last.at) > slots.LeaseTTL:
 			delete(s.holderStates, holder)
 		case !last.held.empty():
 			held[holder] = last.held
@@ -193,7 +193,7 @@
 	return held
 }
 
-func (s *scheduler) notifyZone(b Beat, peers []Peer) {
+func (s *scheduler) notifyZone(b Heartbeat, peers []Peer) {
 	for _, other := range peers {
 		if other.Zone == s.zone {
 			s.caller.Notify(other.Address, beatMethod, b)
@@ -203,7 +203,7 @@
 
 // sendZoneReport sends the free slots to the leaders of the other zones, or to some
 // daemons of a zone whose leader is not known.
-func (s *scheduler) sendZoneReport(now time.Time, r Room, peers []Peer) {
+func (s *scheduler) sendZoneReport(now time.Time, r ZoneReport, peers []Peer) {
 	zones := map[string][]string{}
 	for _, other := range peers {
 		if other.Zone != s.zone {
@@ -226,14 +226,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	z := s.zoneStates[zone]
-	if z == nil || now.Sub(z.at) > election.Silence {
+	if z == nil || now.Sub(z.at) > election.LeaderTimeout {
 		return "", false
 	}
 	return z.leader, true
 }
 
 // applyZoneReport records another zone's report, or forwards it to the leader.
-func (s *scheduler) applyZoneReport(now time.Time, r Room) {
+func (s *scheduler) applyZoneReport(now time.Time, r ZoneReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.Zone == s.zone {
@@ -241,7 +241,7 @@
 	}
 	if s.leads {
 		s.zoneStates[r.Zone] = &zoneState{leader: r.Leader, held: r.Held, at: now}
-		s.ledger.HearRoom(now, r.Zone, r.Leader, r.Free)
+		s.ledger.ApplyRemoteFree(now, r.Zone, r.Leader, r.Free)
 		return
 	}
 	if leader, found := s.election.Leader(now); found && !r.Forwarded {
@@ -251,7 +251,7 @@
 }
 
 // applyLeaseReport applies a daemon's leases.
-func (s *scheduler) applyLeaseReport(now time.Time, r Report) {
+func (s *scheduler) applyLeaseReport(now time.Time, r LeaseReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := s.holderStates[r.Holder]
@@ -269,7 +269,7 @@
 }
 
 // applyHeartbeat applies a leader's heartbeat.
-func (p *Places) applyHeartbeat(now time.Time, b Beat) {
+func (p *Places) applyHeartbeat(now time.Time, b Heartbeat) {
 	s := p.scheduler
 	s.mu.Lock()
 	if b.Resigned {
@@ -278,7 +278,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.election.Heard(now, b.From)
+	s.election.ReceiveHeartbeat(now, b.From)
 	s.updateLeader(now, "heartbeat")
 	follows := s.leader == b.From
 	if follows {
@@ -305,7 +305,7 @@
 }
 
 // LocalZone returns what is known of the local zone.
-func (p *Places) OwnZone() Zone {
+func (p *Places) LocalZone() Zone {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -334,14 +334,14 @@
 
 // LeaderFleetSize returns the size of the fleet as reported by a leader of the zone, 0
 // for unknown.
-func (p *Places) Daemons() int { return int(p.scheduler.leaderFleetSize.Load()) }
+func (p *Places) LeaderFleetSize() int { return int(p.scheduler.leaderFleetSize.Load()) }
 
 // SetCutOffFromLog sets whether this daemon does not reach the log while another daemon
 // of its zone does. This daemon then leaves the leadership to that one.
 //
 // Failure guarded against: the leader goes on granting slots at targets that have been
 // removed, since their entries no longer reach it.
-func (p *Places) SetCutOff(cutOff bool) {
+func (p *Places) SetCutOffFromLog(cutOff bool) {
 	s := p.scheduler
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -383,14 +383,14 @@
 
 // recordHeartbeat keeps the state of work that the leader reports, for the time when the
 // leader can't be reached. In a small fleet the daemons report that to each other.
-func (p *Places) recordHeartbeat(now time.Time, b Beat) {
+func (p *Places) recordHeartbeat(now time.Time, b Heartbeat) {
 	if !p.Scheduled() || b.Brief {
 		return
 	}
 	p.scheduler.mu.Lock()
 	p.scheduler.recordPartHolders(now, b.Held)
 	p.scheduler.mu.Unlock()
-	report := board.Word{From: "zone " + p.zone, Zone: p.zone, Doubts: b.Doubts}
+	report := board.LoadReport{From: "zone " + p.zone, Zone: p.zone, Doubts: b.Doubts}
 	for holder, work := range b.Held {
 		if holder != p.self {
 			report.Held = append(report.Held, work.Items...)
@@ -400,8 +400,8 @@
 	p.mu.Lock()
 	p.heartbeats++
 	report.Number = p.heartbeats
-	report.Counts = p.board.Less(b.Counts)
-	p.board.Hear(now, report)
+	report.Counts = p.board.WithoutLocal(b.Counts)
+	p.board.ApplyReport(now, report)
 	p.mu.Unlock()
 	duty.Wake(p.changed)
 }
--- a/daemon/places/leases.go
+++ b/daemon/places/leases.go
@@ -165,11 +165,11 @@
 
 // reportsTo builds the reports that are due, by leader: the local zone's leader gets all
 // work in the zone, any other leader the leases that it granted.
-func (o *localLeases) reportsTo(zone, leader string) map[string]*Report {
+func (o *localLeases) reportsTo(zone, leader string) map[string]*LeaseReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.reports++
-	due := dueReports{zone: zone, leader: leader, number: o.reports, reports: map[string]*Report{}}
+	due := dueReports{zone: zone, leader: leader, number: o.reports, reports: map[string]*LeaseReport{}}
 	for number, lease := range o.running {
 		r := due.reportFor(lease.target.Zone, lease.grantedBy)
 		r.Running = append(r.Running, slots.Running{Number: number, Target: string(lease.target.Start), Batch: lease.batch})
@@ -200,27 +200,27 @@
 type dueReports struct {
 	zone, leader string
 	number       uint64
-	reports      map[string]*Report
+	reports      map[string]*LeaseReport
 }
 
 // reportFor returns the report that covers a lease in a zone, granted by a leader.
-func (d *dueReports) reportFor(zone, grantedBy string) *Report {
+func (d *dueReports) reportFor(zone, grantedBy string) *LeaseReport {
 	address := grantedBy
 	if zone == d.zone {
 		address = d.leader
 	}
 	if address == "" {
-		return &Report{} // no receiver: the lease expires, or the next leader gets a report
+		return &LeaseReport{} // no receiver: the lease expires, or the next leader gets a report
 	}
 	if d.reports[address] == nil {
-		d.reports[address] = &Report{Number: d.number}
+		d.reports[address] = &LeaseReport{Number: d.number}
 	}
 	return d.reports[address]
 }
 
 // ReportLeases reports this daemon's leases to the leaders until ctx is done.
-func (p *Places) Report(ctx context.Context) {
-	renew := time.NewTicker(slots.ReportEvery)
+func (p *Places) ReportLeases(ctx context.Context) {
+	renew := time.NewTicker(slots.ReportInterval)
 	defer renew.Stop()
 	for {
 		select {
--- a/daemon/places/messages.go
+++ b/daemon/places/messages.go
@@ -40,7 +40,7 @@
 
 // Heartbeat is the heartbeat of a zone's leader. It carries enough state for the zone's
 // daemons to choose targets without the leader for a while.
-type Beat struct {
+type Heartbeat struct {
 	// From is the leader's peer address.
 	From string
 	// Counts holds what runs at each of the zone's targets, Doubts the consecutive
@@ -70,7 +70,7 @@
 }
 
 // LeaseReport is a daemon's report of its leases to a leader.
-type Report struct {
+type LeaseReport struct {
 	// Holder is the daemon's peer address, Incarnation one run of its process. Reports of
 	// one incarnation are numbered.
 	Holder      string
@@ -82,7 +82,7 @@
 }
 
 // ZoneReport is a zone leader's report to the leaders of the other zones.
-type Room struct {
+type ZoneReport struct {
 	// Zone is the sender's zone, Leader its peer address.
 	Zone, Leader string
 	// Free counts the zone's free slots by group.
@@ -95,7 +95,7 @@
 }
 
 // PreemptionNotice tells a holder which of its batch leases are preempted.
-type Yield struct {
+type PreemptionNotice struct {
 	Numbers []uint64
 }
 
@@ -103,7 +103,7 @@
 type boardHandler struct{ places *Places }
 
 // Hear is called by peers.
-func (s *boardHandler) Hear(w board.Word, _ *Ack) error {
+func (s *boardHandler) Hear(w board.LoadReport, _ *Ack) error {
 	s.places.applyLoadReport(w)
 	return nil
 }
@@ -112,32 +112,32 @@
 type slotsHandler struct{ places *Places }
 
 // Grant is called by daemons that want a slot.
-func (s *slotsHandler) Grant(a slots.Ask, reply *slots.Grant) error {
+func (s *slotsHandler) Grant(a slots.Request, reply *slots.Grant) error {
 	grant, err := s.places.scheduler.grantLocally(time.Now(), a)
 	*reply = grant
 	return err
 }
 
 // Report is called by holders of leases.
-func (s *slotsHandler) Report(r Report, _ *Ack) error {
+func (s *slotsHandler) Report(r LeaseReport, _ *Ack) error {
 	s.places.scheduler.applyLeaseReport(time.Now(), r)
 	return nil
 }
 
 // Beat is called by the zone's leader.
-func (s *slotsHandler) Beat(b Beat, _ *Ack) error {
+func (s *slotsHandler) Beat(b Heartbeat, _ *Ack) error {
 	s.places.applyHeartbeat(time.Now(), b)
 	return nil
 }
 
 // Yield is called by the leader that granted the leases.
-func (s *slotsHandler) Yield(y Yield, _ *Ack) error {
+func (s *slotsHandler) Yield(y PreemptionNotice, _ *Ack) error {
 	s.places.scheduler.leases.preempt(y.Numbers)
 	return nil
 }
 
 // Room is called by the leaders of other zones.
-func (s *slotsHandler) Room(r Room, _ *Ack) error {
+func (s *slotsHandler) Room(r ZoneReport, _ *Ack) error {
 	s.places.scheduler.applyZoneReport(time.Now(), r)
 	return nil
 }
--- a/daemon/places/places.go
+++ b/daemon/places/places.go
@@ -27,20 +27,20 @@
 	// PeerAddress is the address at which other daemons reach this one.
 	PeerAddress string
 	// FleetSize returns the number of daemons; nil means one.
-	Fleet func() int
+	FleetSize func() int
 	// LargeZone reports whether the zone is so large that most of its daemons hold only a
 	// sample of the targets, chosen by a daemon that knows all of them; nil means no.
-	Lean func() bool
+	LargeZone func() bool
 	// QuotasInUse reports whether requests are counted against account quotas, which
 	// requires zone leaders in a small fleet too; nil means no.
-	Counted func() bool
+	QuotasInUse func() bool
 	// Peers calls the other daemons; nil in a fleet of one. Cores is the processor time
 	// that this daemon may use, in cores.
 	Peers peer.Caller
 	Cores float64
 	// SlotTimeout bounds one call to a leader for a slot; default 40 ms.
-	AskTime time.Duration
-	Logger  *zap.Logger
+	SlotTimeout time.Duration
+	Logger      *zap.Logger
 	// Metrics receives the counters; may be nil.
 	Metrics *metrics.Set
 }
@@ -58,7 +58,7 @@
 
 	mu     sync.Mutex
 	roster *roster.Roster
-	board  *board.Board
+	board  *board.LoadTable
 	// heartbeats numbers the heartbeats of the zone's leader.
 	heartbeats uint64
 	groups     map[string]*group
@@ -71,7 +71,7 @@
 	builtVersion uint64
 	// listReceived notifies of the first list of targets, targetsChanged of each change
 	// of eligible.
-	listReceived, targetsChanged duty.News
+	listReceived, targetsChanged duty.Notifier
 	// starts holds the target starts at which this daemon's work runs, eligible or not.
 	starts starts
 	// expiry fires when expired targets count as removed.
@@ -105,23 +105,23 @@
 
 // New returns a view without targets.
 func New(o Options) *Places {
-	if o.Fleet == nil {
-		o.Fleet = func() int { return 1 }
+	if o.FleetSize == nil {
+		o.FleetSize = func() int { return 1 }
 	}
-	if o.Lean == nil {
-		o.Lean = func() bool { return false }
+	if o.LargeZone == nil {
+		o.LargeZone = func() bool { return false }
 	}
-	if o.Counted == nil {
-		o.Counted = func() bool { return false }
+	if o.QuotasInUse == nil {
+		o.QuotasInUse = func() bool { return false }
 	}
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	if o.AskTime <= 0 {
-		o.AskTime = defaultSlotTimeout
+	if o.SlotTimeout <= 0 {
+		o.SlotTimeout = defaultSlotTimeout
 	}
 	p := &Places{
-		self: o.PeerAddress, zone: o.Zone, fleetSize: o.Fleet, largeZone: o.Lean, quotasInUse: o.Counted, logger: o.Logger,
+		self: o.PeerAddress, zone: o.Zone, fleetSize: o.FleetSize, largeZone: o.LargeZone, quotasInUse: o.QuotasInUse, logger: o.Logger,
 		roster: roster.New(), board: board.New(o.Host, o.Zone),
 		groups: map[string]*group{}, eligible: map[roster.Start]roster.Target{}, starts: starts{},
 		dirty: make(chan struct{}, 1), changed: make(chan struct{}, 1),
@@ -133,7 +133,7 @@
 
 // OnRemoved sets the function that is called with the address of a target that was
 // removed. It must be called before the view is used.
-func (p *Places) OnGone(removed func(address string)) { p.onRemoved = removed }
+func (p *Places) OnRemoved(removed func(address string)) { p.onRemoved = removed }
 
 // Update changes the roster and rebuilds the groups if the roster's version changed.
 func (p *Places) Update(change func(now time.Time, r *roster.Roster)) {
@@ -145,14 +145,14 @@
 		return // only heartbeats, nothing changed
 	}
 	removed := p.rebuild(now)
-	replaced := p.starts.replaced(p.roster.Current)
+	replaced := p.starts.replaced(p.roster.CurrentStart)
 	p.mu.Unlock()
 	for _, t := range removed {
 		p.onRemoved(t.Address)
 	}
 	p.endReplaced(replaced)
-	p.listReceived.Tell()
-	p.targetsChanged.Tell()
+	p.listReceived.Notify()
+	p.targetsChanged.Notify()
 	duty.Wake(p.changed)
 }
 
@@ -262,17 +262,17 @@
 func (p *Places) Address() string { return p.self }
 
 // TargetsKnown reports whether the list of targets has been read at least once.
-func (p *Places) Known() bool {
+func (p *Places) TargetsKnown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Known()
 }
 
 // AwaitTargets waits until the list of targets has been read, or ctx is done.
-func (p *Places) AwaitKnown(ctx context.Context) {
+func (p *Places) AwaitTargets(ctx context.Context) {
 	for {
 		known := p.listReceived.Next()
-		if p.Known() {
+		if p.TargetsKnown() {
 			return
 		}
 		select {
@@ -284,7 +284,7 @@
 }
 
 // HasTargets reports whether the group has any usable target.
-func (p *Places) Has(group string) bool {
+func (p *Places) HasTargets(group string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.groups[group]
@@ -294,7 +294,7 @@
 // SetHeldWork publishes to the other daemons which items they must not run and which
 // partitions this daemon certainly holds (see package board). Changed partitions alone
 // send no report at once; they are part of the next one.
-func (p *Places) SetHeld(items []uint64, parts []int) {
+func (p *Places) SetHeldWork(items []uint64, parts []int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heldParts = parts
@@ -310,19 +310,19 @@
 func (p *Places) PartsElsewhere() map[int]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.board.PartsElsewhere(time.Now())
+	return p.board.PartitionsOfPeers(time.Now())
 }
 
 // HeldElsewhere returns the items that other daemons still run.
 func (p *Places) HeldElsewhere() map[uint64]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.board.HeldElsewhere(time.Now())
+	return p.board.HeldByPeers(time.Now())
 }
 
 // Preemptions returns, by target start, how many of this daemon's batch items online work
 // preempts now. Where the zone's leader sends the notices, each of them is returned once.
-func (p *Places) Yields() map[roster.Start]int {
+func (p *Places) Preemptions() map[roster.Start]int {
 	if p.Scheduled() {
 		return p.scheduler.leases.takePreemptions()
 	}
@@ -330,12 +330,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	preemptions := map[roster.Start]int{}
-	for start := range p.board.Counts() {
+	for start := range p.board.LocalCounts() {
 		t, known := p.eligible[roster.Start(start)]
 		if !known {
 			continue
 		}
-		if n := p.board.Yield(now, start, t.Slots); n > 0 {
+		if n := p.board.PreemptCount(now, start, t.Slots); n > 0 {
 			preemptions[t.Start] = n
 		}
 	}
--- a/daemon/places/places_test.go
+++ b/daemon/places/places_test.go
@@ -80,9 +80,9 @@
 	BeforeEach(func() { fleet = 2 })
 
 	view := func(name, zone string, targets ...roster.Target) *places.Places {
-		p := places.New(places.Options{Host: name, Zone: zone, PeerAddress: name, Fleet: func() int { return fleet }, Logger: zap.NewNop()})
+		p := places.New(places.Options{Host: name, Zone: zone, PeerAddress: name, FleetSize: func() int { return fleet }, Logger: zap.NewNop()})
 		p.Update(func(now time.Time, r *roster.Roster) {
-			r.Heard(now)
+			r.StoreAnswered(now)
 			r.Replace(now, targets)
 		})
 		return p
@@ -95,8 +95,8 @@
 		t.Born, t.Start = at, roster.StartOf(t.ID, at)
 		return t
 	}
-	takePlace := func(p *places.Places) places.Place {
-		t, refusal := p.Take(context.Background(), places.Ask{Group: "g", Patience: time.Second})
+	takePlace := func(p *places.Places) places.Slot {
+		t, refusal := p.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 		Expect(refusal).To(BeNil())
 		return t
 	}
@@ -117,38 +117,38 @@
 
 	It("refuses at once, as not run, without any target", func() {
 		p := view("d", "z1")
-		_, refusal := p.Take(context.Background(), places.Ask{Group: "g"})
+		_, refusal := p.Acquire(context.Background(), places.Request{Group: "g"})
 		Expect(refusal.Run).To(Equal(outcome.NotRun))
 	})
 
 	It("sends online requests to free slots before those taken by batch", func() {
 		p := view("d", "z1", target("a", "z1"), target("b", "z1"))
 		for range 4 {
-			t, ok := p.TakeBatch(context.Background(), "g", map[string]bool{string(roster.StartOf("b", 0)): true}, 0)
+			t, ok := p.AcquireBatch(context.Background(), "g", map[string]bool{string(roster.StartOf("b", 0)): true}, 0)
 			Expect(ok).To(BeTrue())
 			Expect(t.ID).To(Equal("a"))
 		}
 		for range 4 {
 			Expect(take(p)).To(Equal("b"))
 		}
-		Expect(p.Yields()).To(BeEmpty())
+		Expect(p.Preemptions()).To(BeEmpty())
 		Expect(take(p)).To(Equal("a"))
-		Expect(p.Yields()).To(Equal(map[roster.Start]int{roster.StartOf("a", 0): 1}))
+		Expect(p.Preemptions()).To(Equal(map[roster.Start]int{roster.StartOf("a", 0): 1}))
 	})
 
 	It("keeps the headroom free of batch and uses no ejected target", func() {
 		p := view("d", "z1", target("a", "z1"))
-		var last places.Place
+		var last places.Slot
 		for range 3 {
 			var ok bool
-			last, ok = p.TakeBatch(context.Background(), "g", nil, 1)
+			last, ok = p.AcquireBatch(context.Background(), "g", nil, 1)
 			Expect(ok).To(BeTrue())
 		}
-		_, ok := p.TakeBatch(context.Background(), "g", nil, 1)
+		_, ok := p.AcquireBatch(context.Background(), "g", nil, 1)
 		Expect(ok).To(BeFalse())
-		Expect(p.Free("g", 0)).To(Equal(1))
+		Expect(p.FreeSlots("g", 0)).To(Equal(1))
 		p.ReleaseBatch(last, routing.HardFailed)
-		_, ok = p.TakeBatch(context.Background(), "g", nil, 0)
+		_, ok = p.AcquireBatch(context.Background(), "g", nil, 0)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -158,17 +158,17 @@
 	It("ignores counts and health of an earlier start once it knows a later one", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
-		var work []places.Place
+		var work []places.Slot
 		for range 4 {
-			place, refusal := p.Take(context.Background(), places.Ask{Group: "g", Patience: time.Second})
+			place, refusal := p.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 			Expect(refusal).To(BeNil())
 			work = append(work, place)
 		}
 		p.Release(work[0], routing.HardFailed, 0)
-		Expect(p.Free("g", 0)).To(BeZero())
+		Expect(p.FreeSlots("g", 0)).To(BeZero())
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, born(first, 100)) })
-		Expect(p.Free("g", 0)).To(Equal(4))
-		place, refusal := p.Take(context.Background(), places.Ask{Group: "g", Exclude: map[string]bool{string(first.Start): true}})
+		Expect(p.FreeSlots("g", 0)).To(Equal(4))
+		place, refusal := p.Acquire(context.Background(), places.Request{Group: "g", Exclude: map[string]bool{string(first.Start): true}})
 		Expect(refusal).To(BeNil())
 		Expect(place.Running).To(BeZero())
 		Expect(place.Born).To(BeEquivalentTo(100))
@@ -177,7 +177,7 @@
 			p.Release(w, routing.HardFailed, 0)
 		}
 		Expect(place.Alive.Err()).NotTo(HaveOccurred())
-		Expect(p.Free("g", 0)).To(Equal(3))
+		Expect(p.FreeSlots("g", 0)).To(Equal(3))
 	})
 
 	// A target drains, crashes before its work is done, and restarts. It is no longer
@@ -185,7 +185,7 @@
 	It("cancels the work at a target that drained and has restarted", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
-		place, ok := p.TakeBatch(context.Background(), "g", nil, 0)
+		place, ok := p.AcquireBatch(context.Background(), "g", nil, 0)
 		Expect(ok).To(BeTrue())
 		drains := first
 		drains.Draining = true
@@ -200,7 +200,7 @@
 		first := target("a", "z1")
 		p := view("d", "z1", first)
 		var forgotten []string
-		p.OnGone(func(address string) { forgotten = append(forgotten, address) })
+		p.OnRemoved(func(address string) { forgotten = append(forgotten, address) })
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, born(first, 100)) })
 		Expect(forgotten).To(Equal([]string{first.Address}))
 	})
@@ -213,7 +213,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			a.Spread(ctx, w, func() []places.Peer { return []places.Peer{{Address: "b", Zone: "z1"}} })
+			a.BroadcastLoad(ctx, w, func() []places.Peer { return []places.Peer{{Address: "b", Zone: "z1"}} })
 			close(done)
 		}()
 		DeferCleanup(func() {
@@ -223,8 +223,8 @@
 		for range 4 {
 			take(a)
 		}
-		Eventually(func() int { return b.Free("g", 0) }).WithTimeout(limit).Should(BeZero())
-		a.SetHeld([]uint64{7}, []int{3})
+		Eventually(func() int { return b.FreeSlots("g", 0) }).WithTimeout(limit).Should(BeZero())
+		a.SetHeldWork([]uint64{7}, []int{3})
 		Eventually(b.HeldElsewhere).WithTimeout(limit).Should(HaveKey(uint64(7)))
 		Expect(b.PartsElsewhere()).To(Equal(map[int]bool{3: true}))
 	})
@@ -242,7 +242,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			a.Spread(ctx, w, func() []places.Peer {
+			a.BroadcastLoad(ctx, w, func() []places.Peer {
 				return []places.Peer{{Address: "near", Zone: "z1"}, {Address: "far", Zone: "z2"}}
 			})
 			close(done)
@@ -268,7 +268,7 @@
 		}).WithTimeout(limit).Should(BeZero())
 		// The last load report may count a request that has ended since; a degradation
 		// lasts longer.
-		Eventually(func() int { return far.Free("g", 0) }).WithTimeout(limit).Should(Equal(2 * 4))
+		Eventually(func() int { return far.FreeSlots("g", 0) }).WithTimeout(limit).Should(Equal(2 * 4))
 		Expect(chosen(far)["bad"]).To(BeNumerically(">", 0))
 	})
 })
--- a/daemon/places/sample.go
+++ b/daemon/places/sample.go
@@ -135,7 +135,7 @@
 	}
 	s := Sample{Targets: choose(holder), Started: map[string]roster.Start{}, Total: p.pool.total, Age: p.roster.Age(time.Now())}
 	for _, id := range ids {
-		if start := p.roster.Current(id); start != "" {
+		if start := p.roster.CurrentStart(id); start != "" {
 			s.Started[id] = start
 		}
 	}
@@ -143,7 +143,7 @@
 }
 
 // TargetsChanged returns a channel that is closed at the next change of the targets.
-func (p *Places) Listed() <-chan struct{} { return p.targetsChanged.Next() }
+func (p *Places) TargetsChanged() <-chan struct{} { return p.targetsChanged.Next() }
 
 // Adopt sets the targets that another daemon chose for this one, as of the time at: a
 // sample, or with wholeZone all targets of the zone.
@@ -163,7 +163,7 @@
 }
 
 // BusyTargets returns the sorted IDs of the targets at which this daemon's work runs.
-func (p *Places) Working() []string {
+func (p *Places) BusyTargets() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var ids []string
--- a/daemon/places/scheduler.go
+++ b/daemon/places/scheduler.go
@@ -100,7 +100,7 @@
 // slots, preempting gets a token when local batch work is preempted.
 func newScheduler(o Options, scheduled func() bool, preempting chan<- struct{}) *scheduler {
 	return &scheduler{
-		self: o.PeerAddress, zone: o.Zone, cores: o.Cores, caller: o.Peers, slotTimeout: o.AskTime, logger: o.Logger, set: o.Metrics,
+		self: o.PeerAddress, zone: o.Zone, cores: o.Cores, caller: o.Peers, slotTimeout: o.SlotTimeout, logger: o.Logger, set: o.Metrics,
 		incarnation: rand.Uint64(), election: election.New(o.Zone, o.PeerAddress, time.Now()), ledger: slots.NewLedger(),
 		holderStates: map[string]*holderState{}, zoneStates: map[string]*zoneState{}, partHolders: map[int]partHolder{}, leases: newLocalLeases(scheduled, preempting),
 	}
@@ -122,7 +122,7 @@
 }
 
 // grantLocally grants a slot from this daemon's ledger.
-func (s *scheduler) grantLocally(now time.Time, a slots.Ask) (slots.Grant, error) {
+func (s *scheduler) grantLocally(now time.Time, a slots.Request) (slots.Grant, error) {
 	s.mu.Lock()
 	if !s.targetsKnown || s.stopping || s.cutOffFromLog {
 		s.mu.Unlock()
@@ -148,14 +148,14 @@
 			s.leases.preempt(numbers)
 			continue
 		}
-		s.caller.Notify(holder, yieldMethod, Yield{numbers})
+		s.caller.Notify(holder, yieldMethod, PreemptionNotice{numbers})
 	}
 }
 
 // requestSlot requests a slot from the local zone's leader, from another zone's leader if
 // the first one refers to it, and from the local zone's leader again if there is none
 // either. by is the leader that answered; answered is false if none did.
-func (s *scheduler) requestSlot(ctx context.Context, a slots.Ask) (grant slots.Grant, by string, answered bool) {
+func (s *scheduler) requestSlot(ctx context.Context, a slots.Request) (grant slots.Grant, by string, answered bool) {
 	leader, found := s.currentLeader(time.Now())
 	if !found {
 		s.countOutcome("no_leader")
@@ -180,7 +180,7 @@
 }
 
 // callLeader requests a slot from one leader.
-func (s *scheduler) callLeader(ctx context.Context, leader string, a slots.Ask) (slots.Grant, bool) {
+func (s *scheduler) callLeader(ctx context.Context, leader string, a slots.Request) (slots.Grant, bool) {
 	var grant slots.Grant
 	var err error
 	if leader == s.self {
@@ -211,10 +211,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.election.Answered(leader)
+		s.election.CallAnswered(leader)
 		return
 	}
-	s.election.Failed(time.Now(), leader, !late)
+	s.election.CallFailed(time.Now(), leader, !late)
 	s.updateLeader(time.Now(), "call failed")
 }
 
--- a/daemon/places/scheduler_test.go
+++ b/daemon/places/scheduler_test.go
@@ -53,10 +53,10 @@
 		f.peers = append(f.peers, p)
 	}
 	for i, p := range f.peers {
-		v := places.New(places.Options{Host: p.Address, Zone: p.Zone, PeerAddress: p.Address, Cores: p.Cores, Peers: f.network, AskTime: slotTimeout,
-			Fleet: func() int { return fleetSize }, Logger: zap.NewNop()})
+		v := places.New(places.Options{Host: p.Address, Zone: p.Zone, PeerAddress: p.Address, Cores: p.Cores, Peers: f.network, SlotTimeout: slotTimeout,
+			FleetSize: func() int { return fleetSize }, Logger: zap.NewNop()})
 		v.Update(func(now time.Time, r *roster.Roster) {
-			r.Heard(now)
+			r.StoreAnswered(now)
 			r.Replace(now, targets)
 		})
 		Expect(v.Register(f.network.At(p.Address))).To(Succeed())
@@ -78,8 +78,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	ended.Go(func() { v.Lead(ctx, peers) })
-	ended.Go(func() { v.Report(ctx) })
-	ended.Go(func() { v.Spread(ctx, f.network, peers) })
+	ended.Go(func() { v.ReportLeases(ctx) })
+	ended.Go(func() { v.BroadcastLoad(ctx, f.network, peers) })
 	f.stops = append(f.stops, cancel)
 	f.ended = append(f.ended, &ended)
 }
@@ -89,9 +89,9 @@
 	f.ended[i].Wait()
 }
 
-func (f *largeFleet) take(i int) places.Place {
+func (f *largeFleet) take(i int) places.Slot {
 	GinkgoHelper()
-	place, refusal := f.views[i].Take(context.Background(), places.Ask{Group: "g", Patience: time.Second})
+	place, refusal := f.views[i].Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 	Expect(refusal).To(BeNil())
 	return place
 }
@@ -102,7 +102,7 @@
 	Eventually(func() string {
 		place := f.take(i)
 		f.views[i].Release(place, routing.Neutral, 0)
-		return place.By
+		return place.GrantedBy
 	}).WithTimeout(limit).Should(Equal(leader))
 }
 
@@ -113,7 +113,7 @@
 	GinkgoHelper()
 	got := map[string]int{}
 	Eventually(func() bool {
-		taken := make([]places.Place, zoneTargets*targetSlots)
+		taken := make([]places.Slot, zoneTargets*targetSlots)
 		var asking sync.WaitGroup
 		for n := range taken {
 			asking.Go(func() {
@@ -126,7 +126,7 @@
 		byLeader := true
 		for _, place := range taken {
 			got[place.ID]++
-			byLeader = byLeader && place.By == "p4"
+			byLeader = byLeader && place.GrantedBy == "p4"
 		}
 		if !byLeader {
 			for n, place := range taken {
@@ -181,7 +181,7 @@
 		Eventually(func() string {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
-			return place.By
+			return place.GrantedBy
 		}).WithTimeout(limit).Should(BeElementOf("p5", "p6", "p7"))
 	})
 
@@ -203,12 +203,12 @@
 			left, cancel := context.WithCancel(context.Background())
 			cancel()
 			f.network.setCut("p4", true)
-			place, refusal := f.views[0].Take(left, places.Ask{Group: "g", Patience: time.Second})
+			place, refusal := f.views[0].Acquire(left, places.Request{Group: "g", MaxWait: time.Second})
 			Expect(refusal).To(BeNil())
 			f.views[0].Release(place, routing.Neutral, 0)
 			f.network.setCut("p4", false)
 		}
-		Expect(f.take(0).By).To(Equal("p4"))
+		Expect(f.take(0).GrantedBy).To(Equal("p4"))
 	})
 
 	// The leader's host is cut off or frozen: messages sent to it are lost.
@@ -216,7 +216,7 @@
 		f.network.setCut("p4", true)
 		began := time.Now()
 		place := f.take(0)
-		Expect(place.By).To(BeEmpty())
+		Expect(place.GrantedBy).To(BeEmpty())
 		Expect(place.Zone).To(Equal("z0"))
 		Expect(time.Since(began)).To(BeNumerically("<", limit))
 		f.network.setCut("p4", false)
@@ -224,13 +224,13 @@
 	})
 
 	It("are granted by another daemon, which counts what runs, once the leader has died", func() {
-		held := []places.Place{f.take(0), f.take(8), f.take(12)}
+		held := []places.Slot{f.take(0), f.take(8), f.take(12)}
 		f.network.setCut("p4", true)
 		f.stop(1 * fleetZones)
 		Eventually(func() string {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
-			return place.By
+			return place.GrantedBy
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
 		// The new leader learns from the holders what runs: one slot at each target.
 		Eventually(func() int {
@@ -246,15 +246,15 @@
 		Eventually(func() string {
 			place := f.take(0)
 			f.views[0].Release(place, routing.Neutral, 0)
-			return place.By
+			return place.GrantedBy
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
 	})
 
 	// Online requests queue behind batch if its holder is not notified of the preemption.
 	It("are preempted from batch where online work needs them, at the holder of the item", func() {
-		var items []places.Place
+		var items []places.Slot
 		for {
-			place, ok := f.views[8].TakeBatch(context.Background(), "g", nil, 0)
+			place, ok := f.views[8].AcquireBatch(context.Background(), "g", nil, 0)
 			if !ok || place.Zone != "z0" {
 				break
 			}
@@ -264,7 +264,7 @@
 		f.take(0)
 		var told atomic.Int64
 		Eventually(func() int64 {
-			for _, n := range f.views[8].Yields() {
+			for _, n := range f.views[8].Preemptions() {
 				told.Add(int64(n))
 			}
 			return told.Load()
@@ -289,13 +289,13 @@
 
 	// The log rejects a daemon, and its partitions go to daemons in other zones.
 	It("come with reports of held work through all zones", func() {
-		f.views[0].SetHeld([]uint64{7}, []int{3})
+		f.views[0].SetHeldWork([]uint64{7}, []int{3})
 		for _, i := range []int{1, 2, 3, 16} {
 			Eventually(f.views[i].HeldElsewhere).WithTimeout(limit).Should(HaveKey(uint64(7)))
 			Expect(f.views[i].PartsElsewhere()).To(HaveKey(3))
 		}
 		Consistently(f.views[0].HeldElsewhere).WithTimeout(time.Second / 2).Should(BeEmpty())
-		f.views[0].SetHeld(nil, nil)
+		f.views[0].SetHeldWork(nil, nil)
 		Eventually(f.views[1].HeldElsewhere).WithTimeout(limit).Should(BeEmpty())
 	})
 })
--- a/daemon/places/spread.go
+++ b/daemon/places/spread.go
@@ -26,9 +26,9 @@
 	networkDelay = 10 * time.Millisecond
 )
 
-func (p *Places) applyLoadReport(w board.Word) {
+func (p *Places) applyLoadReport(w board.LoadReport) {
 	p.mu.Lock()
-	p.board.Hear(time.Now(), w)
+	p.board.ApplyReport(time.Now(), w)
 	p.mu.Unlock()
 	duty.Wake(p.changed)
 }
@@ -48,10 +48,10 @@
 // BroadcastLoad sends the local counts to the other daemons whenever they change, and
 // repeats them while there is any work, until ctx is done. It sends nothing where leaders
 // grant slots.
-func (p *Places) Spread(ctx context.Context, caller peer.Caller, peers func() []Peer) {
+func (p *Places) BroadcastLoad(ctx context.Context, caller peer.Caller, peers func() []Peer) {
 	// Numbers keep rising across a restart of the daemon.
 	number := uint64(time.Now().UnixMicro())
-	renew := time.NewTicker(board.RenewEvery)
+	renew := time.NewTicker(board.ReportInterval)
 	defer renew.Stop()
 	idle := true
 	for {
@@ -65,12 +65,12 @@
 		case <-p.dirty:
 		}
 		if p.Scheduled() {
-			p.loadReportAge.Store(int64(election.HeartbeatEvery + networkDelay))
+			p.loadReportAge.Store(int64(election.HeartbeatInterval + networkDelay))
 			idle = true
 			continue
 		}
 		others := peers()
-		p.loadReportAge.Store(int64(WordAge(len(others))))
+		p.loadReportAge.Store(int64(LoadReportAge(len(others))))
 		if !duty.Pause(ctx, lingerTime(len(others))) {
 			return
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-func broadcast(caller peer.Caller, to []Peer, report board.Word) {
+func broadcast(caller peer.Caller, to []Peer, report board.LoadReport) {
 	for _, other := range to {
 		caller.Notify(other.Address, boardMethod, report)
 	}
@@ -93,17 +93,17 @@
 
 // LoadReportAge returns the maximum age of another daemon's load report in a fleet of the
 // given size: the time to collect, send across zones and apply it.
-func WordAge(fleet int) time.Duration { return lingerTime(fleet) + networkDelay }
+func LoadReportAge(fleet int) time.Duration { return lingerTime(fleet) + networkDelay }
 
 // loadReport returns the local counts and consumes the token that announced them.
-func (p *Places) loadReport(number uint64) board.Word {
+func (p *Places) loadReport(number uint64) board.LoadReport {
 	select {
 	case <-p.dirty:
 	default:
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return board.Word{From: p.board.Self(), Number: number, Counts: p.board.Counts(), Held: p.heldItems, Parts: p.heldParts,
+	return board.LoadReport{From: p.board.Self(), Number: number, Counts: p.board.LocalCounts(), Held: p.heldItems, Parts: p.heldParts,
 		Zone: p.zone, Doubts: p.degradedTargets()}
 }
 
@@ -113,7 +113,7 @@
 	now := time.Now()
 	failures := map[string]int{}
 	for _, g := range p.groups {
-		maps.Copy(failures, g.table.Doubts(now))
+		maps.Copy(failures, g.table.DegradedTargets(now))
 	}
 	return failures
 }
--- a/daemon/places/take.go
+++ b/daemon/places/take.go
@@ -19,7 +19,7 @@
 const noTargetRetryMs = 500
 
 // Request describes an online request for the choice of a target.
-type Ask struct {
+type Request struct {
 	Group string
 	// Exclude holds the starts of targets already tried.
 	Exclude map[string]bool
@@ -28,18 +28,18 @@
 	// LastChance reports that a failed attempt will not be retried.
 	LastChance bool
 	// MaxWait is how long the request may queue in front of a target.
-	Patience time.Duration
+	MaxWait time.Duration
 }
 
 // Slot is a slot at a target that was chosen for a request, and the leader that chose it.
-type Place struct {
+type Slot struct {
 	roster.Target
 	// Running is how many requests of the fleet, online and batch, ran there as far as
 	// known; LoadReportAge is the maximum age of the other daemons' part of it. GrantedBy
 	// is the leader that chose the target, "" if this daemon chose it.
-	Running int
-	WordAge time.Duration
-	By      string
+	Running       int
+	LoadReportAge time.Duration
+	GrantedBy     string
 	// Alive is cancelled once the target is known to have restarted.
 	Alive context.Context
 	// lease is the number of the slot's lease.
@@ -48,7 +48,7 @@
 
 // Acquire chooses a target for an online request and counts the request there; Release
 // must follow. A refusal means that nothing was sent to any target.
-func (p *Places) Take(ctx context.Context, a Ask) (Place, *outcome.Refusal) {
+func (p *Places) Acquire(ctx context.Context, a Request) (Slot, *outcome.Refusal) {
 	if p.Scheduled() && !a.Alone {
 		if place, refusal, decided := p.acquireGranted(ctx, a); decided {
 			return place, refusal
@@ -59,24 +59,24 @@
 
 // acquireGranted requests a slot from the leaders. decided is false if none answers or
 // grants a usable one.
-func (p *Places) acquireGranted(ctx context.Context, a Ask) (place Place, refusal *outcome.Refusal, decided bool) {
+func (p *Places) acquireGranted(ctx context.Context, a Request) (place Slot, refusal *outcome.Refusal, decided bool) {
 	ask := p.newAsk(a.Group, a.Exclude)
-	ask.LastChance, ask.Patience = a.LastChance, a.Patience
+	ask.LastChance, ask.Patience = a.LastChance, a.MaxWait
 	grant, by, answered := p.scheduler.requestSlot(ctx, ask)
 	switch {
 	case !answered || grant.Verdict == slots.None:
-		return Place{}, nil, false
+		return Slot{}, nil, false
 	case grant.Verdict == slots.Overloaded:
-		return Place{}, routing.TooBusy(a.Group, grant.Wait, a.Patience), true
+		return Slot{}, routing.TooBusy(a.Group, grant.Wait, a.MaxWait), true
 	}
 	place, known := p.acceptGrant(ask, grant, by)
 	return place, nil, known
 }
 
 // newAsk returns a request for a slot of the group.
-func (p *Places) newAsk(groupName string, tried map[string]bool) slots.Ask {
+func (p *Places) newAsk(groupName string, tried map[string]bool) slots.Request {
 	id := slots.ID{Holder: p.self, Number: p.scheduler.leases.next()}
-	return slots.Ask{ID: id, Group: groupName, Exclude: p.excluded(groupName, tried)}
+	return slots.Request{ID: id, Group: groupName, Exclude: p.excluded(groupName, tried)}
 }
 
 // excluded lists the targets of the group that a request can't use: those it has tried,
@@ -94,7 +94,7 @@
 		return list
 	}
 	for _, t := range g.targets {
-		if start := string(t.Start); !tried[start] && !g.table.Open(now, start) {
+		if start := string(t.Start); !tried[start] && !g.table.Available(now, start) {
 			list = append(list, start)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // accept counts a slot that a leader granted, unless this daemon knows that the target
 // must get no work: the leader may receive the target's removal later.
-func (p *Places) acceptGrant(ask slots.Ask, grant slots.Grant, by string) (Place, bool) {
+func (p *Places) acceptGrant(ask slots.Request, grant slots.Grant, by string) (Slot, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, known := p.eligible[roster.Start(grant.Target)]
@@ -112,10 +112,10 @@
 	}
 	if !known {
 		p.scheduler.leases.abandon(ask.ID.Number, by)
-		return Place{}, false
+		return Slot{}, false
 	}
 	place := p.begin(t, ask.ID.Number, by, ask.Batch)
-	place.Running, place.By = grant.Running, by
+	place.Running, place.GrantedBy = grant.Running, by
 	return place, true
 }
 
@@ -136,7 +136,7 @@
 }
 
 // begin counts work at the target. p.mu is held.
-func (p *Places) begin(t roster.Target, number uint64, by string, batch bool) Place {
+func (p *Places) begin(t roster.Target, number uint64, by string, batch bool) Slot {
 	now := time.Now()
 	if batch {
 		p.board.Add(string(t.Start), 0, 1)
@@ -148,57 +148,57 @@
 	}
 	p.scheduler.leases.begin(number, localLease{target: t, batch: batch, grantedBy: by})
 	p.notifyChange()
-	return Place{Target: t, Alive: p.starts.begin(t), lease: number}
+	return Slot{Target: t, Alive: p.starts.begin(t), lease: number}
 }
 
 // acquireLocally chooses a target from this daemon's view.
-func (p *Places) acquireLocally(a Ask) (Place, *outcome.Refusal) {
+func (p *Places) acquireLocally(a Request) (Slot, *outcome.Refusal) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.groups[a.Group]
 	if g == nil || len(g.targets) == 0 {
-		return Place{}, outcome.Refuse(outcome.NoTarget, "no target of %s is known", a.Group).After(noTargetRetryMs)
+		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s is known", a.Group).After(noTargetRetryMs)
 	}
 	p.applyFleetCounts(now, g)
-	if refusal := g.table.Admit(now, now.Add(a.Patience)); refusal != nil {
-		return Place{}, refusal
+	if refusal := g.table.Admit(now, now.Add(a.MaxWait)); refusal != nil {
+		return Slot{}, refusal
 	}
 	request := routing.Request{Zone: p.zone, Exclude: a.Exclude, LastChance: a.LastChance, SeedValue: rand.Uint64()}
-	request.FarIsStale = p.Scheduled()
-	request.WordAge = time.Duration(p.loadReportAge.Load())
+	request.RemoteStale = p.Scheduled()
+	request.LoadReportAge = time.Duration(p.loadReportAge.Load())
 	request.Alone = a.Alone
 	choice, ok := routing.Choice{}, false
 	if !a.Alone {
-		choice, ok = g.table.PickLeast(now, request)
+		choice, ok = g.table.PickLeastLoaded(now, request)
 	}
 	if !ok {
 		choice, ok = g.table.Pick(now, request)
 	}
 	t, known := p.eligible[roster.Start(choice.Address)]
 	if !ok || !known {
-		return Place{}, outcome.Refuse(outcome.NoTarget, "no target of %s takes requests", a.Group).After(noTargetRetryMs)
+		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s takes requests", a.Group).After(noTargetRetryMs)
 	}
 	running := p.board.Total(now, string(t.Start))
 	place := p.begin(t, p.scheduler.leases.next(), "", false)
-	place.Running, place.WordAge = running.Online+running.Batch, request.WordAge
+	place.Running, place.LoadReportAge = running.Online+running.Batch, request.LoadReportAge
 	return place, nil
 }
 
 // applyFleetCounts applies the fleet's counts to the group's table.
 func (p *Places) applyFleetCounts(now time.Time, g *group) {
-	degraded := p.board.Doubts(now)
+	degraded := p.board.DegradedTargets(now)
 	for _, t := range g.targets {
 		start := string(t.Start)
 		total := p.board.Total(now, start)
-		g.table.Hear(now, start, routing.Word{OnlineTotal: total.Online, BatchRunning: total.Batch,
-			ReportAge: -1, Slots: t.Slots, Doubt: degraded[start]})
+		g.table.ApplyReport(now, start, routing.LoadReport{OnlineTotal: total.Online, BatchRunning: total.Batch,
+			ReportAge: -1, Slots: t.Slots, PeerFailures: degraded[start]})
 	}
 }
 
 // Release ends what Acquire counted. took is the whole time of an answered request, 0 for
 // others.
-func (p *Places) Release(place Place, result routing.Outcome, took time.Duration) {
+func (p *Places) Release(place Slot, result routing.Outcome, took time.Duration) {
 	now := time.Now()
 	t := place.Target
 	p.mu.Lock()
@@ -208,7 +208,7 @@
 	p.recordEnd(now, t, result)
 	g := p.groups[t.Group]
 	if g != nil && took > 0 {
-		g.table.Measured(took)
+		g.table.ObserveServiceTime(took)
 	}
 	p.scheduler.leases.end(place.lease, p.reportedOutcome(now, g, result), took)
 	p.notifyChange()
@@ -216,12 +216,12 @@
 
 // MarkDegraded marks the target as degraded, here and in the zone, before the request
 // there ends.
-func (p *Places) Doubt(place Place) {
+func (p *Places) MarkDegraded(place Slot) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if g := p.groups[place.Group]; g != nil {
-		g.table.Suspect(now, string(place.Start))
+		g.table.MarkDegraded(now, string(place.Start))
 	}
 	p.scheduler.leases.reportDegraded(place.lease)
 	p.notifyChange()
@@ -231,7 +231,7 @@
 // which more targets fail than can be at fault themselves reports no failure; see package
 // routing.
 func (p *Places) reportedOutcome(now time.Time, g *group, result routing.Outcome) routing.Outcome {
-	if result == routing.Succeeded || g != nil && g.table.Doubts(now) != nil {
+	if result == routing.Succeeded || g != nil && g.table.DegradedTargets(now) != nil {
 		return result
 	}
 	return routing.Neutral
@@ -252,7 +252,7 @@
 // AcquireBatch chooses the target with the least work that keeps headroom slots free
 // beside the new item, and counts a batch item there; ReleaseBatch must follow. It returns
 // false if no target has such a slot.
-func (p *Places) TakeBatch(ctx context.Context, groupName string, exclude map[string]bool, headroom int) (Place, bool) {
+func (p *Places) AcquireBatch(ctx context.Context, groupName string, exclude map[string]bool, headroom int) (Slot, bool) {
 	if !p.Scheduled() {
 		return p.acquireBatchLocally(groupName, exclude, headroom)
 	}
@@ -260,19 +260,19 @@
 	ask.Batch, ask.Headroom = true, headroom
 	grant, by, answered := p.scheduler.requestSlot(ctx, ask)
 	if !answered || grant.Verdict != slots.Granted {
-		return Place{}, false
+		return Slot{}, false
 	}
 	return p.acceptGrant(ask, grant, by)
 }
 
 // acquireBatchLocally chooses a target from this daemon's view.
-func (p *Places) acquireBatchLocally(groupName string, exclude map[string]bool, headroom int) (Place, bool) {
+func (p *Places) acquireBatchLocally(groupName string, exclude map[string]bool, headroom int) (Slot, bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	g := p.groups[groupName]
 	if g == nil {
-		return Place{}, false
+		return Slot{}, false
 	}
 	p.applyFleetCounts(now, g)
 	best, lowest := roster.Target{}, 0
@@ -282,7 +282,7 @@
 		start := string(t.Start)
 		total := p.board.Total(now, start)
 		running := total.Online + total.Batch
-		if exclude[start] && len(g.targets) > 1 || running+headroom >= t.Slots || !g.table.Open(now, start) {
+		if exclude[start] && len(g.targets) > 1 || running+headroom >= t.Slots || !g.table.Available(now, start) {
 			continue
 		}
 		// The count is doubled so that the local zone wins among equals: traffic between
@@ -291,7 +291,7 @@
 		if t.Zone != p.zone {
 			weight++
 		}
-		if g.table.Doubtful(now, start) {
+		if g.table.Degraded(now, start) {
 			weight += 2 * t.Slots
 		}
 		if best.ID == "" || weight < lowest {
@@ -299,13 +299,13 @@
 		}
 	}
 	if best.ID == "" {
-		return Place{}, false
+		return Slot{}, false
 	}
 	return p.begin(best, p.scheduler.leases.next(), "", true), true
 }
 
 // ReleaseBatch ends what AcquireBatch counted.
-func (p *Places) ReleaseBatch(place Place, result routing.Outcome) {
+func (p *Places) ReleaseBatch(place Slot, result routing.Outcome) {
 	now := time.Now()
 	t := place.Target
 	p.mu.Lock()
@@ -314,7 +314,7 @@
 	p.starts.done(t)
 	g := p.groups[t.Group]
 	if g != nil {
-		g.table.Note(now, string(t.Start), result)
+		g.table.RecordOutcome(now, string(t.Start), result)
 	}
 	p.scheduler.leases.end(place.lease, p.reportedOutcome(now, g, result), 0)
 	p.notifyChange()
@@ -322,7 +322,7 @@
 
 // FreeSlots returns how many slots of the group neither online nor batch work takes, not
 // counting headroom slots at each target.
-func (p *Places) Free(groupName string, headroom int) int {
+func (p *Places) FreeSlots(groupName string, headroom int) int {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -332,7 +332,7 @@
 	}
 	free := 0
 	for _, t := range g.targets {
-		if g.table.Open(now, string(t.Start)) {
+		if g.table.Available(now, string(t.Start)) {
 			total := p.board.Total(now, string(t.Start))
 			free += max(0, t.Slots-headroom-total.Online-total.Batch)
 		}
--- a/daemon/policy.go
+++ b/daemon/policy.go
@@ -14,7 +14,7 @@
 	case config.PolicyReserve:
 		return admission.StaticReserve{Free: g.Batch.Reserved}
 	}
-	policy := admission.DefaultGiveWay()
+	policy := admission.DefaultPreemptive()
 	policy.Fill = g.Batch.Fill
 	policy.Headroom = g.Batch.Headroom
 	policy.CoolDown = g.Batch.CoolDown
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -55,7 +55,7 @@
 	// OtherLeaders returns the peer addresses of the known leaders of the other zones.
 	OtherLeaders() []string
 	// NoteCall records the result of a call to a leader; late reports that it timed out.
-	NoteCall(leader string, err error, late bool)
+	RecordCall(leader string, err error, late bool)
 }
 
 // Options configure Quotas.
@@ -64,11 +64,11 @@
 	Self    string
 	Leaders Leaders
 	// FleetSize returns the number of daemons in the fleet, 0 while it is unknown.
-	Fleet func() int
+	FleetSize func() int
 	// Accounts returns the client accounts in force, nil for none.
 	Accounts func() *accounts.Set
 	Peers    peer.Caller
-	Terms    quota.Terms
+	Terms    quota.Tolerance
 	Logger   *zap.Logger
 	Metrics  *metrics.Set
 }
@@ -80,7 +80,7 @@
 	started time.Time
 
 	mu      sync.Mutex
-	buckets *quota.Book
+	buckets *quota.Limiter
 	vote    quota.Vote
 	votes   quota.Votes
 	// weightSetAt is when the weight was last set.
@@ -93,7 +93,7 @@
 // New returns the Quotas of a daemon that starts now.
 func New(o Options) *Quotas {
 	now := time.Now()
-	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, buckets: quota.NewBook(now, o.Self, o.Terms),
+	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, buckets: quota.NewLimiter(now, o.Self, o.Terms),
 		votes: quota.Votes{}, weightSetAt: now, leaderSeenAt: now}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_quota_weight", func() float64 {
 		q.mu.Lock()
@@ -104,17 +104,17 @@
 }
 
 // Token is a token that a request took; the zero Token is none.
-type Leave struct {
+type Token struct {
 	account string
 	from    string
 }
 
 // Take takes a token for a request of the account. If it returns a refusal, the request
 // must not run. An account without a bounded quota needs no token.
-func (q *Quotas) Take(ctx context.Context, name string) (Leave, *outcome.Refusal) {
-	account := q.Accounts().Named(name)
+func (q *Quotas) Take(ctx context.Context, name string) (Token, *outcome.Refusal) {
+	account := q.Accounts().ByName(name)
 	if account == nil || !account.Quota.Bounded() {
-		return Leave{}, nil
+		return Token{}, nil
 	}
 	reply, from, answered := q.requestToken(ctx, account)
 	if !answered {
@@ -122,25 +122,25 @@
 	}
 	switch {
 	case reply.Taken:
-		return Leave{name, from}, nil
+		return Token{name, from}, nil
 	case reply.Unsure:
-		return Leave{}, q.refuseUnsure(account)
+		return Token{}, q.refuseUnsure(account)
 	}
 	q.meter.countRefusal(name)
-	return Leave{}, outcome.Refuse(outcome.CallerLimit, "the account %s is over its quota of %g requests a second", name, account.Quota.Rate).
+	return Token{}, outcome.Refuse(outcome.CallerLimit, "the account %s is over its quota of %g requests a second", name, account.Quota.Rate).
 		After(max(1, reply.RetryAfterMs))
 }
 
 // takeLocally takes a token from this daemon's own share, where no leader answers.
-func (q *Quotas) takeLocally(account *accounts.Account) (Leave, *outcome.Refusal) {
+func (q *Quotas) takeLocally(account *accounts.Account) (Token, *outcome.Refusal) {
 	q.mu.Lock()
 	answer := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
 	if answer.Verdict == quota.Taken {
 		q.meter.takenLocally.Inc()
-		return Leave{account.Name, q.Self}, nil
+		return Token{account.Name, q.Self}, nil
 	}
-	return Leave{}, q.refuseUnsure(account)
+	return Token{}, q.refuseUnsure(account)
 }
 
 // refuseUnsure returns the refusal for a request whose account may be within its quota.
@@ -150,7 +150,7 @@
 }
 
 // Refund returns the token of a request that no target ran.
-func (q *Quotas) Back(token Leave) {
+func (q *Quotas) Refund(token Token) {
 	switch token.from {
 	case "":
 	case q.Self:
@@ -213,7 +213,7 @@
 	var reply TakeReply
 	err := q.Peers.Call(callCtx, leader, takeMethod, TakeArgs{account}, &reply)
 	if ctx.Err() == nil {
-		q.Leaders.NoteCall(leader, err, errors.Is(callCtx.Err(), context.DeadlineExceeded))
+		q.Leaders.RecordCall(leader, err, errors.Is(callCtx.Err(), context.DeadlineExceeded))
 	}
 	if err != nil {
 		q.Logger.Info("quota_not_answered", zap.String("leader", leader), zap.String("account", account), zap.Error(err))
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -109,7 +109,7 @@
 	return append([]string(nil), v.others...)
 }
 
-func (v *fakeLeaders) NoteCall(string, error, bool) {}
+func (v *fakeLeaders) RecordCall(string, error, bool) {}
 
 func (v *fakeLeaders) set(leader string, others ...string) {
 	v.mu.Lock()
@@ -146,8 +146,8 @@
 			sets = append(sets, metrics.NewSet())
 			v := &fakeLeaders{}
 			v.set(fmt.Sprint("d", i/3*3), fmt.Sprint("d", 3-i/3*3))
-			q := New(Options{Self: self, Leaders: v, Fleet: func() int { return int(count.Load()) }, Accounts: set.Load,
-				Peers: endpoint{w, self}, Terms: quota.Terms{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
+			q := New(Options{Self: self, Leaders: v, FleetSize: func() int { return int(count.Load()) }, Accounts: set.Load,
+				Peers: endpoint{w, self}, Terms: quota.Tolerance{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
 			Expect(q.Register(endpoint{w, self})).To(Succeed())
 			views, fleet = append(views, v), append(fleet, q)
 		}
@@ -204,8 +204,8 @@
 	It("do not count a request that no target ran", func() {
 		awaitVotes()
 		takeAll(0, 3)
-		token, refusal := Leave{}, (*outcome.Refusal)(nil)
-		fleet[1].Back(token)
+		token, refusal := Token{}, (*outcome.Refusal)(nil)
+		fleet[1].Refund(token)
 		Expect(take(2, "hotel")).NotTo(BeNil())
 		setRate(50)
 		Eventually(func() *outcome.Refusal {
@@ -214,7 +214,7 @@
 		}).WithTimeout(timeout).Should(BeNil())
 		setRate(0.01)
 		takeAll(0, 3)
-		fleet[1].Back(token)
+		fleet[1].Refund(token)
 		Eventually(func() *outcome.Refusal { return take(2, "hotel") }).WithTimeout(timeout).Should(BeNil())
 	})
 
--- a/daemon/quotas/tokens.go
+++ b/daemon/quotas/tokens.go
@@ -82,7 +82,7 @@
 	if !q.isLeader() {
 		return errNotLeading.New("%s leads no zone", q.Self)
 	}
-	account := q.Accounts().Named(args.Account)
+	account := q.Accounts().ByName(args.Account)
 	if account == nil {
 		// The account is unknown here: the calling daemon's configuration is newer.
 		reply.Taken = true
@@ -103,13 +103,13 @@
 // Give transfers tokens to another leader that has too few.
 func (s *rpcService) Give(args GiveArgs, reply *GiveReply) error {
 	q := s.quotas
-	account := q.Accounts().Named(args.Account)
+	account := q.Accounts().ByName(args.Account)
 	if account == nil || !q.isLeader() {
 		return nil
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	reply.Given = q.buckets.Give(time.Now(), account, args.Want)
+	reply.Given = q.buckets.Transfer(time.Now(), account, args.Want)
 	return nil
 }
 
@@ -152,10 +152,10 @@
 	q.mu.Lock()
 	answer := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
-	if answer.Verdict == quota.Short {
+	if answer.Verdict == quota.Insufficient {
 		got := q.collectTokens(ctx, account.Name, answer.Want)
 		q.mu.Lock()
-		answer = q.buckets.Again(time.Now(), account, got)
+		answer = q.buckets.TakeWith(time.Now(), account, got)
 		q.mu.Unlock()
 	}
 	q.meter.countDecision(answer.Verdict)
@@ -175,7 +175,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return 2*len(q.votes) < q.Fleet()
+	return 2*len(q.votes) < q.FleetSize()
 }
 
 // collectTokens requests tokens from the other leaders, one after another in random order,
@@ -210,11 +210,11 @@
 
 // refundLocally returns a token to this daemon's buckets.
 func (q *Quotas) refundLocally(name string) {
-	account := q.Accounts().Named(name)
+	account := q.Accounts().ByName(name)
 	if account == nil {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.buckets.Back(time.Now(), account)
+	q.buckets.Refund(time.Now(), account)
 }
--- a/daemon/quotas/votes.go
+++ b/daemon/quotas/votes.go
@@ -49,7 +49,7 @@
 		q.transferVote(now, q.Self)
 	}
 	if now.Round(0).Sub(q.weightSetAt.Round(0))-now.Sub(q.weightSetAt) > suspendThreshold {
-		q.buckets.Frozen()
+		q.buckets.DiscardTokens()
 	}
 	q.updateWeight(now)
 	q.mu.Unlock()
@@ -63,7 +63,7 @@
 // Failure guarded against: a daemon that has just started and knows no other would assume
 // that it is the whole fleet.
 func (q *Quotas) updateWeight(now time.Time) {
-	held, fleet := q.votes.Count(now), q.Fleet()
+	held, fleet := q.votes.Count(now), q.FleetSize()
 	weight := 0.0
 	if fleet > 0 {
 		weight = float64(held) / float64(max(fleet, held))
@@ -75,7 +75,7 @@
 // transferVote transfers the vote if that is due, and reports whether another daemon must be
 // notified. The caller holds q.mu.
 func (q *Quotas) transferVote(now time.Time, to string) (notify bool) {
-	if q.stopping && to == q.Self || !q.vote.Due(now, to) || !q.vote.Lend(now, to) {
+	if q.stopping && to == q.Self || !q.vote.Due(now, to) || !q.vote.Transfer(now, to) {
 		return false
 	}
 	if to == q.Self {
--- a/daemon/relay/attempt.go
+++ b/daemon/relay/attempt.go
@@ -25,7 +25,7 @@
 	newConnectionOnly = time.Duration(0)
 	// bodyTimeout is how long a repeatable request waits for the next bytes of an answer
 	// that has begun.
-	bodyTimeout = retry.LongestSilence
+	bodyTimeout = retry.LongestWait
 	// A resumable stream without data for gapTimeoutFactor times the route's gap objective,
 	// within the two bounds, is resumed at another target: later than the gap that callers
 	// are promised, and well before they disconnect.
@@ -85,7 +85,7 @@
 		options.MaxIdle = maxIdleRepeatable
 	}
 	if s.mayRetry() {
-		options.Patience = s.firstByteTimeout
+		options.MaxWait = s.firstByteTimeout
 	}
 	sender := Sender{s.relay.Wire, s.relay.Pool}
 	answer, verdict, err := sender.Send(ctx, s.request, t, time.Until(s.request.Deadline), s.delivery.lastEvent, options)
@@ -93,9 +93,9 @@
 		return s.attemptFailed(ctx, err)
 	}
 	switch verdict {
-	case TurnedAway:
+	case Rejected:
 		return attemptResult{busy: true, detail: "turned away by " + t.ID, health: routing.Neutral}
-	case Elsewhere:
+	case WrongTarget:
 		return attemptResult{detail: t.ID + " is no longer at its address", health: routing.HardFailed}
 	}
 	defer answer.Close()
--- a/daemon/relay/crashes.go
+++ b/daemon/relay/crashes.go
@@ -40,7 +40,7 @@
 // it to one daemon after another, and so takes down the fleet's targets one by one, with
 // everything that runs on them. A broken connection alone proves nothing, since answers
 // get lost: a target counts as crashed only if it no longer accepts connections.
-type Crashes struct {
+type CrashDetector struct {
 	suspects Suspects
 	pool     *h1.Pool
 
@@ -58,8 +58,8 @@
 
 // NewCrashDetector returns a detector that reports crashes to suspects. It probes targets
 // through the pool.
-func NewCrashes(suspects Suspects, pool *h1.Pool) *Crashes {
-	return &Crashes{suspects: suspects, pool: pool, targets: map[string]*targetState{}}
+func NewCrashDetector(suspects Suspects, pool *h1.Pool) *CrashDetector {
+	return &CrashDetector{suspects: suspects, pool: pool, targets: map[string]*targetState{}}
 }
 
 // Fingerprint identifies a request by its content: a caller that resends a request may give
@@ -74,7 +74,7 @@
 // Watch calls run, which sends a request to the target and reports whether the target broke
 // the connection. If the target has crashed, Watch reports that to Suspects, and returns
 // after the other daemons have been informed.
-func (c *Crashes) Watch(ctx context.Context, t roster.Target, fingerprint string, run func() (broken bool)) {
+func (c *CrashDetector) Watch(ctx context.Context, t roster.Target, fingerprint string, run func() (broken bool)) {
 	c.begin(string(t.Start), fingerprint)
 	defer c.end(string(t.Start), fingerprint)
 	if run() && ctx.Err() == nil {
@@ -83,7 +83,7 @@
 }
 
 // begin records a request that is about to be sent.
-func (c *Crashes) begin(target, fingerprint string) {
+func (c *CrashDetector) begin(target, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[target]
@@ -95,7 +95,7 @@
 }
 
 // end records that a request has ended, and drops expired entries.
-func (c *Crashes) end(target, fingerprint string) {
+func (c *CrashDetector) end(target, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[target]
@@ -119,7 +119,7 @@
 
 // connectionBroken handles a connection that the target broke: it reports a crash if the
 // target no longer accepts connections.
-func (c *Crashes) connectionBroken(ctx context.Context, t roster.Target) {
+func (c *CrashDetector) connectionBroken(ctx context.Context, t roster.Target) {
 	running := c.suspectedRequests(string(t.Start))
 	if len(running) == 0 || c.pool.Reachable(ctx, t.Address, reachableTimeout) {
 		return
@@ -129,7 +129,7 @@
 
 // suspectedRequests returns the fingerprints of the requests that may have crashed the
 // target. Of the connections that break within crashWindow, only the first gets the list.
-func (c *Crashes) suspectedRequests(target string) []string {
+func (c *CrashDetector) suspectedRequests(target string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[target]
@@ -152,7 +152,7 @@
 
 // Verdict returns the verdict of Suspects on a request, and waits for a pending one while
 // reports from other daemons are still arriving.
-func (c *Crashes) Verdict(ctx context.Context, fingerprint string) retry.Verdict {
+func (c *CrashDetector) Verdict(ctx context.Context, fingerprint string) retry.Verdict {
 	verdict := c.suspects.Verdict(fingerprint)
 	for range maxPendingPolls {
 		if verdict != retry.Pending || !duty.Pause(ctx, pendingPause) {
@@ -164,4 +164,4 @@
 }
 
 // Completed clears a request that a target answered.
-func (c *Crashes) Completed(fingerprint string) { c.suspects.Completed(fingerprint) }
+func (c *CrashDetector) Completed(fingerprint string) { c.suspects.Completed(fingerprint) }
--- a/daemon/relay/fakewire/fakewire.go
+++ b/daemon/relay/fakewire/fakewire.go
@@ -27,15 +27,15 @@
 }
 
 // Matches implements relay.Wire.
-func (Wire) Mine(id string, _ int, header http.Header) bool { return header.Get("Id") == id }
+func (Wire) Matches(id string, _ int, header http.Header) bool { return header.Get("Id") == id }
 
 // Classify implements relay.Wire.
-func (Wire) Judge(status int, header http.Header) relay.Verdict {
+func (Wire) Classify(status int, header http.Header) relay.Verdict {
 	switch {
 	case status == http.StatusMisdirectedRequest:
-		return relay.Elsewhere
+		return relay.WrongTarget
 	case header.Get("Not-Run") != "":
-		return relay.TurnedAway
+		return relay.Rejected
 	default:
 		return relay.Ran
 	}
--- a/daemon/relay/relay.go
+++ b/daemon/relay/relay.go
@@ -60,9 +60,9 @@
 	// Ran: the target ran the request.
 	Ran Verdict = iota
 	// Rejected: the target did not run the request because of load.
-	TurnedAway
+	Rejected
 	// WrongTarget: another target than the expected one now has the address.
-	Elsewhere
+	WrongTarget
 )
 
 // NoDeadline means that a request has no time limit.
@@ -78,17 +78,17 @@
 	// NoDeadline; after is the ID of the last event already delivered, or NoEvent.
 	Prepare(r *Request, t roster.Target, left time.Duration, after int64) *h1.Request
 	// Matches reports whether an answer belongs to the request with the ID.
-	Mine(id string, status int, header http.Header) bool
+	Matches(id string, status int, header http.Header) bool
 	// Classify returns the verdict that an answer's head implies.
-	Judge(status int, header http.Header) Verdict
+	Classify(status int, header http.Header) Verdict
 }
 
 // Quotas enforces the quotas of client accounts; see quotas.Quotas.
 type Quotas interface {
 	// Take takes a token for a request of the account ("" for none), or returns a refusal.
-	Take(ctx context.Context, account string) (quotas.Leave, *outcome.Refusal)
+	Take(ctx context.Context, account string) (quotas.Token, *outcome.Refusal)
 	// Refund returns the token of a request that no target ran.
-	Back(quotas.Leave)
+	Refund(quotas.Token)
 }
 
 // Options configure a Relay.
@@ -96,7 +96,7 @@
 	Wire    Wire
 	Pool    *h1.Pool
 	Places  *places.Places
-	Crashes *Crashes
+	Crashes *CrashDetector
 	// Quotas enforces the quotas of client accounts.
 	Quotas  Quotas
 	Logger  *zap.Logger
@@ -111,24 +111,24 @@
 	mu     sync.Mutex
 	budget *retry.Budget
 	// firstByteStats holds the statistics of the time to the first byte by target group.
-	firstByteStats map[string]*retry.Silence
+	firstByteStats map[string]*retry.WaitEstimator
 }
 
 // New returns a Relay.
 func New(o Options) *Relay {
 	return &Relay{Options: o, meter: newMeter(o.Metrics), budget: retry.NewBudget(retryBudgetShare, time.Now()),
-		firstByteStats: map[string]*retry.Silence{}}
+		firstByteStats: map[string]*retry.WaitEstimator{}}
 }
 
 // firstByteTimeout returns how long a request in the slot waits for the first byte of its
 // answer.
-func (r *Relay) firstByteTimeout(group string, slot places.Place) time.Duration {
+func (r *Relay) firstByteTimeout(group string, slot places.Slot) time.Duration {
 	if slot.Running >= slot.Slots {
-		return retry.LongestSilence // it may queue
+		return retry.LongestWait // it may queue
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.groupFirstByteStats(group).Patience()
+	return r.groupFirstByteStats(group).MaxWait()
 }
 
 // noteFirstByte records the time to the first byte of an answer.
@@ -143,15 +143,15 @@
 func (r *Relay) noteFirstByteTimeout(group string, timeout time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.groupFirstByteStats(group).GaveUp(timeout)
+	r.groupFirstByteStats(group).TimedOut(timeout)
 }
 
 // groupFirstByteStats returns the first-byte statistics of a target group. The caller holds
 // r.mu.
-func (r *Relay) groupFirstByteStats(group string) *retry.Silence {
+func (r *Relay) groupFirstByteStats(group string) *retry.WaitEstimator {
 	s := r.firstByteStats[group]
 	if s == nil {
-		s = &retry.Silence{}
+		s = &retry.WaitEstimator{}
 		r.firstByteStats[group] = s
 	}
 	return s
@@ -164,7 +164,7 @@
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	r.mu.Lock()
-	r.budget.First()
+	r.budget.CountFirst()
 	r.mu.Unlock()
 	state := &requestState{relay: r, request: request, delivery: newDelivery(w), excluded: map[string]bool{},
 		fingerprint: Fingerprint(&request.HTTP)}
@@ -181,8 +181,8 @@
 		return s.refuse(refusal)
 	}
 	result := s.serve(ctx)
-	if s.runs == 0 && (result.Left || result.Refusal != nil) {
-		s.relay.Quotas.Back(token)
+	if s.runs == 0 && (result.CallerLeft || result.Refusal != nil) {
+		s.relay.Quotas.Refund(token)
 	}
 	return result
 }
@@ -194,7 +194,7 @@
 	// Aborted reports that an answer was begun and must be cut off.
 	Aborted bool
 	// CallerLeft reports that the caller disconnected.
-	Left bool
+	CallerLeft bool
 }
 
 // requestState is the state of one request while it is served.
@@ -226,8 +226,8 @@
 		if refusal := s.checkQuarantine(ctx); refusal != nil {
 			return s.refuse(refusal)
 		}
-		slot, refusal := s.relay.Places.Take(ctx, places.Ask{
-			Group: s.group(), Exclude: s.excluded, Patience: routing.QueuePatience(time.Until(s.request.Deadline), s.request.Rank), Alone: s.alone,
+		slot, refusal := s.relay.Places.Acquire(ctx, places.Request{
+			Group: s.group(), Exclude: s.excluded, MaxWait: routing.MaxWait(time.Until(s.request.Deadline), s.request.Rank), Alone: s.alone,
 			LastChance: !s.mayRetry(),
 		})
 		if refusal != nil {
@@ -255,7 +255,7 @@
 // firstByteTimeout to a request that got a free slot. A non-repeatable request keeps
 // waiting beyond that time, but no other request should be sent to the target meanwhile.
 // The function returned stops the timer.
-func (s *requestState) degradeWhenSilent(slot places.Place) (stop func()) {
+func (s *requestState) degradeWhenSilent(slot places.Slot) (stop func()) {
 	if slot.Running >= slot.Slots {
 		return func() {}
 	}
@@ -263,7 +263,7 @@
 		if !s.answerStarted.Load() {
 			s.relay.Logger.Info("target_silent", zap.String("id", s.request.ID), zap.String("target", slot.ID),
 				zap.Int("running_there", slot.Running), zap.Int64("ms", s.firstByteTimeout.Milliseconds()))
-			s.relay.Places.Doubt(slot)
+			s.relay.Places.MarkDegraded(slot)
 		}
 	})
 	return func() { timer.Stop() }
@@ -271,10 +271,10 @@
 
 // logSent logs which target the request is sent to and why. If the host loses power before
 // the request's final log line, this line still shows where the request was.
-func (s *requestState) logSent(slot places.Place) {
+func (s *requestState) logSent(slot places.Slot) {
 	s.relay.Logger.Info("request_sent", zap.String("id", s.request.ID), zap.String("target", slot.ID), zap.String("zone", slot.Zone),
-		zap.Int("attempt", s.runs+s.rejections+1), zap.Int("running_there", slot.Running), zap.Int64("heard_ms", slot.WordAge.Milliseconds()),
-		zap.String("by", slot.By),
+		zap.Int("attempt", s.runs+s.rejections+1), zap.Int("running_there", slot.Running), zap.Int64("heard_ms", slot.LoadReportAge.Milliseconds()),
+		zap.String("by", slot.GrantedBy),
 		zap.Int64("left_ms", time.Until(s.request.Deadline).Milliseconds()))
 }
 
@@ -282,9 +282,9 @@
 // targets that ran it, and records whether the request should run alone.
 func (s *requestState) checkQuarantine(ctx context.Context) *outcome.Refusal {
 	switch s.relay.Crashes.Verdict(ctx, s.fingerprint) {
-	case retry.Condemned:
+	case retry.Quarantined:
 		return outcome.Refuse(outcome.NoTarget, "this request crashed the targets that ran it")
-	case retry.Isolated, retry.Quarantined:
+	case retry.PreferAlone, retry.RunAlone:
 		s.alone = true
 	}
 	return nil
@@ -293,7 +293,7 @@
 // runAttempt makes one attempt, and reports a crash of the target to the crash detector.
 // The attempt ends when the target is known to have restarted, since the restart lost the
 // request.
-func (s *requestState) runAttempt(ctx context.Context, slot places.Place) (result attemptResult) {
+func (s *requestState) runAttempt(ctx context.Context, slot places.Slot) (result attemptResult) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	stop := context.AfterFunc(slot.Alive, func() { cancel(errTargetRestarted) })
@@ -383,7 +383,7 @@
 // endEarly ends a request whose caller disconnected or whose deadline has passed.
 func (s *requestState) endEarly(ctx context.Context) Result {
 	if time.Now().Before(s.request.Deadline) {
-		return Result{Left: true, Aborted: s.delivery.headSent}
+		return Result{CallerLeft: true, Aborted: s.delivery.headSent}
 	}
 	refusal := outcome.Refuse(outcome.DeadlineExceeded, "no answer within %s", s.request.Deadline.Sub(s.request.Arrived))
 	return s.refuse(refusal)
@@ -394,7 +394,7 @@
 	took := time.Since(request.Arrived)
 	outcomeLabel := "served"
 	switch {
-	case result.Left:
+	case result.CallerLeft:
 		outcomeLabel = "caller_left"
 	case result.Aborted:
 		outcomeLabel = "broken_off"
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -63,15 +63,15 @@
 	refusal         *outcome.Refusal
 }
 
-func (f *fakeQuotas) Take(_ context.Context, account string) (quotas.Leave, *outcome.Refusal) {
+func (f *fakeQuotas) Take(_ context.Context, account string) (quotas.Token, *outcome.Refusal) {
 	if f.refusal != nil {
-		return quotas.Leave{}, f.refusal
+		return quotas.Token{}, f.refusal
 	}
 	f.taken++
-	return quotas.Leave{}, nil
+	return quotas.Token{}, nil
 }
 
-func (f *fakeQuotas) Back(quotas.Leave) { f.returned++ }
+func (f *fakeQuotas) Refund(quotas.Token) { f.returned++ }
 
 var _ = Describe("The relay", func() {
 	var (
@@ -90,7 +90,7 @@
 		DeferCleanup(pool.Close)
 		suspects = fakesuspects.New(2)
 		tokens = &fakeQuotas{}
-		r = relay.New(relay.Options{Wire: fakewire.Wire{}, Pool: pool, Places: view, Crashes: relay.NewCrashes(suspects, pool), Quotas: tokens, Logger: zap.NewNop(), Metrics: metrics.NewSet()})
+		r = relay.New(relay.Options{Wire: fakewire.Wire{}, Pool: pool, Places: view, Crashes: relay.NewCrashDetector(suspects, pool), Quotas: tokens, Logger: zap.NewNop(), Metrics: metrics.NewSet()})
 		request = &relay.Request{
 			ID:      "r",
 			Route:   &route.Route{Kind: route.Idempotent, MaxAttempts: 3, Groups: []route.Share{{Group: "g", Weight: 1}}, Timeout: timeout},
@@ -115,7 +115,7 @@
 			list = append(list, roster.Target{ID: fmt.Sprint("t", i), Group: "g", Address: t.Address, Zone: "z", Slots: 2})
 		}
 		view.Update(func(now time.Time, ros *roster.Roster) {
-			ros.Heard(now)
+			ros.StoreAnswered(now)
 			ros.Replace(now, list)
 		})
 	}
@@ -225,7 +225,7 @@
 	It("sends a non-repeatable request on no connection that its target may have dropped", func() {
 		request.Route.Kind = route.NonIdempotent
 		startTargets(1, func(_ int, r *rawtarget.Request, c net.Conn) {
-			if r.Turn > 0 {
+			if r.Index > 0 {
 				rawtarget.Reset(c)
 				return
 			}
@@ -356,7 +356,7 @@
 			}
 		}
 		for _, line := range silenceLogs(lines, "t0") {
-			Expect(line.ContextMap()["ms"]).To(BeNumerically("<", retry.LongestSilence.Milliseconds()))
+			Expect(line.ContextMap()["ms"]).To(BeNumerically("<", retry.LongestWait.Milliseconds()))
 		}
 		// The first request that met the silence marked the target for the others.
 		Expect(silences).To(Equal(1))
@@ -462,7 +462,7 @@
 		cancel()
 		var result relay.Result
 		Eventually(done).WithTimeout(timeout).Should(Receive(&result))
-		Expect(result.Left).To(BeTrue())
+		Expect(result.CallerLeft).To(BeTrue())
 		Eventually(targets[0].Open).WithTimeout(timeout).Should(BeZero())
 	})
 
--- a/daemon/relay/send.go
+++ b/daemon/relay/send.go
@@ -25,12 +25,12 @@
 // With the verdict Ran the caller must read and close the answer; with any other verdict
 // the answer is nil. Errors are those of h1.Pool.Do.
 func (s Sender) Send(ctx context.Context, r *Request, t roster.Target, left time.Duration, after int64, o h1.Options) (*h1.Answer, Verdict, error) {
-	o.Mine = func(status int, header http.Header) bool { return s.Wire.Mine(r.ID, status, header) }
+	o.Matches = func(status int, header http.Header) bool { return s.Wire.Matches(r.ID, status, header) }
 	answer, err := s.Pool.Do(ctx, t.Address, s.Wire.Prepare(r, t, left, after), o)
 	if err != nil {
 		return nil, Ran, err
 	}
-	verdict := s.Wire.Judge(answer.Status, answer.Header)
+	verdict := s.Wire.Classify(answer.Status, answer.Header)
 	if verdict != Ran {
 		answer.Drain(drainTimeout)
 		answer.Close()
--- a/daemon/shards/append.go
+++ b/daemon/shards/append.go
@@ -44,7 +44,7 @@
 // It reports whether the owner needed that.
 func (s *Shards) findBound(ctx context.Context, sl *slot, owner *ledger.Owner) bool {
 	sl.mu.Lock()
-	needed := owner.NeedsBound()
+	needed := owner.NeedsRetryOffset()
 	sl.mu.Unlock()
 	if !needed {
 		return false
@@ -57,7 +57,7 @@
 	}
 	sl.mu.Lock()
 	defer sl.mu.Unlock()
-	owner.SetBound(next)
+	owner.SetRetryOffset(next)
 	return true
 }
 
@@ -112,7 +112,7 @@
 	}
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case out == ledger.Limited:
+	case out == ledger.Throttled:
 		s.meter.appendLimited.Inc()
 	default:
 		s.meter.appendErrors.Inc()
@@ -131,7 +131,7 @@
 		return ledger.Appended, 0
 	}
 	if retry, ok := extern.IsLimited(err); ok {
-		return ledger.Limited, retry
+		return ledger.Throttled, retry
 	}
 	switch {
 	case extern.IsUnavailable(err):
--- a/daemon/shards/bench_test.go
+++ b/daemon/shards/bench_test.go
@@ -30,7 +30,7 @@
 }
 
 func defaultPaces(o *Options) {
-	o.Shards, o.AppendPace, o.UrgentPace, o.AppendBudget = 0, 0, 0, 0
+	o.Shards, o.AppendInterval, o.UrgentInterval, o.AppendBudget = 0, 0, 0, 0
 	o.Lease, o.ClaimStep, o.ColdStart = 0, 0, 0
 }
 
--- a/daemon/shards/claim.go
+++ b/daemon/shards/claim.go
@@ -131,7 +131,7 @@
 func (s *Shards) claimAfter(sl *slot, successors []membership.Member, held int) (time.Duration, bool) {
 	f := shard.Facts{
 		Shard: sl.id, Self: s.opt.View.Self().ID(), Shards: len(s.slots), Held: held,
-		Named: sl.isSuccessor, StepMs: s.opt.ClaimStep.Milliseconds(),
+		ReleasedToSelf: sl.isSuccessor, StepMs: s.opt.ClaimStep.Milliseconds(),
 	}
 	for _, m := range successors {
 		f.Successors = append(f.Successors, m.ID())
@@ -197,7 +197,7 @@
 	defer ticker.Stop()
 	lastOK := time.Now()
 	for s.busySlots() > 0 {
-		if s.LogOK() || s.figures().Waiting > 0 {
+		if s.LogOK() || s.figures().QueuedProposals > 0 {
 			lastOK = time.Now()
 		}
 		// A hand-off needs a record on the log. During an outage of the log a stopping
--- a/daemon/shards/client.go
+++ b/daemon/shards/client.go
@@ -36,7 +36,7 @@
 // Begin by its nonce, an upload by its name and chunk numbers, the end of an item by the
 // item and its attempt.
 func callOwner[Q, R any](ctx context.Context, s *Shards, sl *slot, method string, timeout time.Duration,
-	req Q, local func(context.Context, Q) Word[R]) (R, error) {
+	req Q, local func(context.Context, Q) OwnerReply[R]) (R, error) {
 	var none R
 	deadline := s.opt.Clock().Add(s.opt.RetryFor)
 	reached := false
@@ -58,7 +58,7 @@
 // callOwnerOnce calls the owner, or a likely owner if no holder is known. sent reports that
 // the call may have taken effect although no response arrived.
 func callOwnerOnce[Q, R any](ctx context.Context, s *Shards, sl *slot, try int, method string, timeout time.Duration,
-	req Q, local func(context.Context, Q) Word[R]) (reply Word[R], sent bool) {
+	req Q, local func(context.Context, Q) OwnerReply[R]) (reply OwnerReply[R], sent bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	holder, ok := s.opt.View.Holder(sl.id)
@@ -70,11 +70,11 @@
 		// Probes carry the announcement of a new holder, which may not have arrived.
 		// The members that should claim the shard are known, and may hold it already.
 		if holder, ok = s.likelyHolder(sl.id, try); !ok {
-			return Word[R]{NotOwner: true}, false
+			return OwnerReply[R]{NotOwner: true}, false
 		}
 	}
 	if err := s.call(ctx, holder.PeerAddress, method, req, &reply); err != nil {
-		return Word[R]{NotOwner: true}, !peer.IsUnreachable(err)
+		return OwnerReply[R]{NotOwner: true}, !peer.IsUnreachable(err)
 	}
 	return reply, false
 }
@@ -96,13 +96,13 @@
 }
 
 // prober is a View that can probe a member immediately.
-type prober interface{ Doubt(address string) }
+type prober interface{ ProbeNow(address string) }
 
 // reportFailed makes the membership probe the member at the address, because a call to it
 // failed with err. An error that the member returned itself is ignored.
 func (s *Shards) reportFailed(address string, err error) {
 	if p, ok := s.opt.View.(prober); ok && !peer.IsRemoteError(err) {
-		p.Doubt(address)
+		p.ProbeNow(address)
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	var reply Word[ledger.PullReply]
+	var reply OwnerReply[ledger.PullReply]
 	if err := s.call(ctx, owner, methodPull, req, &reply); err != nil {
 		return ledger.PullReply{}, noOwner(!peer.IsUnreachable(err))
 	}
--- a/daemon/shards/fleet_test.go
+++ b/daemon/shards/fleet_test.go
@@ -81,9 +81,9 @@
 	Expect(n.server.Register("Steward", &fakeSteward{n})).To(Succeed())
 	opt := Options{
 		Log: n.client, View: n, Peer: n.caller, Registrar: n.server, Shards: testShards,
-		Config:     func() *config.Config { return nil },
-		GroupOf:    func(it ledger.Item) (string, bool) { return "g", !strings.Contains(it.URL, "nowhere") },
-		AppendPace: 5 * time.Millisecond, UrgentPace: time.Millisecond, AppendBudget: 1e6,
+		Config:         func() *config.Config { return nil },
+		GroupOf:        func(it ledger.Item) (string, bool) { return "g", !strings.Contains(it.URL, "nowhere") },
+		AppendInterval: 5 * time.Millisecond, UrgentInterval: time.Millisecond, AppendBudget: 1e6,
 		Lease: 300 * time.Millisecond, ClaimStep: 50 * time.Millisecond, ColdStart: 20 * time.Millisecond,
 		RetryFor: 20 * time.Second,
 	}
@@ -239,16 +239,16 @@
 
 func (n *node) TargetLeaving(string) bool { return false }
 
-func (n *node) Doubt(address string) { n.probed = append(n.probed, address) }
+func (n *node) ProbeNow(address string) { n.probed = append(n.probed, address) }
 
 type fakeSteward struct{ n *node }
 
 // RevokeArgs and RevokeReply have the fields of the messages of Steward.Revoke.
 type RevokeArgs struct{ Job string }
 
-type RevokeWords struct{ Queued, Running int }
+type RevokeReply struct{ Queued, Running int }
 
-func (f *fakeSteward) Revoke(req RevokeArgs, _ *RevokeWords) error {
+func (f *fakeSteward) Revoke(req RevokeArgs, _ *RevokeReply) error {
 	f.n.fleet.mu.Lock()
 	defer f.n.fleet.mu.Unlock()
 	f.n.revoked = append(f.n.revoked, req.Job)
--- a/daemon/shards/hold.go
+++ b/daemon/shards/hold.go
@@ -77,7 +77,7 @@
 		sl.mu.Unlock()
 		return
 	}
-	sl.figures.Add(owner.Figures())
+	sl.figures.Add(owner.Stats())
 	term, holder := owner.State().Term()
 	if holder != "" && holder != s.opt.View.Self().ID() {
 		s.startGrace(sl, term, 0)
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	start, anchored := ledger.Start(first, next, tail)
+	start, anchored := ledger.ReplayStart(first, next, tail)
 	st := ledger.NewState(sl.id, start, anchored)
 	for st.Next() < next {
 		page, err := s.opt.Log.Read(ctx, sl.stream, st.Next(), readBytes, 0)
@@ -217,7 +217,7 @@
 	owner.ReadOK(s.nowMs())
 	held := owner.Holding()
 	for _, r := range page.Records {
-		if err := owner.Read(s.nowMs(), r.Offset, r.Data); err != nil {
+		if err := owner.Apply(s.nowMs(), r.Offset, r.Data); err != nil {
 			s.opt.Logger.Error("shard_gap", zap.Int("shard", sl.id), zap.Error(err))
 			return false
 		}
--- a/daemon/shards/meter.go
+++ b/daemon/shards/meter.go
@@ -18,15 +18,15 @@
 
 func newMeter(s *Shards) *meter {
 	set := s.opt.Metrics
-	gauge := func(name string, value func(ledger.Figures) float64) {
+	gauge := func(name string, value func(ledger.Stats) float64) {
 		set.GetOrCreateGauge(name, func() float64 { return value(s.figures()) })
 	}
-	gauge("tarragonhollow_ledger_proposals_waiting", func(f ledger.Figures) float64 { return float64(f.Waiting) })
-	gauge("tarragonhollow_ledger_ring_bytes", func(f ledger.Figures) float64 { return float64(f.WaitingBytes) })
-	gauge("tarragonhollow_ledger_ring_refused_total", func(f ledger.Figures) float64 { return float64(f.RingRefused) })
-	gauge("tarragonhollow_ledger_items_handed_out_total", func(f ledger.Figures) float64 { return float64(f.Items) })
-	gauge("tarragonhollow_ledger_restated_total", func(f ledger.Figures) float64 { return float64(f.Restated) })
-	gauge("tarragonhollow_ledger_records_void_total", func(f ledger.Figures) float64 { return float64(f.Voids) })
+	gauge("tarragonhollow_ledger_proposals_waiting", func(f ledger.Stats) float64 { return float64(f.QueuedProposals) })
+	gauge("tarragonhollow_ledger_ring_bytes", func(f ledger.Stats) float64 { return float64(f.QueuedBytes) })
+	gauge("tarragonhollow_ledger_ring_refused_total", func(f ledger.Stats) float64 { return float64(f.QueueRefused) })
+	gauge("tarragonhollow_ledger_items_handed_out_total", func(f ledger.Stats) float64 { return float64(f.ItemsHandedOut) })
+	gauge("tarragonhollow_ledger_restated_total", func(f ledger.Stats) float64 { return float64(f.Rewritten) })
+	gauge("tarragonhollow_ledger_records_void_total", func(f ledger.Stats) float64 { return float64(f.VoidRecords) })
 	set.GetOrCreateGauge("tarragonhollow_ledger_shards_held", func() float64 { return float64(len(s.Holds())) })
 	for _, state := range []ledger.ItemState{
 		ledger.ItemWaiting, ledger.ItemRunning, ledger.ItemCompleted, ledger.ItemFailed, ledger.ItemCancelled,
@@ -44,13 +44,13 @@
 }
 
 // figures returns the sums of the counters of all owners, past and present.
-func (s *Shards) figures() ledger.Figures {
-	var sum ledger.Figures
+func (s *Shards) figures() ledger.Stats {
+	var sum ledger.Stats
 	for _, sl := range s.slots {
 		sl.mu.Lock()
 		sum.Add(sl.figures)
 		if sl.owner != nil {
-			sum.Add(sl.owner.Figures())
+			sum.Add(sl.owner.Stats())
 		}
 		sl.mu.Unlock()
 	}
@@ -109,7 +109,7 @@
 		if sl.holding() {
 			st.Shards = append(st.Shards, ShardStatus{
 				Shard: sl.id, Term: sl.owner.Term(), Next: sl.owner.State().Next(),
-				Low: sl.owner.State().Low(), Waiting: sl.owner.Figures().Waiting,
+				Low: sl.owner.State().Low(), Waiting: sl.owner.Stats().QueuedProposals,
 				LogOK: sl.owner.LogOK(),
 			})
 		}
--- a/daemon/shards/onlog.go
+++ b/daemon/shards/onlog.go
@@ -25,7 +25,7 @@
 // only after its start record was read back. Calls for one shard share a read that has not
 // begun yet. A call that arrives after the read began needs a new one, which the Forget in
 // readState allows.
-func (s *Shards) OnLog(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, error) {
+func (s *Shards) LookupOnLog(ctx context.Context, req ledger.BeginRequest) (ledger.BeginReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, logReadTimeout)
 	defer cancel()
 	sl := s.slotOf(req.Key)
@@ -35,7 +35,7 @@
 		if r.Err != nil {
 			return ledger.BeginReply{}, r.Err
 		}
-		return r.Val.(*ledger.State).Look(req), nil
+		return r.Val.(*ledger.State).Lookup(req), nil
 	case <-ctx.Done():
 		return ledger.BeginReply{}, errReplay.Wrap(ctx.Err(), "read the state of %s", sl.stream)
 	}
--- a/daemon/shards/onlog_test.go
+++ b/daemon/shards/onlog_test.go
@@ -18,7 +18,7 @@
 		apart := f.other(owner)
 		look := func(key, nonce, content string) ledger.BeginReply {
 			GinkgoHelper()
-			reply, err := apart.shards.OnLog(context.Background(), ledger.BeginRequest{Key: key, Nonce: nonce, Fingerprint: content})
+			reply, err := apart.shards.LookupOnLog(context.Background(), ledger.BeginRequest{Key: key, Nonce: nonce, Fingerprint: content})
 			Expect(err).NotTo(HaveOccurred())
 			return reply
 		}
--- a/daemon/shards/options.go
+++ b/daemon/shards/options.go
@@ -34,10 +34,10 @@
 	// DefaultShards is the number of shards; it is fixed for the life of a log.
 	DefaultShards = 32
 	// DefaultAppendInterval is the time between two appends of batch changes on a shard.
-	DefaultAppendPace = 100 * time.Millisecond
+	DefaultAppendInterval = 100 * time.Millisecond
 	// DefaultUrgentInterval is the time between two appends if the second has an urgent
 	// change.
-	DefaultUrgentPace = 10 * time.Millisecond
+	DefaultUrgentInterval = 10 * time.Millisecond
 	// DefaultAppendBudget is the limit for the whole fleet, in appends per second.
 	DefaultAppendBudget = 400
 	// DefaultLease is how long a batch dispatcher (steward) holds an item without renewing
@@ -69,9 +69,9 @@
 	// the body.
 	GroupOf func(ledger.Item) (group string, ok bool)
 
-	Shards     int
-	AppendPace time.Duration
-	UrgentPace time.Duration
+	Shards         int
+	AppendInterval time.Duration
+	UrgentInterval time.Duration
 	// AppendBudget is the limit for the whole fleet, in appends per second. Each held
 	// shard has an equal part of it.
 	AppendBudget float64
@@ -91,7 +91,7 @@
 	switch {
 	case o.Log == nil, o.View == nil, o.Peer == nil, o.Registrar == nil, o.Config == nil:
 		return BadOptions.New("Log, View, Peer, Registrar and Config are required")
-	case o.Shards < 0 || o.AppendPace < 0 || o.UrgentPace < 0 || o.AppendBudget < 0:
+	case o.Shards < 0 || o.AppendInterval < 0 || o.UrgentInterval < 0 || o.AppendBudget < 0:
 		return BadOptions.New("Shards, AppendPace, UrgentPace and AppendBudget must not be negative")
 	}
 	o.setDefaults()
@@ -100,8 +100,8 @@
 
 func (o *Options) setDefaults() {
 	defaultTo(&o.Shards, DefaultShards)
-	defaultTo(&o.AppendPace, DefaultAppendPace)
-	defaultTo(&o.UrgentPace, DefaultUrgentPace)
+	defaultTo(&o.AppendInterval, DefaultAppendInterval)
+	defaultTo(&o.UrgentInterval, DefaultUrgentInterval)
 	defaultTo(&o.AppendBudget, DefaultAppendBudget)
 	defaultTo(&o.Lease, DefaultLease)
 	defaultTo(&o.Retention, DefaultRetention)
--- a/daemon/shards/own.go
+++ b/daemon/shards/own.go
@@ -10,7 +10,7 @@
 )
 
 // OwnerReply is the message with which an owner replies to a call from another daemon.
-type Word[T any] struct {
+type OwnerReply[T any] struct {
 	// NotOwner reports that the called daemon does not hold the shard.
 	NotOwner bool
 	// Refusal is set if the call was refused.
@@ -61,7 +61,7 @@
 	return true
 }
 
-func (s *Shards) localBegin(ctx context.Context, req ledger.BeginRequest) (reply Word[ledger.BeginReply]) {
+func (s *Shards) localBegin(ctx context.Context, req ledger.BeginRequest) (reply OwnerReply[ledger.BeginReply]) {
 	r, ok := s.runLocal(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
 		o.Begin(s.nowMs(), id, req)
 	})
@@ -73,7 +73,7 @@
 	return reply
 }
 
-func (s *Shards) localFinish(ctx context.Context, req ledger.FinishRequest) (reply Word[ledger.FinishReply]) {
+func (s *Shards) localFinish(ctx context.Context, req ledger.FinishRequest) (reply OwnerReply[ledger.FinishReply]) {
 	r, ok := s.runLocal(ctx, s.slotOf(req.Key), func(o *ledger.Owner, id ledger.CallID) {
 		o.Finish(s.nowMs(), id, req)
 	})
@@ -85,7 +85,7 @@
 	return reply
 }
 
-func (s *Shards) localRequest(_ context.Context, key string) (reply Word[ledger.KeptRequest]) {
+func (s *Shards) localRequest(_ context.Context, key string) (reply OwnerReply[ledger.KeptRequest]) {
 	reply.NotOwner = !s.withOwner(s.slotOf(key), func(o *ledger.Owner) {
 		kept, ok := o.Request(key)
 		reply.Value = kept
@@ -96,14 +96,14 @@
 	return reply
 }
 
-func (s *Shards) localOpenJob(_ context.Context, req ledger.JobOpenRequest) (reply Word[ledger.JobOpenReply]) {
+func (s *Shards) localOpenJob(_ context.Context, req ledger.JobOpenRequest) (reply OwnerReply[ledger.JobOpenReply]) {
 	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
 		reply.Refusal = o.OpenJob(s.nowMs(), req).Refusal
 	})
 	return reply
 }
 
-func (s *Shards) localAddItems(ctx context.Context, req ledger.JobChunkRequest) (reply Word[ledger.JobChunkReply]) {
+func (s *Shards) localAddItems(ctx context.Context, req ledger.JobChunkRequest) (reply OwnerReply[ledger.JobChunkReply]) {
 	r, ok := s.runLocal(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
 		o.AddItems(s.nowMs(), id, req)
 	})
@@ -115,7 +115,7 @@
 	return reply
 }
 
-func (s *Shards) localCommitJob(ctx context.Context, req ledger.JobCommitRequest) (reply Word[ledger.JobCommitReply]) {
+func (s *Shards) localCommitJob(ctx context.Context, req ledger.JobCommitRequest) (reply OwnerReply[ledger.JobCommitReply]) {
 	r, ok := s.runLocal(ctx, s.slotOf(req.Job), func(o *ledger.Owner, id ledger.CallID) {
 		o.CommitJob(s.nowMs(), id, req)
 	})
@@ -127,14 +127,14 @@
 	return reply
 }
 
-func (s *Shards) localJob(_ context.Context, job string) (reply Word[ledger.JobStatus]) {
+func (s *Shards) localJob(_ context.Context, job string) (reply OwnerReply[ledger.JobStatus]) {
 	reply.NotOwner = !s.withOwner(s.slotOf(job), func(o *ledger.Owner) {
 		reply.Value, reply.Refusal = o.Job(s.nowMs(), job)
 	})
 	return reply
 }
 
-func (s *Shards) localResults(_ context.Context, req ledger.ResultsRequest) (reply Word[ledger.ResultsReply]) {
+func (s *Shards) localResults(_ context.Context, req ledger.ResultsRequest) (reply OwnerReply[ledger.ResultsReply]) {
 	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
 		reply.Value = o.Results(req)
 		reply.Refusal = reply.Value.Refusal
@@ -142,14 +142,14 @@
 	return reply
 }
 
-func (s *Shards) localItem(_ context.Context, req ItemRequest) (reply Word[ledger.ItemResult]) {
+func (s *Shards) localItem(_ context.Context, req ItemRequest) (reply OwnerReply[ledger.ItemResult]) {
 	reply.NotOwner = !s.withOwner(s.slotOf(req.Job), func(o *ledger.Owner) {
 		reply.Value, reply.Refusal = o.Item(req.Job, req.CustomID)
 	})
 	return reply
 }
 
-func (s *Shards) localCancelJob(ctx context.Context, job string) (reply Word[ledger.JobStatus]) {
+func (s *Shards) localCancelJob(ctx context.Context, job string) (reply OwnerReply[ledger.JobStatus]) {
 	r, ok := s.runLocal(ctx, s.slotOf(job), func(o *ledger.Owner, id ledger.CallID) {
 		o.CancelJob(s.nowMs(), id, job)
 	})
@@ -161,7 +161,7 @@
 	return reply
 }
 
-func (s *Shards) localFinishItems(ctx context.Context, req ledger.FinishItemsRequest) (reply Word[ledger.FinishItemsReply]) {
+func (s *Shards) localFinishItems(ctx context.Context, req ledger.FinishItemsRequest) (reply OwnerReply[ledger.FinishItemsReply]) {
 	if len(req.Ends) == 0 {
 		return reply
 	}
@@ -179,7 +179,7 @@
 // localPull serves a batch dispatcher (steward) from all shards held on this daemon. The
 // shards with the most urgent items come first. Every fairPullEvery-th pull begins with
 // another shard in turn, so that a large urgent job on one shard does not starve the others.
-func (s *Shards) localPull(_ context.Context, req ledger.PullRequest) (reply Word[ledger.PullReply]) {
+func (s *Shards) localPull(_ context.Context, req ledger.PullRequest) (reply OwnerReply[ledger.PullReply]) {
 	running := make([][]ledger.ItemRef, len(s.slots))
 	for _, ref := range req.Running {
 		id := shard.Of(ref.Job, len(s.slots))
--- a/daemon/shards/relay.go
+++ b/daemon/shards/relay.go
@@ -192,11 +192,11 @@
 }
 
 // RelayPull implements the net/rpc method.
-func (v *service) RelayPull(req RelayPullRequest, reply *Word[ledger.PullReply]) error {
+func (v *service) RelayPull(req RelayPullRequest, reply *OwnerReply[ledger.PullReply]) error {
 	return v.s.relay(req.To, methodPull, req.Request, reply)
 }
 
 // RelayFinishItems implements the net/rpc method.
-func (v *service) RelayFinishItems(req RelayFinishItemsRequest, reply *Word[ledger.FinishItemsReply]) error {
+func (v *service) RelayFinishItems(req RelayFinishItemsRequest, reply *OwnerReply[ledger.FinishItemsReply]) error {
 	return v.s.relay(req.To, methodFinishItems, req.Request, reply)
 }
--- a/daemon/shards/relay_test.go
+++ b/daemon/shards/relay_test.go
@@ -117,7 +117,7 @@
 
 	It("calls members only", func() {
 		f := newFleet("a", "b")
-		err := f.nodes["a"].shards.relay("127.0.0.1:1", methodPull, ledger.PullRequest{}, &Word[ledger.PullReply]{})
+		err := f.nodes["a"].shards.relay("127.0.0.1:1", methodPull, ledger.PullRequest{}, &OwnerReply[ledger.PullReply]{})
 		Expect(err).To(MatchError(ContainSubstring("is no member")))
 	})
 })
--- a/daemon/shards/service.go
+++ b/daemon/shards/service.go
@@ -40,12 +40,12 @@
 type TakeOverRequest struct{ Shard int }
 
 // Empty is an empty reply.
-type Nothing struct{}
+type Empty struct{}
 
 // service is the net/rpc receiver; each method calls the owner on this daemon.
 type service struct{ s *Shards }
 
-func serve[Q, R any](local func(context.Context, Q) Word[R], req Q, reply *Word[R]) error {
+func serve[Q, R any](local func(context.Context, Q) OwnerReply[R], req Q, reply *OwnerReply[R]) error {
 	ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
 	defer cancel()
 	*reply = local(ctx, req)
@@ -53,68 +53,68 @@
 }
 
 // Begin implements the net/rpc method.
-func (v *service) Begin(req ledger.BeginRequest, reply *Word[ledger.BeginReply]) error {
+func (v *service) Begin(req ledger.BeginRequest, reply *OwnerReply[ledger.BeginReply]) error {
 	return serve(v.s.localBegin, req, reply)
 }
 
 // Finish implements the net/rpc method.
-func (v *service) Finish(req ledger.FinishRequest, reply *Word[ledger.FinishReply]) error {
+func (v *service) Finish(req ledger.FinishRequest, reply *OwnerReply[ledger.FinishReply]) error {
 	return serve(v.s.localFinish, req, reply)
 }
 
 // Request implements the net/rpc method.
-func (v *service) Request(key string, reply *Word[ledger.KeptRequest]) error {
+func (v *service) Request(key string, reply *OwnerReply[ledger.KeptRequest]) error {
 	return serve(v.s.localRequest, key, reply)
 }
 
 // OpenJob implements the net/rpc method.
-func (v *service) OpenJob(req ledger.JobOpenRequest, reply *Word[ledger.JobOpenReply]) error {
+func (v *service) OpenJob(req ledger.JobOpenRequest, reply *OwnerReply[ledger.JobOpenReply]) error {
 	return serve(v.s.localOpenJob, req, reply)
 }
 
 // AddItems implements the net/rpc method.
-func (v *service) AddItems(req ledger.JobChunkRequest, reply *Word[ledger.JobChunkReply]) error {
+func (v *service) AddItems(req ledger.JobChunkRequest, reply *OwnerReply[ledger.JobChunkReply]) error {
 	return serve(v.s.localAddItems, req, reply)
 }
 
 // CommitJob implements the net/rpc method.
-func (v *service) CommitJob(req ledger.JobCommitRequest, reply *Word[ledger.JobCommitReply]) error {
+func (v *service) CommitJob(req ledger.JobCommitRequest, reply *OwnerReply[ledger.JobCommitReply]) error {
 	return serve(v.s.localCommitJob, req, reply)
 }
 
 // Job implements the net/rpc method.
-func (v *service) Job(job string, reply *Word[ledger.JobStatus]) error {
+func (v *service) Job(job string, reply *OwnerReply[ledger.JobStatus]) error {
 	return serve(v.s.localJob, job, reply)
 }
 
 // Results implements the net/rpc method.
-func (v *service) Results(req ledger.ResultsRequest, reply *Word[ledger.ResultsReply]) error {
+func (v *service) Results(req ledger.ResultsRequest, reply *OwnerReply[ledger.ResultsReply]) error {
 	return serve(v.s.localResults, req, reply)
 }
 
 // Item implements the net/rpc method.
-func (v *service) Item(req ItemRequest, reply *Word[ledger.ItemResult]) error {
+func (v *service) Item(req ItemRequest, reply *OwnerReply[ledger.ItemResult]) error {
 	return serve(v.s.localItem, req, reply)
 }
 
 // CancelJob implements the net/rpc method.
-func (v *service) CancelJob(job string, reply *Word[ledger.JobStatus]) error {
+func (v *service) CancelJob(job string, reply *OwnerReply[ledger.JobStatus]) error {
 	return serve(v.s.localCancelJob, job, reply)
 }
 
 // Pull implements the net/rpc method.
-func (v *service) Pull(req ledger.PullRequest, reply *Word[ledger.PullReply]) error {
+func (v *service) Pull(req ledger.PullRequest, reply *OwnerReply[ledger.PullReply]) error {
 	return serve(v.s.localPull, req, reply)
 }
 
 // FinishItems implements the net/rpc method.
-func (v *service) FinishItems(req ledger.FinishItemsRequest, reply *Word[ledger.FinishItemsReply]) error {
+func (v *service) FinishItems(req ledger.FinishItemsRequest, reply *OwnerReply[ledger.FinishItemsReply]) error {
 	return serve(v.s.localFinishItems, req, reply)
 }
 
 // TakeOver implements the net/rpc method. The last holder has released the shard to this
 // daemon, which claims it without waiting for its turn.
-func (v *service) TakeOver(req TakeOverRequest, _ *Nothing) error {
+func (v *service) TakeOver(req TakeOverRequest, _ *Empty) error {
 	if req.Shard < 0 || req.Shard >= len(v.s.slots) {
 		return nil
 	}
--- a/daemon/shards/shards.go
+++ b/daemon/shards/shards.go
@@ -76,7 +76,7 @@
 	graceUntil time.Time
 	calls      map[ledger.CallID]chan ledger.Reply
 	lastCall   ledger.CallID
-	figures    ledger.Figures // of earlier owners
+	figures    ledger.Stats // of earlier owners
 }
 
 // New validates the options and registers the rpc service.
@@ -139,13 +139,13 @@
 // the owner requests. The caller holds sl.mu. Reply channels have a buffer for their one
 // reply.
 func (s *Shards) deliver(sl *slot) {
-	for _, r := range sl.owner.Replies() {
+	for _, r := range sl.owner.TakeReplies() {
 		if ch := sl.calls[r.Call]; ch != nil {
 			delete(sl.calls, r.Call)
 			ch <- r
 		}
 	}
-	for _, job := range sl.owner.Revokes() {
+	for _, job := range sl.owner.TakeRevocations() {
 		s.group.Go(func(ctx context.Context) { s.revoke(ctx, sl, job) })
 	}
 }
@@ -192,8 +192,8 @@
 	return ledger.OwnerConfig{
 		Shard: id, Self: s.opt.View.Self().ID(),
 		Live: s.opt.View.LiveID, GroupOf: s.opt.GroupOf, Limits: s.limits,
-		LeaseMs: s.opt.Lease.Milliseconds(), PaceMs: s.opt.AppendPace.Milliseconds(),
-		UrgentMs: s.opt.UrgentPace.Milliseconds(), RetentionMs: s.opt.Retention.Milliseconds(),
+		LeaseMs: s.opt.Lease.Milliseconds(), AppendIntervalMs: s.opt.AppendInterval.Milliseconds(),
+		UrgentIntervalMs: s.opt.UrgentInterval.Milliseconds(), RetentionMs: s.opt.Retention.Milliseconds(),
 	}
 }
 
--- a/daemon/signal/sender.go
+++ b/daemon/signal/sender.go
@@ -64,7 +64,7 @@
 	loads           map[string]*load
 	seq             uint64
 	local           Receiver
-	onTargetReports func([]Word)
+	onTargetReports func([]TargetReport)
 	inFlight        map[string]bool
 }
 
@@ -110,7 +110,7 @@
 
 // OnTargetReports sets the function that receives the stewards' reports. It must be
 // called before Run; the function must return at once.
-func (s *Sender) OnWords(f func([]Word)) { s.onTargetReports = f }
+func (s *Sender) OnTargetReports(f func([]TargetReport)) { s.onTargetReports = f }
 
 // Watch sets the targets that may be picked. Their stewards' reports are requested now
 // and then even while none of this daemon's requests runs there: otherwise a target that
@@ -300,7 +300,7 @@
 	}
 }
 
-func (s *Sender) receive(reports []Word) {
+func (s *Sender) receive(reports []TargetReport) {
 	if s.onTargetReports != nil && len(reports) > 0 {
 		s.onTargetReports(reports)
 	}
--- a/daemon/signal/sender_test.go
+++ b/daemon/signal/sender_test.go
@@ -50,14 +50,14 @@
 	block    chan struct{}
 }
 
-func (s *steward) OnSignal(sig signal.Signal) []signal.Word {
+func (s *steward) OnSignal(sig signal.Signal) []signal.TargetReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.signals++
-	var words []signal.Word
+	var words []signal.TargetReport
 	for _, t := range sig.Targets {
 		s.online[t.Address] = t.Online
-		words = append(words, signal.Word{Address: t.Address, OnlineTotal: t.Online + 5})
+		words = append(words, signal.TargetReport{Address: t.Address, OnlineTotal: t.Online + 5})
 	}
 	return words
 }
@@ -157,7 +157,7 @@
 		sender.SetLocal(local)
 		var mu sync.Mutex
 		heard := map[string]int{}
-		sender.OnWords(func(words []signal.Word) {
+		sender.OnTargetReports(func(words []signal.TargetReport) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, w := range words {
--- a/daemon/signal/types.go
+++ b/daemon/signal/types.go
@@ -36,7 +36,7 @@
 }
 
 // TargetReport is a steward's report on one target.
-type Word struct {
+type TargetReport struct {
 	// Address is the target's IP:PORT.
 	Address string
 	// OnlineTotal counts the online requests of all daemons that run there.
@@ -53,12 +53,12 @@
 
 // Reply answers a Signal with a TargetReport for each of its targets.
 type Reply struct {
-	Words []Word
+	Words []TargetReport
 }
 
 // Receiver is the steward's side of a signal. It is safe for concurrent use.
 type Receiver interface {
 	// OnSignal applies a daemon's counts and returns a report for each named target whose
 	// steward this daemon is. It must return at once.
-	OnSignal(s Signal) []Word
+	OnSignal(s Signal) []TargetReport
 }
--- a/daemon/steward/decide.go
+++ b/daemon/steward/decide.go
@@ -42,7 +42,7 @@
 	queue := s.queueForLocked(now, t)
 	t.mu.Lock()
 	action := t.core.Step(now, queue)
-	t.reason = action.Why
+	t.reason = action.Reason
 	cancelled := t.cancelLocked(action.Cancel)
 	t.mu.Unlock()
 	s.meter.countPreempted(t, cancelled)
@@ -50,7 +50,7 @@
 		s.logPreemption(now, t, cancelled)
 	}
 	for range action.Admit {
-		if !s.startNextLocked(now, t, queue.Suspect, action.Small) {
+		if !s.startNextLocked(now, t, queue.Suspect, action.SmallPrefill) {
 			return
 		}
 	}
@@ -106,8 +106,8 @@
 		}
 		q.Waiting++
 		// Counting one is enough: alongside online work, one item starts at a time.
-		if q.Small == 0 && it.smallPrefillLocked(t) {
-			q.Small = 1
+		if q.SmallPrefill == 0 && it.smallPrefillLocked(t) {
+			q.SmallPrefill = 1
 		}
 		if q.NextDue.IsZero() || it.due.Before(q.NextDue) {
 			q.NextDue, q.Weight, q.Forecast = it.due, it.weight, s.jobFinishLocked(it)
--- a/daemon/steward/headofline_test.go
+++ b/daemon/steward/headofline_test.go
@@ -82,7 +82,7 @@
 		w := &queueObserver{Engine: client, running: map[string]int{}, queued: map[string]int{}}
 		b.opts.Engine = w
 		b.opts.PolicyOf = func(*config.TargetGroup) admission.Policy {
-			p := admission.DefaultGiveWay()
+			p := admission.DefaultPreemptive()
 			p.Fill = observedSlots - 1
 			return p
 		}
--- a/daemon/steward/load.go
+++ b/daemon/steward/load.go
@@ -41,5 +41,5 @@
 		return
 	}
 	t.report, t.reportAt = report, now
-	t.core.Load(now, now.Sub(time.UnixMilli(report.AtMs)), report.Running, report.Waiting)
+	t.core.ApplyReport(now, now.Sub(time.UnixMilli(report.AtMs)), report.Running, report.Waiting)
 }
--- a/daemon/steward/meter.go
+++ b/daemon/steward/meter.go
@@ -57,7 +57,7 @@
 	}
 	m.removeTarget(t)
 	m.set.NewGauge(inFlightName(t), read(func() float64 { return float64(t.core.Running()) }))
-	m.set.NewGauge(shareName(t), read(t.core.Share))
+	m.set.NewGauge(shareName(t), read(t.core.BatchShare))
 }
 
 // removeTarget unregisters the gauges of a target.
--- a/daemon/steward/options.go
+++ b/daemon/steward/options.go
@@ -143,7 +143,7 @@
 		return OptionsError.New("Engine or Service is missing")
 	}
 	if o.PolicyOf == nil {
-		o.PolicyOf = func(*config.TargetGroup) admission.Policy { return admission.DefaultGiveWay() }
+		o.PolicyOf = func(*config.TargetGroup) admission.Policy { return admission.DefaultPreemptive() }
 	}
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
--- a/daemon/steward/policy_bench_test.go
+++ b/daemon/steward/policy_bench_test.go
@@ -101,7 +101,7 @@
 // the time from a burst's first request to the last batch token. Run it with -benchtime=1x;
 // one round takes some 20 seconds for each policy.
 func BenchmarkPolicies(b *testing.B) {
-	filled := admission.DefaultGiveWay()
+	filled := admission.DefaultPreemptive()
 	filled.Fill = 6
 	for _, c := range []struct {
 		name   string
@@ -112,10 +112,10 @@
 		{"no_batch", admission.FCFS{}, 0, 0},
 		{"fcfs", admission.FCFS{}, 0, 4000},
 		{"static_reserve_4", admission.StaticReserve{Free: 4}, 0, 4000},
-		{"give_way_0", admission.DefaultGiveWay(), 0, 4000},
+		{"give_way_0", admission.DefaultPreemptive(), 0, 4000},
 		{"give_way_0_fill_6", filled, 0, 4000},
-		{"give_way_0.5", admission.DefaultGiveWay(), 0.5, 4000},
-		{"give_way_1", admission.DefaultGiveWay(), 1, 4000},
+		{"give_way_0.5", admission.DefaultPreemptive(), 0.5, 4000},
+		{"give_way_1", admission.DefaultPreemptive(), 1, 4000},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			RegisterTestingT(b)
--- a/daemon/steward/pull.go
+++ b/daemon/steward/pull.go
@@ -123,7 +123,7 @@
 			continue
 		}
 		t.mu.Lock()
-		if limit := t.core.Room(now, weight); limit > 0 {
+		if limit := t.core.BatchLimit(now, weight); limit > 0 {
 			wanted += max(2*limit-t.core.Running(), 0)
 		}
 		t.mu.Unlock()
--- a/daemon/steward/run.go
+++ b/daemon/steward/run.go
@@ -110,7 +110,7 @@
 	}
 	t.core.Admitted(now, admission.Stream{
 		ID: r.id, Due: it.due, Base: it.weight, Forecast: s.jobFinishLocked(it),
-		Suspect: it.suspect, Pinned: it.pinned, Small: small,
+		Suspect: it.suspect, Pinned: it.pinned, SmallPrefill: small,
 	})
 	r.alone = t.core.Alone(now, r.id)
 	t.runs[r.id] = r
--- a/daemon/steward/signals.go
+++ b/daemon/steward/signals.go
@@ -8,10 +8,10 @@
 // so it only updates counts under the target's lock, which is never held for long, and
 // queues a decision without waiting for it. Targets of other stewards are omitted from the
 // reply.
-func (s *Steward) OnSignal(sig signal.Signal) []signal.Word {
+func (s *Steward) OnSignal(sig signal.Signal) []signal.TargetReport {
 	targets := s.assignedTargets()
 	self := s.selfID()
-	reports := make([]signal.Word, 0, len(sig.Targets))
+	reports := make([]signal.TargetReport, 0, len(sig.Targets))
 	for _, load := range sig.Targets {
 		t := targets[load.Address]
 		if t == nil {
@@ -27,7 +27,7 @@
 	return reports
 }
 
-func (s *Steward) applySignal(t *targetState, sig signal.Signal, load signal.TargetLoad) (signal.Word, bool) {
+func (s *Steward) applySignal(t *targetState, sig signal.Signal, load signal.TargetLoad) (signal.TargetReport, bool) {
 	now := s.opts.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -40,7 +40,7 @@
 			t.onlineStartAt = now
 		}
 	}
-	report := signal.Word{
+	report := signal.TargetReport{
 		Address:      t.address,
 		OnlineTotal:  t.core.Online(now),
 		BatchRunning: t.core.Running(),
--- a/daemon/steward/status.go
+++ b/daemon/steward/status.go
@@ -42,7 +42,7 @@
 	// ReportAgeMs is -1 if there is no load report yet.
 	ReportAgeMs int64 `json:"report_age_ms"`
 	// BlockedBy is the reason why no further batch is admitted; "" if there is none.
-	HeldBack string `json:"held_back"`
+	BlockedBy string `json:"held_back"`
 }
 
 // GroupStatus describes the work for one group.
@@ -109,7 +109,7 @@
 		Online:      t.core.Online(now),
 		Running:     t.core.Running(),
 		ReportAgeMs: -1,
-		HeldBack:    string(t.reason),
+		BlockedBy:   string(t.reason),
 	}
 	if !t.reportAt.IsZero() {
 		st.ReportAgeMs = now.Sub(t.reportAt).Milliseconds()
--- a/daemon/steward/steward.go
+++ b/daemon/steward/steward.go
@@ -28,8 +28,8 @@
 	log         *zap.Logger
 	meter       *meter
 	group       *duty.Group
-	decideQueue *duty.Ring[*targetState]
-	ends        *duty.Ring[endedItem]
+	decideQueue *duty.Queue[*targetState]
+	ends        *duty.Queue[endedItem]
 	// targets is replaced as a whole, so that OnSignal can look up targets without a lock.
 	targets atomic.Pointer[map[string]*targetState]
 
@@ -68,8 +68,8 @@
 	s := &Steward{
 		opts:           opts,
 		log:            opts.Logger,
-		decideQueue:    duty.NewRing[*targetState](decideQueueSize),
-		ends:           duty.NewRing[endedItem](maxUndelivered),
+		decideQueue:    duty.NewQueue[*targetState](decideQueueSize),
+		ends:           duty.NewQueue[endedItem](maxUndelivered),
 		held:           make(map[itemKey]*heldItem),
 		queued:         make(map[string][]*heldItem),
 		suspectTargets: make(map[string]*targetState),
--- a/daemon/steward/steward_test.go
+++ b/daemon/steward/steward_test.go
@@ -49,7 +49,7 @@
 		b.skew.Add(int64(time.Second))
 		b.decideAll()
 		Expect(b.engine.Calls()).To(HaveLen(2), "nothing starts alongside online work")
-		Expect(b.Status().Targets[0].HeldBack).To(Equal("online_running"))
+		Expect(b.Status().Targets[0].BlockedBy).To(Equal("online_running"))
 
 		b.online(0)
 		close(gate)
--- a/daemon/suspects/suspects.go
+++ b/daemon/suspects/suspects.go
@@ -73,7 +73,7 @@
 	Limit func() int
 	// BroadcastWait bounds how long Crashed waits for the other daemons to receive the
 	// crash; default 100 ms.
-	TellWait time.Duration
+	BroadcastWait time.Duration
 	// Clock returns the time; default time.Now.
 	Clock func() time.Time
 	// Logger gets one line for each quarantined request; may be nil.
@@ -110,8 +110,8 @@
 	if o.View == nil || o.Peer == nil || o.Registrar == nil || o.Limit == nil {
 		return nil, badOptions.New("View, Peer, Registrar and Limit are required")
 	}
-	if o.TellWait <= 0 {
-		o.TellWait = defaultBroadcastWait
+	if o.BroadcastWait <= 0 {
+		o.BroadcastWait = defaultBroadcastWait
 	}
 	if o.Clock == nil {
 		o.Clock = time.Now
@@ -168,7 +168,7 @@
 	if round == nil {
 		return
 	}
-	timer := time.NewTimer(t.opt.TellWait)
+	timer := time.NewTimer(t.opt.BroadcastWait)
 	defer timer.Stop()
 	select {
 	case <-round:
@@ -196,7 +196,7 @@
 	changed := false
 	for _, c := range crashes {
 		before := t.quarantinedBy(c)
-		if !t.core.Hear(now, c) {
+		if !t.core.Apply(now, c) {
 			continue
 		}
 		changed = true
@@ -208,14 +208,14 @@
 func (t *Tracker) quarantinedBy(c retry.Crash) map[string]bool {
 	quarantined := map[string]bool{}
 	for _, f := range c.Running {
-		quarantined[f] = t.core.Verdict(f) == retry.Condemned
+		quarantined[f] = t.core.Verdict(f) == retry.Quarantined
 	}
 	return quarantined
 }
 
 func (t *Tracker) logQuarantined(c retry.Crash, before map[string]bool) {
 	for _, f := range c.Running {
-		if before[f] || t.core.Verdict(f) != retry.Condemned {
+		if before[f] || t.core.Verdict(f) != retry.Quarantined {
 			continue
 		}
 		t.opt.Logger.Warn("request_condemned",
@@ -300,7 +300,7 @@
 	}
 	done := make(chan struct{})
 	calls.Go(func() { round.Wait(); close(done) })
-	timer := time.NewTimer(t.opt.TellWait)
+	timer := time.NewTimer(t.opt.BroadcastWait)
 	defer timer.Stop()
 	select {
 	case <-done:
--- a/daemon/suspects/suspects_test.go
+++ b/daemon/suspects/suspects_test.go
@@ -58,7 +58,7 @@
 	server, client := peer.NewServer(peer.ServerOptions{}), peer.NewClient(peer.ClientOptions{})
 	tracker, err := suspects.New(suspects.Options{
 		View: view{fleet: f, self: self}, Peer: client, Registrar: server,
-		Limit: func() int { return 2 }, TellWait: time.Minute,
+		Limit: func() int { return 2 }, BroadcastWait: time.Minute,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	go func() { _ = server.Serve(listener) }()
@@ -84,15 +84,15 @@
 		a, b, c := startDaemon(f, "a"), startDaemon(f, "b"), startDaemon(f, "c")
 		run(a, b, c)
 		a.Crashed(retry.Crash{Target: "t1", Running: []string{"drawing", "menu"}, Total: 2})
-		Eventually(func() retry.Verdict { return b.Verdict("drawing") }).Should(Equal(retry.Isolated))
+		Eventually(func() retry.Verdict { return b.Verdict("drawing") }).Should(Equal(retry.PreferAlone))
 		b.Crashed(retry.Crash{Target: "t2", Running: []string{"drawing"}, Total: 1})
 		for _, t := range []*suspects.Tracker{a, b, c} {
-			Eventually(func() retry.Verdict { return t.Verdict("drawing") }).Should(Equal(retry.Condemned))
-			Expect(t.Verdict("menu")).NotTo(Equal(retry.Condemned))
+			Eventually(func() retry.Verdict { return t.Verdict("drawing") }).Should(Equal(retry.Quarantined))
+			Expect(t.Verdict("menu")).NotTo(Equal(retry.Quarantined))
 		}
 		late := startDaemon(f, "late")
 		run(late)
-		Eventually(func() retry.Verdict { return late.Verdict("drawing") }, "5s").Should(Equal(retry.Condemned))
+		Eventually(func() retry.Verdict { return late.Verdict("drawing") }, "5s").Should(Equal(retry.Quarantined))
 	})
 
 	// The caller of a request is refused after a crash and sends it again at once, to the
@@ -104,7 +104,7 @@
 		run(a, b)
 		for _, name := range []string{"drawing", "model", "map"} {
 			a.Crashed(retry.Crash{Target: "t1", Running: []string{name}, Total: 1})
-			Expect(b.Verdict(name)).To(Equal(retry.Isolated), name)
+			Expect(b.Verdict(name)).To(Equal(retry.PreferAlone), name)
 		}
 	})
 
@@ -115,9 +115,9 @@
 		a, b := startDaemon(f, "a"), startDaemon(f, "b")
 		run(a, b)
 		a.Crashed(retry.Crash{Target: "t1", Running: []string{"drawing", "menu"}, Total: 2})
-		Eventually(func() retry.Verdict { return b.Verdict("menu") }).Should(Equal(retry.Isolated))
+		Eventually(func() retry.Verdict { return b.Verdict("menu") }).Should(Equal(retry.PreferAlone))
 		b.Completed("menu")
 		Eventually(func() retry.Verdict { return a.Verdict("menu") }).Should(Equal(retry.Clear))
-		Expect(a.Verdict("drawing")).To(Equal(retry.Isolated))
+		Expect(a.Verdict("drawing")).To(Equal(retry.PreferAlone))
 	})
 })
--- a/daemon/trail/trail.go
+++ b/daemon/trail/trail.go
@@ -14,10 +14,10 @@
 )
 
 // MaxEvents is the number of events that are kept.
-const Kept = 256
+const MaxEvents = 256
 
 // EventNames lists the log events that record a decision.
-var Kinds = []string{
+var EventNames = []string{
 	"batch_held_back",
 	"config_in_force",
 	"item_failed",
@@ -55,29 +55,29 @@
 }
 
 // History is a bounded list of events. It is safe for concurrent use.
-type Trail struct {
+type History struct {
 	mu     sync.Mutex
 	events []Event
 	next   int
 }
 
 // New returns an empty history.
-func New() *Trail { return &Trail{} }
+func New() *History { return &History{} }
 
 // add adds the event; if the history is full, it replaces the oldest one.
-func (t *Trail) add(e Event) {
+func (t *History) add(e Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.events) < Kept {
+	if len(t.events) < MaxEvents {
 		t.events = append(t.events, e)
 		return
 	}
 	t.events[t.next] = e
-	t.next = (t.next + 1) % Kept
+	t.next = (t.next + 1) % MaxEvents
 }
 
 // Events returns the kept events, oldest first.
-func (t *Trail) Events() []Event {
+func (t *History) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append(slices.Clone(t.events[t.next:]), t.events[:t.next]...)
@@ -85,7 +85,7 @@
 
 // Wrap returns a logger that writes like l and also records decisions in t, regardless of
 // l's level.
-func (t *Trail) Wrap(l *zap.Logger) *zap.Logger {
+func (t *History) Wrap(l *zap.Logger) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewTee(c, &core{history: t})
 	}))
@@ -93,7 +93,7 @@
 
 // core is the zap core that records decisions.
 type core struct {
-	history *Trail
+	history *History
 	fields  []zapcore.Field
 }
 
@@ -108,7 +108,7 @@
 
 // Check implements zapcore.Core.
 func (c *core) Check(e zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if c.Enabled(e.Level) && slices.Contains(Kinds, e.Message) {
+	if c.Enabled(e.Level) && slices.Contains(EventNames, e.Message) {
 		return checked.AddCore(e, c)
 	}
 	return checked
--- a/daemon/trail/trail_test.go
+++ b/daemon/trail/trail_test.go
@@ -22,14 +22,14 @@
 		quiet := zap.New(zapcore.NewNopCore())
 		log := kept.Wrap(quiet).With(zap.String("host", "entry-1"))
 		log.Info("request", zap.Int("status", 200))
-		for n := range trail.Kept + 3 {
+		for n := range trail.MaxEvents + 3 {
 			log.Info("shard_lost", zap.Int("shard", n))
 		}
 		events := kept.Events()
-		Expect(events).To(HaveLen(trail.Kept))
+		Expect(events).To(HaveLen(trail.MaxEvents))
 		Expect(events[0].Fields).To(HaveKeyWithValue("shard", int64(3)))
 		last := events[len(events)-1]
 		Expect(last.Event).To(Equal("shard_lost"))
-		Expect(last.Fields).To(And(HaveKeyWithValue("shard", int64(trail.Kept+2)), HaveKeyWithValue("host", "entry-1")))
+		Expect(last.Fields).To(And(HaveKeyWithValue("shard", int64(trail.MaxEvents+2)), HaveKeyWithValue("host", "entry-1")))
 	})
 })
--- a/extern/partlog/fakepartlog/fakepartlog.go
+++ b/extern/partlog/fakepartlog/fakepartlog.go
@@ -43,8 +43,8 @@
 
 type partition struct {
 	first   int64
-	records []partlog.Kept
-	newest  map[string]partlog.Kept
+	records []partlog.StoredRecord
+	newest  map[string]partlog.StoredRecord
 }
 
 type group struct {
@@ -74,7 +74,7 @@
 func (l *Log) LimitNewest(n int) { l.set(func() { l.serveEvery = n }) }
 
 // SetNotificationsLost makes waiting reads not wake up for new records.
-func (l *Log) SetDeaf(lost bool) { l.set(func() { l.notificationsLost = lost }) }
+func (l *Log) SetNotificationsLost(lost bool) { l.set(func() { l.notificationsLost = lost }) }
 
 // LoseAnswers makes the next n appends take effect but fail as Unknown.
 func (l *Log) LoseAnswers(n int) { l.set(func() { l.answersToLose = n }) }
@@ -84,7 +84,7 @@
 func (l *Log) DelayAppends(n int) { l.set(func() { l.appendsToDelay = n }) }
 
 // RunDelayed executes the delayed appends.
-func (l *Log) Settle() {
+func (l *Log) RunDelayed() {
 	l.set(func() {
 		delayed := l.delayed
 		l.delayed = nil
@@ -119,7 +119,7 @@
 func (l *Log) part(p partlog.Partition) *partition {
 	at := l.parts[p]
 	if at == nil {
-		at = &partition{newest: map[string]partlog.Kept{}}
+		at = &partition{newest: map[string]partlog.StoredRecord{}}
 		l.parts[p] = at
 	}
 	return at
@@ -155,11 +155,11 @@
 	}
 	to := l.part(p)
 	offset := to.end()
-	if at != partlog.Anywhere && at != offset {
+	if at != partlog.AnyOffset && at != offset {
 		return 0, partlog.Conflict.New("ends at %d, not at %d", offset, at)
 	}
 	for _, r := range records {
-		kept := partlog.Kept{Record: r, Offset: to.end()}
+		kept := partlog.StoredRecord{Record: r, Offset: to.end()}
 		to.records = append(to.records, kept)
 		if len(r.Value) == 0 {
 			delete(to.newest, r.Key)
@@ -228,24 +228,24 @@
 		return partlog.NewestPage{}, partlog.Limited.New("too many calls")
 	}
 	at := l.part(p)
-	var all []partlog.Kept
+	var all []partlog.StoredRecord
 	for key, k := range at.newest {
 		if key > after {
 			all = append(all, k)
 		}
 	}
-	slices.SortFunc(all, func(a, b partlog.Kept) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(all, func(a, b partlog.StoredRecord) int { return cmp.Compare(a.Key, b.Key) })
 	page := partlog.NewestPage{End: at.end(), More: len(all) > l.pageSize, At: time.Now()}
 	page.Records = all[:min(l.pageSize, len(all))]
 	return page, nil
 }
 
 // Join implements partlog.Groups. It assigns partitions to the members round-robin.
-func (l *Log) Join(_ context.Context, name, member string, topics []string, _ time.Duration, _ int64) (partlog.Claim, error) {
+func (l *Log) Join(_ context.Context, name, member string, topics []string, _ time.Duration, _ int64) (partlog.Assignment, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
-		return partlog.Claim{}, partlog.Unavailable.New("down")
+		return partlog.Assignment{}, partlog.Unavailable.New("down")
 	}
 	g := l.groups[name]
 	if g == nil {
@@ -257,7 +257,7 @@
 		g.generation++
 	}
 	g.topics = topics
-	claim := partlog.Claim{Generation: g.generation}
+	claim := partlog.Assignment{Generation: g.generation}
 	memberIndex := slices.Index(g.members, member)
 	for _, topic := range topics {
 		for part := range l.partsPerTopic {
--- a/extern/partlog/follow.go
+++ b/extern/partlog/follow.go
@@ -25,31 +25,31 @@
 	Position() int64
 	// Load replaces the reader's state by the newest record of each key, in log order,
 	// as of the offset end.
-	Load(records []Kept, end int64)
+	Load(records []StoredRecord, end int64)
 	// Apply applies the records that follow.
-	Take(page Page)
+	Apply(page Page)
 	// CallEnded is called after each call with its error. The records before Position
 	// are all that the partition contained at the time asOf, which is zero if the call
 	// failed or more records are known to follow.
-	Heard(asOf time.Time, err error)
+	CallEnded(asOf time.Time, err error)
 }
 
 // ReadOptions sets how often a partition is read.
-type Pace struct {
+type ReadOptions struct {
 	// Wait is how long a read waits for records.
 	Wait time.Duration
 	// Linger is the pause after each read that returned records, so that a busy
 	// partition is read in few calls.
-	Gather time.Duration
+	Linger time.Duration
 	// MaxBackoff bounds the pause after failed calls; 0 means a default that is below the
 	// one second within which a change has to be seen.
-	LongestPause time.Duration
+	MaxBackoff time.Duration
 }
 
 // Follow loads the partition into r and then keeps r up to date until ctx is done.
-func Follow(ctx context.Context, log Log, p Partition, opts Pace, r Reader) {
-	if opts.LongestPause <= 0 {
-		opts.LongestPause = maxBackoff
+func Follow(ctx context.Context, log Log, p Partition, opts ReadOptions, r Reader) {
+	if opts.MaxBackoff <= 0 {
+		opts.MaxBackoff = maxBackoff
 	}
 	f := follower{log: log, partition: p, opts: opts, reader: r}
 	backoff := initialBackoff
@@ -58,15 +58,15 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.Heard(asOf, err)
+		r.CallEnded(asOf, err)
 		f.failed = err != nil
 		switch {
 		case err != nil:
 			sleep(ctx, backoff/2+rand.N(backoff/2+1))
-			backoff = min(2*backoff, opts.LongestPause)
+			backoff = min(2*backoff, opts.MaxBackoff)
 		case received:
 			backoff = initialBackoff
-			sleep(ctx, opts.Gather)
+			sleep(ctx, opts.Linger)
 		default:
 			backoff = initialBackoff
 		}
@@ -77,7 +77,7 @@
 type follower struct {
 	log       Log
 	partition Partition
-	opts      Pace
+	opts      ReadOptions
 	reader    Reader
 	// loading is the load that a failed call interrupted, nil if there is none.
 	loading *loader
@@ -102,7 +102,7 @@
 	if err != nil {
 		return false, time.Time{}, err
 	}
-	f.reader.Take(page)
+	f.reader.Apply(page)
 	if page.Next >= page.End {
 		asOf = page.At
 	}
@@ -163,7 +163,7 @@
 	end     int64
 	at      time.Time
 	after   string
-	records []Kept
+	records []StoredRecord
 }
 
 func newLoader(p Partition) *loader { return &loader{partition: p, end: -1} }
@@ -200,7 +200,7 @@
 
 // deliver loads the records into r in log order.
 func (l *loader) deliver(r Reader) {
-	slices.SortFunc(l.records, func(a, b Kept) int { return cmp.Compare(a.Offset, b.Offset) })
+	slices.SortFunc(l.records, func(a, b StoredRecord) int { return cmp.Compare(a.Offset, b.Offset) })
 	r.Load(l.records, l.end)
 }
 
--- a/extern/partlog/follow_test.go
+++ b/extern/partlog/follow_test.go
@@ -37,7 +37,7 @@
 	return r.position
 }
 
-func (r *recorder) Load(records []partlog.Kept, end int64) {
+func (r *recorder) Load(records []partlog.StoredRecord, end int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.values, r.order = map[string]string{}, nil
@@ -45,21 +45,21 @@
 	r.position = end
 }
 
-func (r *recorder) Take(page partlog.Page) {
+func (r *recorder) Apply(page partlog.Page) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.apply(page.Records)
 	r.position = page.Next
 }
 
-func (r *recorder) apply(records []partlog.Kept) {
+func (r *recorder) apply(records []partlog.StoredRecord) {
 	for _, k := range records {
 		r.values[k.Key] = string(k.Value)
 		r.order = append(r.order, k.Key)
 	}
 }
 
-func (r *recorder) Heard(asOf time.Time, err error) {
+func (r *recorder) CallEnded(asOf time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failing = err != nil
@@ -105,10 +105,10 @@
 		p   = partlog.Partition{Topic: "t"}
 	)
 	put := func(key, value string) {
-		_, err := log.Append(context.Background(), p, []partlog.Record{{Key: key, Value: []byte(value)}}, partlog.Anywhere)
+		_, err := log.Append(context.Background(), p, []partlog.Record{{Key: key, Value: []byte(value)}}, partlog.AnyOffset)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	pace := partlog.Pace{Wait: 50 * time.Millisecond}
+	pace := partlog.ReadOptions{Wait: 50 * time.Millisecond}
 	follow := func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -124,7 +124,7 @@
 	BeforeEach(func() {
 		log = fakepartlog.New(1)
 		r = &recorder{position: -1}
-		pace.Gather = 0
+		pace.Linger = 0
 	})
 
 	// Guards against a reader that takes a partial read for the whole partition while more
@@ -139,7 +139,7 @@
 		for i := range 3 {
 			records = append(records, partlog.Record{Key: "k", Value: []byte(fmt.Sprint(i))})
 		}
-		_, err := log.Append(context.Background(), p, records, partlog.Anywhere)
+		_, err := log.Append(context.Background(), p, records, partlog.AnyOffset)
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(r.caughtUpAt).WithTimeout(limit).Should(Equal([]int64{1, 4}))
 	})
@@ -148,7 +148,7 @@
 	// That target gets requests until the reader has read the records appended since.
 	It("reads on at once after the first load", func() {
 		put("k", "1")
-		pace.Gather = time.Hour
+		pace.Linger = time.Hour
 		follow()
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("1"))
 		put("k", "2")
@@ -198,7 +198,7 @@
 	})
 
 	It("receives new records within its wait although the waiting read is not notified", func() {
-		log.SetDeaf(true)
+		log.SetNotificationsLost(true)
 		follow()
 		Eventually(r.Position).WithTimeout(limit).Should(BeZero())
 		put("k", "1")
