--- a/extern/partlog/partlog.go
+++ b/extern/partlog/partlog.go
@@ -22,7 +22,7 @@
 }
 
 // StoredRecord is a record with its offset.
-type Kept struct {
+type StoredRecord struct {
 	Record
 	Offset int64
 	// Unreadable reports that no key and value could be decoded from the stored bytes,
@@ -32,7 +32,7 @@
 
 // AnyOffset is the offset of an unconditional append, which does not depend on the
 // partition's end.
-const Anywhere int64 = -1
+const AnyOffset int64 = -1
 
 // Page is the result of a read: consecutive records from the requested offset on.
 type Page struct {
@@ -42,7 +42,7 @@
 	// End is the offset that the next append will get.
 	End int64
 	// Records are in log order.
-	Records []Kept
+	Records []StoredRecord
 	// At is when the response began to arrive: the log may have grown since.
 	At time.Time
 }
@@ -50,7 +50,7 @@
 // NewestPage is one page of the newest records of each key. Pages are read one after
 // the other and do not form a consistent snapshot.
 type NewestPage struct {
-	Records []Kept
+	Records []StoredRecord
 	// More reports whether another page follows the last key of this one.
 	More bool
 	// End is the partition's end when the page was read.
@@ -75,7 +75,7 @@
 }
 
 // Assignment is the set of partitions assigned to a member of a group.
-type Claim struct {
+type Assignment struct {
 	// Generation increases with each change in the group.
 	Generation int64
 	// Parts are the member's partitions.
@@ -85,7 +85,7 @@
 // Groups assigns the partitions of topics to the members of a group.
 type Groups interface {
 	// Join joins the group or renews the membership for ttl.
-	Join(ctx context.Context, group, member string, topics []string, ttl time.Duration, generation int64) (Claim, error)
+	Join(ctx context.Context, group, member string, topics []string, ttl time.Duration, generation int64) (Assignment, error)
 	// Owners returns the member that each partition is assigned to. The caller need
 	// not be a member.
 	Owners(ctx context.Context, group string) (map[Partition]string, error)
--- a/load/client.go
+++ b/load/client.go
@@ -22,7 +22,7 @@
 // NewClient returns a client of the daemons at the given base URLs and of the
 // engines at the given addresses.
 func NewClient(daemons, engines []string, token string) *Client {
-	pool := caller.Pooled()
+	pool := caller.NewHTTPClient()
 	c := &Client{Engines: engines, direct: target.NewEngineClient(target.DefaultClientOptions())}
 	for _, base := range daemons {
 		c.Daemons = append(c.Daemons, &caller.Client{HTTP: pool, Base: base, Token: token})
--- a/load/command.go
+++ b/load/command.go
@@ -152,7 +152,7 @@
 
 // publisher returns a function that publishes the current configuration with the given
 // settings applied, and one that publishes the current configuration again.
-func publisher(ctx context.Context, daemon *caller.Client, profile string) (Switcher, func(context.Context) error, error) {
+func publisher(ctx context.Context, daemon *caller.Client, profile string) (SettingsPublisher, func(context.Context) error, error) {
 	original, err := daemon.Config(ctx)
 	if err != nil {
 		return nil, nil, err
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -51,27 +51,27 @@
 
 // SettingsPublisher publishes the original configuration with the given settings, and
 // no others, applied.
-type Switcher func(ctx context.Context, settings []Setting) error
+type SettingsPublisher func(ctx context.Context, settings []Setting) error
 
 // Result is the outcome of one arm over all rounds.
 type Result struct {
 	Arm     Arm
-	Figures Figures
+	Summary Summary
 	// Rounds are the summaries of the single rounds.
-	Rounds []Figures
+	Rounds []Summary
 }
 
 // armTotals accumulates the rounds of one arm.
 type armTotals struct {
 	all     *Recorder
-	rounds  []Figures
+	rounds  []Summary
 	batch   int
 	seconds float64
 }
 
 // Run runs the plan and returns one result per arm. It calls progress with a line of
 // text after each arm of each round.
-func Run(ctx context.Context, client *Client, plan Plan, apply Switcher, progress func(string)) ([]Result, error) {
+func Run(ctx context.Context, client *Client, plan Plan, apply SettingsPublisher, progress func(string)) ([]Result, error) {
 	tallies := make([]armTotals, len(plan.Arms))
 	for i := range tallies {
 		tallies[i].all = NewRecorder()
@@ -93,12 +93,12 @@
 			}
 			f := tallies[i].rounds[round]
 			progress(fmt.Sprintf("round=%d arm=%s ttft_p99_ms=%.1f gap_p99_ms=%.1f failed=%d batch_per_second=%.1f",
-				round, arm.Name, f.FirstP99, f.BetweenP99, f.Failed, f.BatchPerSecond))
+				round, arm.Name, f.FirstTokenP99, f.InterTokenP99, f.Failed, f.BatchPerSecond))
 		}
 	}
 	results := make([]Result, len(plan.Arms))
 	for i, t := range tallies {
-		results[i] = Result{Arm: plan.Arms[i], Figures: t.summary(t.all, t.batch, t.seconds), Rounds: t.rounds}
+		results[i] = Result{Arm: plan.Arms[i], Summary: t.summary(t.all, t.batch, t.seconds), Rounds: t.rounds}
 	}
 	return results, nil
 }
@@ -118,7 +118,7 @@
 
 // warmUp runs one round of online and batch load without recording it. Otherwise the
 // first arm alone would bear the cost of filling the caches with the shared prefixes.
-func warmUp(ctx context.Context, client *Client, plan Plan, apply Switcher) error {
+func warmUp(ctx context.Context, client *Client, plan Plan, apply SettingsPublisher) error {
 	if err := apply(ctx, nil); err != nil {
 		return err
 	}
@@ -140,8 +140,8 @@
 	return nil
 }
 
-func (t *armTotals) summary(rec *Recorder, done int, seconds float64) Figures {
-	f := rec.Figures()
+func (t *armTotals) summary(rec *Recorder, done int, seconds float64) Summary {
+	f := rec.Summary()
 	f.RoundSeconds = seconds
 	f.BatchCompleted = done
 	f.BatchPerSecond = float64(done) / seconds
--- a/load/recorder.go
+++ b/load/recorder.go
@@ -78,11 +78,11 @@
 }
 
 // Summary is the measurement of an arm. Times are in milliseconds.
-type Figures struct {
-	Sent, Failed            int
-	FirstTokenP50, FirstP99 float64
-	BetweenP50, BetweenP99  float64
-	TotalP50, TotalP99      float64
+type Summary struct {
+	Sent, Failed                 int
+	FirstTokenP50, FirstTokenP99 float64
+	InterTokenP50, InterTokenP99 float64
+	TotalP50, TotalP99           float64
 	// OnlinePerSecond is the rate of successful requests, BatchPerSecond that of
 	// completed items.
 	OnlinePerSecond float64
@@ -94,15 +94,15 @@
 }
 
 // Summary returns the percentiles and counts of the recorded samples.
-func (r *Recorder) Figures() Figures {
+func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := Figures{
+	f := Summary{
 		Sent:          r.sent,
 		FirstTokenP50: millis(r.firstToken, 50),
-		FirstP99:      millis(r.firstToken, 99),
-		BetweenP50:    millis(r.interToken, 50),
-		BetweenP99:    millis(r.interToken, 99),
+		FirstTokenP99: millis(r.firstToken, 99),
+		InterTokenP50: millis(r.interToken, 50),
+		InterTokenP99: millis(r.interToken, 99),
 		TotalP50:      millis(r.total, 50),
 		TotalP99:      millis(r.total, 99),
 	}
--- a/load/report.go
+++ b/load/report.go
@@ -28,12 +28,12 @@
 	tw := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, tableHead)
 	for _, r := range results {
-		f := r.Figures
+		f := r.Summary
 		base := baseOf(results, r.Arm)
 		fmt.Fprintf(tw, "%s\t%d\t%d\t%.1f\t%.1f\t%s\t%.1f\t%.1f\t%s\t%.1f\t%s\t%s\t\n",
 			r.Arm.Name, f.Sent, f.Failed,
-			f.FirstTokenP50, f.FirstP99, ratioWithRange(r, base, func(f Figures) float64 { return f.FirstP99 }),
-			f.BetweenP50, f.BetweenP99, ratioWithRange(r, base, func(f Figures) float64 { return f.BetweenP99 }),
+			f.FirstTokenP50, f.FirstTokenP99, ratioWithRange(r, base, func(f Summary) float64 { return f.FirstTokenP99 }),
+			f.InterTokenP50, f.InterTokenP99, ratioWithRange(r, base, func(f Summary) float64 { return f.InterTokenP99 }),
 			f.BatchPerSecond, ratio(f.BatchPerSecond, capacity),
 			ratio(f.BatchPerSecond, IdleCapacity(capacity, f)))
 	}
@@ -41,8 +41,8 @@
 		return err
 	}
 	for _, r := range results {
-		if r.Figures.FirstError != "" {
-			fmt.Fprintf(w, "arm %s: a failed request: %s\n", r.Arm.Name, r.Figures.FirstError)
+		if r.Summary.FirstError != "" {
+			fmt.Fprintf(w, "arm %s: a failed request: %s\n", r.Arm.Name, r.Summary.FirstError)
 		}
 	}
 	return nil
@@ -51,14 +51,14 @@
 // IdleCapacity returns the batch throughput that the online load leaves available, in
 // items a second. Prompts and answers of requests and items are of the same lengths, so
 // each answered request uses the capacity of one item.
-func IdleCapacity(batchAlone float64, f Figures) float64 {
+func IdleCapacity(batchAlone float64, f Summary) float64 {
 	return max(batchAlone-f.OnlinePerSecond, 0)
 }
 
 func capacityOf(results []Result) float64 {
 	for _, r := range results {
 		if r.Arm.Batch && !r.Arm.Online {
-			return r.Figures.BatchPerSecond
+			return r.Summary.BatchPerSecond
 		}
 	}
 	return 0
@@ -75,8 +75,8 @@
 }
 
 // ratioWithRange formats the ratio over all rounds and the range over single rounds.
-func ratioWithRange(r, base Result, of func(Figures) float64) string {
-	all := ratio(of(r.Figures), of(base.Figures))
+func ratioWithRange(r, base Result, of func(Summary) float64) string {
+	all := ratio(of(r.Summary), of(base.Summary))
 	if all == noRatio || len(r.Rounds) < 2 || len(base.Rounds) != len(r.Rounds) {
 		return all
 	}
@@ -117,7 +117,7 @@
 }
 
 func csvLine(r Result) []string {
-	f := r.Figures
+	f := r.Summary
 	settings := make([]string, len(r.Arm.Settings))
 	for i, s := range r.Arm.Settings {
 		settings[i] = s.Key + "=" + s.Value
@@ -125,7 +125,7 @@
 	line := []string{r.Arm.Name, strings.Join(settings, " "),
 		strconv.FormatBool(r.Arm.Online), strconv.FormatBool(r.Arm.Batch),
 		strconv.Itoa(f.Sent), strconv.Itoa(f.Failed)}
-	for _, v := range []float64{f.FirstTokenP50, f.FirstP99, f.BetweenP50, f.BetweenP99, f.TotalP50, f.TotalP99} {
+	for _, v := range []float64{f.FirstTokenP50, f.FirstTokenP99, f.InterTokenP50, f.InterTokenP99, f.TotalP50, f.TotalP99} {
 		line = append(line, strconv.FormatFloat(v, 'f', 2, 64))
 	}
 	return append(line, strconv.Itoa(f.BatchCompleted),
@@ -152,8 +152,8 @@
 			continue
 		}
 		names = append(names, r.Arm.Name)
-		first = append(first, r.Figures.FirstP99)
-		interToken = append(interToken, r.Figures.BetweenP99)
+		first = append(first, r.Summary.FirstTokenP99)
+		interToken = append(interToken, r.Summary.InterTokenP99)
 	}
 	if len(names) == 0 {
 		return nil
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -30,7 +30,7 @@
 // AsyncWriter writes log lines asynchronously: a pipe that nobody reads fills up quickly,
 // and a request must not wait for it. Lines that do not fit are dropped and counted.
 // Warnings and errors have a separate queue, so that ordinary lines are dropped first.
-type Bounded struct {
+type AsyncWriter struct {
 	out           io.Writer
 	ordinary      *ring
 	urgent        *ring
@@ -53,8 +53,8 @@
 
 // NewAsync returns a logger like New whose lines are written by a separate goroutine.
 // Close writes the lines that are still queued.
-func NewBounded(out io.Writer, level string) (*zap.Logger, zap.AtomicLevel, *Bounded) {
-	b := &Bounded{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+func NewAsync(out io.Writer, level string) (*zap.Logger, zap.AtomicLevel, *AsyncWriter) {
+	b := &AsyncWriter{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	b.ordinary = newRing(ordinaryRing, ordinaryPerSecond, b.wake)
 	b.urgent = newRing(urgentRing, urgentPerSecond, b.wake)
 	atomicLevel := zap.NewAtomicLevelAt(zapcore.InfoLevel)
@@ -107,11 +107,11 @@
 func (r *ring) Sync() error { return nil }
 
 // Dropped returns the number of dropped lines.
-func (b *Bounded) Dropped() uint64 { return b.ordinary.dropped.Load() + b.urgent.dropped.Load() }
+func (b *AsyncWriter) Dropped() uint64 { return b.ordinary.dropped.Load() + b.urgent.dropped.Load() }
 
 // Close writes the queued lines and ends the goroutine. It stops waiting after the given
 // time if the output blocks.
-func (b *Bounded) Close(within time.Duration) {
+func (b *AsyncWriter) Close(within time.Duration) {
 	b.stopOnce.Do(func() { close(b.stop) })
 	select {
 	case <-b.done:
@@ -120,7 +120,7 @@
 }
 
 // run writes the queued lines in batches, urgent ones first.
-func (b *Bounded) run() {
+func (b *AsyncWriter) run() {
 	defer close(b.done)
 	for {
 		select {
@@ -133,7 +133,7 @@
 	}
 }
 
-func (b *Bounded) drain() {
+func (b *AsyncWriter) drain() {
 	var buffer bytes.Buffer
 	for {
 		line := b.next()
@@ -150,7 +150,7 @@
 }
 
 // next returns a queued line, nil if there is none.
-func (b *Bounded) next() []byte {
+func (b *AsyncWriter) next() []byte {
 	select {
 	case line := <-b.urgent.lines:
 		return line
@@ -166,7 +166,7 @@
 
 // reportDropped appends a line to the buffer if more lines were dropped since the last
 // report.
-func (b *Bounded) reportDropped(buffer *bytes.Buffer) {
+func (b *AsyncWriter) reportDropped(buffer *bytes.Buffer) {
 	dropped := b.Dropped()
 	if dropped == b.reportedDrops {
 		return
@@ -178,7 +178,7 @@
 
 // flush writes the buffer. If the write fails, the lines are counted as dropped, and
 // nothing else happens.
-func (b *Bounded) flush(buffer *bytes.Buffer) {
+func (b *AsyncWriter) flush(buffer *bytes.Buffer) {
 	if buffer.Len() == 0 {
 		return
 	}
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -40,7 +40,7 @@
 	// synchronous writes every request that logs would hang.
 	It("blocks nobody while its output takes nothing, and keeps the ends of failed requests", func() {
 		out := &pipe{open: make(chan struct{})}
-		logger, _, bounded := logging.NewBounded(out, "info")
+		logger, _, bounded := logging.NewAsync(out, "info")
 		for i := range 20_000 {
 			logger.Info("served", zap.Int("i", i))
 		}
@@ -58,7 +58,7 @@
 	It("writes everything that fits, in order, before it closes", func() {
 		out := &pipe{open: make(chan struct{})}
 		close(out.open)
-		logger, _, bounded := logging.NewBounded(out, "info")
+		logger, _, bounded := logging.NewAsync(out, "info")
 		for i := range 100 {
 			logger.Info("line", zap.Int("i", i))
 		}
--- a/settings/front.go
+++ b/settings/front.go
@@ -22,8 +22,8 @@
 	PeerAddress, MetricsAddress string
 	// LogAddress is the IP:PORT of the platform's log, LogPartitions the number of
 	// partitions of a topic there.
-	LogAddress string
-	LogParts   int
+	LogAddress    string
+	LogPartitions int
 	// MemoryMB bounds the memory of the process, in MiB.
 	MemoryMB int
 	// BodiesMB bounds the memory for the bodies of requests and responses together, in
@@ -92,7 +92,7 @@
 	v.address("metrics_address", &f.MetricsAddress)
 	v.section("log_service")
 	v.address("address", &f.LogAddress)
-	v.number("partitions", &f.LogParts, 1, maxPartitions)
+	v.number("partitions", &f.LogPartitions, 1, maxPartitions)
 	v.section("limits")
 	v.number("memory_mb", &f.MemoryMB, minMemoryMB, maxMemoryMB)
 	v.number("bodies_mb", &f.BodiesMB, 0, maxMemoryMB)
--- a/settings/front_test.go
+++ b/settings/front_test.go
@@ -25,7 +25,7 @@
 	It("keep the defaults", func() {
 		f, err := settings.ParseFront("f.ini", minimalFront)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(f.LogParts).To(Equal(12))
+		Expect(f.LogPartitions).To(Equal(12))
 		Expect(f.StopGrace).To(Equal(8 * time.Second))
 		Expect(f.JobsReadable).To(Equal(2 * time.Minute))
 	})
--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -39,17 +39,17 @@
 	if errors.As(err, &httpError) {
 		status, message = httpError.Code, fmt.Sprint(httpError.Message)
 	}
-	_ = Refuse(c, status, message)
+	_ = WriteError(c, status, message)
 }
 
 // WriteError answers with the status and a wire.Error body.
-func Refuse(c echo.Context, status int, message string) error {
+func WriteError(c echo.Context, status int, message string) error {
 	return c.JSON(status, wire.Error{Error: message})
 }
 
 // WriteTooManyRequests answers 429 with the time to wait before a retry: in the
 // Retry-After header rounded up to whole seconds, in the body to whole milliseconds.
-func TooMany(c echo.Context, retryAfter time.Duration) error {
+func WriteTooManyRequests(c echo.Context, retryAfter time.Duration) error {
 	seconds := int64((retryAfter + time.Second - 1) / time.Second)
 	c.Response().Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	ms := int64((retryAfter + time.Millisecond - 1) / time.Millisecond)
@@ -86,6 +86,6 @@
 
 // AbortConnection closes the request's connection without an answer. It does not
 // return.
-func Cut() {
+func AbortConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -16,8 +16,8 @@
 
 // Options configures the platform's stand-ins.
 type Options struct {
-	Log  logsvc.Options
-	List hostlist.Options
+	Log   logsvc.Options
+	Hosts hostlist.Options
 }
 
 // Deployment is a running set of stand-ins.
@@ -56,7 +56,7 @@
 	if d.Log, err = logsvc.New(opts.Log); err != nil {
 		return err
 	}
-	if d.Hosts, err = hostlist.New(opts.List); err != nil {
+	if d.Hosts, err = hostlist.New(opts.Hosts); err != nil {
 		return err
 	}
 	models := []extern.Weights{{Model: d.Shape.Model, Version: "1", Bytes: 1 << 30}, {Model: d.Shape.Model, Version: "2", Bytes: 1 << 30}}
--- a/standin/deployment/shape.go
+++ b/standin/deployment/shape.go
@@ -37,7 +37,7 @@
 	ActionPath string
 	// ExamplePrompt is the text of an example chat request, ExampleAction the JSON
 	// body of an example non-repeatable call.
-	Question, Action string
+	ExamplePrompt, ExampleAction string
 	// Due is the batch profile's due time, as written in the configuration.
 	Due string
 	// BatchWeight trades online tail latency (0) against batch throughput (1).
@@ -73,8 +73,8 @@
 		ActionProfile: "place-order",
 		BatchProfile:  "prep-sheets",
 		ActionPath:    "/orders",
-		Question:      "Is there pho today?",
-		Action:        `{"room":12,"dish":"pho"}`,
+		ExamplePrompt: "Is there pho today?",
+		ExampleAction: `{"room":12,"dish":"pho"}`,
 		Due:           "6h",
 		BatchWeight:   0,
 	}
@@ -93,8 +93,8 @@
 		ActionProfile: "stamp-revision",
 		BatchProfile:  "bundle-index",
 		ActionPath:    "/revisions",
-		Question:      "Which revision of sheet A-101 is current?",
-		Action:        `{"sheet":"A-101","revision":"C"}`,
+		ExamplePrompt: "Which revision of sheet A-101 is current?",
+		ExampleAction: `{"sheet":"A-101","revision":"C"}`,
 		Due:           "8h",
 		BatchWeight:   0.6,
 	}
--- a/standin/faultproxy/control.go
+++ b/standin/faultproxy/control.go
@@ -27,14 +27,14 @@
 		return err
 	}
 	if err := faults.validate(); err != nil {
-		return control.Refuse(c, http.StatusBadRequest, err.Error())
+		return control.WriteError(c, http.StatusBadRequest, err.Error())
 	}
 	return p.applyFaults(c, faults)
 }
 
 func (p *Proxy) applyFaults(c echo.Context, faults Faults) error {
 	if err := p.SetFaults(faults); err != nil {
-		return control.Refuse(c, http.StatusConflict, err.Error())
+		return control.WriteError(c, http.StatusConflict, err.Error())
 	}
 	return c.JSON(http.StatusOK, p.Faults())
 }
--- a/standin/hostlist/server.go
+++ b/standin/hostlist/server.go
@@ -148,7 +148,7 @@
 func (s *Server) get(c echo.Context) error {
 	view, outage := s.visible()
 	if outage {
-		return control.Refuse(c, http.StatusServiceUnavailable, "the host list is out of service")
+		return control.WriteError(c, http.StatusServiceUnavailable, "the host list is out of service")
 	}
 	return c.JSON(http.StatusOK, view)
 }
@@ -169,17 +169,17 @@
 		host.Name = control.Param(c, "name")
 	}
 	if host.Name != control.Param(c, "name") {
-		return control.Refuse(c, http.StatusBadRequest, "the body names another host")
+		return control.WriteError(c, http.StatusBadRequest, "the body names another host")
 	}
 	if err := s.Put(host); err != nil {
-		return control.Refuse(c, http.StatusBadRequest, err.Error())
+		return control.WriteError(c, http.StatusBadRequest, err.Error())
 	}
 	return s.getCurrent(c)
 }
 
 func (s *Server) remove(c echo.Context) error {
 	if !s.Remove(control.Param(c, "name")) {
-		return control.Refuse(c, http.StatusNotFound, "no such host")
+		return control.WriteError(c, http.StatusNotFound, "no such host")
 	}
 	return s.getCurrent(c)
 }
@@ -190,7 +190,7 @@
 		return err
 	}
 	if err := s.SetFaults(faults); err != nil {
-		return control.Refuse(c, http.StatusBadRequest, err.Error())
+		return control.WriteError(c, http.StatusBadRequest, err.Error())
 	}
 	return c.JSON(http.StatusOK, faults)
 }
--- a/standin/logsvc/server.go
+++ b/standin/logsvc/server.go
@@ -144,7 +144,7 @@
 		return err
 	}
 	if err := s.SetFaults(faults); err != nil {
-		return control.Refuse(c, http.StatusBadRequest, err.Error())
+		return control.WriteError(c, http.StatusBadRequest, err.Error())
 	}
 	return c.JSON(http.StatusOK, faults)
 }
--- a/standin/logsvc/streams.go
+++ b/standin/logsvc/streams.go
@@ -48,9 +48,9 @@
 
 func (s *Server) fail(c echo.Context) error {
 	if s.failure(c) == FailCut {
-		control.Cut()
+		control.AbortConnection()
 	}
-	return control.Refuse(c, http.StatusServiceUnavailable, "the log is out of service")
+	return control.WriteError(c, http.StatusServiceUnavailable, "the log is out of service")
 }
 
 func (s *Server) append(c echo.Context) error {
@@ -65,7 +65,7 @@
 	}
 	if wait := s.reserve(); wait > 0 {
 		s.counters.countRejected(true)
-		return control.TooMany(c, wait)
+		return control.WriteTooManyRequests(c, wait)
 	}
 	faults, _ := s.faults.get()
 	time.Sleep(faults.appendDelay())
@@ -74,7 +74,7 @@
 	lost := s.faults.loseAnswer()
 	s.counters.countAppend(now, len(data), lost)
 	if lost {
-		control.Cut()
+		control.AbortConnection()
 	}
 	return c.JSON(http.StatusOK, wire.Appended{Offset: offset})
 }
@@ -82,10 +82,10 @@
 func (s *Server) writeBodyError(c echo.Context, err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return control.Refuse(c, http.StatusRequestEntityTooLarge,
+		return control.WriteError(c, http.StatusRequestEntityTooLarge,
 			"a record has at most "+strconv.Itoa(s.opts.MaxRecordBytes)+" bytes")
 	}
-	return control.Refuse(c, http.StatusBadRequest, err.Error())
+	return control.WriteError(c, http.StatusBadRequest, err.Error())
 }
 
 // reserve takes one append from the rate limit and returns 0, or returns the time
--- a/standin/weights/server.go
+++ b/standin/weights/server.go
@@ -100,13 +100,13 @@
 	reservation := s.limiter.ReserveN(now, 1)
 	if wait := reservation.DelayFrom(now); wait > 0 {
 		reservation.CancelAt(now)
-		return control.TooMany(c, wait)
+		return control.WriteTooManyRequests(c, wait)
 	}
 	s.mu.Lock()
 	weights, ok := s.models[version{control.Param(c, "model"), control.Param(c, "version")}]
 	s.mu.Unlock()
 	if !ok {
-		return control.Refuse(c, http.StatusNotFound, "no such model version")
+		return control.WriteError(c, http.StatusNotFound, "no such model version")
 	}
 	return c.JSON(http.StatusOK, weights)
 }
@@ -123,7 +123,7 @@
 	}
 	weights := extern.Weights{Model: control.Param(c, "model"), Version: control.Param(c, "version"), Bytes: body.Bytes}
 	if err := s.Put(weights); err != nil {
-		return control.Refuse(c, http.StatusBadRequest, err.Error())
+		return control.WriteError(c, http.StatusBadRequest, err.Error())
 	}
 	return c.JSON(http.StatusOK, weights)
 }
--- a/target/h1/exchange.go
+++ b/target/h1/exchange.go
@@ -45,10 +45,10 @@
 	// Deadline ends the whole exchange.
 	Deadline time.Time
 	// MaxWait is the maximum wait for the answer's head; with 0 only Deadline applies.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Matches reports whether an answer with this status and header belongs to this
 	// request. Answers that don't are skipped; nil accepts every answer.
-	Mine func(status int, header http.Header) bool
+	Matches func(status int, header http.Header) bool
 }
 
 // Answer is an answer whose body is still to be read. Close must be called.
@@ -81,7 +81,7 @@
 		return nil, NotSent.Wrap(err, "%s", address)
 	}
 	written := p.write(c, r)
-	if err := setReadTimeout(c, o.Deadline, o.Patience); err != nil {
+	if err := setReadTimeout(c, o.Deadline, o.MaxWait); err != nil {
 		return nil, abandon(c, release, err)
 	}
 	response, err := readHead(c, r, o)
@@ -172,7 +172,7 @@
 			}
 			continue
 		}
-		if o.Mine == nil || o.Mine(response.StatusCode, response.Header) {
+		if o.Matches == nil || o.Matches(response.StatusCode, response.Header) {
 			return response, nil
 		}
 		if unmatched++; unmatched > maxUnmatched {
--- a/target/h1/h1_test.go
+++ b/target/h1/h1_test.go
@@ -47,7 +47,7 @@
 	options := func(id string) h1.Options {
 		return h1.Options{
 			MaxIdle: time.Minute, Deadline: time.Now().Add(limit),
-			Mine: func(_ int, header http.Header) bool { return header.Get("Id") == id },
+			Matches: func(_ int, header http.Header) bool { return header.Get("Id") == id },
 		}
 	}
 	request := func(id string) *h1.Request {
@@ -106,7 +106,7 @@
 		exchange("Keep-Alive: timeout=1")
 		Expect(pool.Idle()).To(Equal(2))
 		Eventually(func() int {
-			pool.Sweep()
+			pool.CloseExpired()
 			return pool.Idle()
 		}).WithTimeout(limit).Should(Equal(1))
 	})
@@ -129,7 +129,7 @@
 	// connection. Only the id in its header shows that it belongs to another request.
 	It("skips the late answer to another request", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
-			if r.Turn == 1 {
+			if r.Index == 1 {
 				rawtarget.Write(c, rawtarget.Whole(200, "stray", "Id: 1"))
 			}
 			echo(r, c)
@@ -143,7 +143,7 @@
 	// that resends the request on its own may run it twice.
 	It("never sends a request twice by itself", func() {
 		t := start(func(r *rawtarget.Request, c net.Conn) {
-			if r.Turn == 1 {
+			if r.Index == 1 {
 				rawtarget.Reset(c)
 				return
 			}
@@ -235,7 +235,7 @@
 		Expect(read(a)).To(Equal("too long"))
 		a.Close()
 		again, err := pool.Do(context.Background(), listener.Addr().String(), request("2"), h1.Options{
-			MaxIdle: time.Minute, Deadline: time.Now().Add(limit), Patience: 100 * time.Millisecond})
+			MaxIdle: time.Minute, Deadline: time.Now().Add(limit), MaxWait: 100 * time.Millisecond})
 		if err == nil {
 			again.Close()
 		}
@@ -250,7 +250,7 @@
 
 		mute := start(func(*rawtarget.Request, net.Conn) {})
 		o := options("1")
-		o.Patience = 50 * time.Millisecond
+		o.MaxWait = 50 * time.Millisecond
 		_, err = pool.Do(context.Background(), mute.Address, request("1"), o)
 		Expect(errorx.IsOfType(err, h1.Silent)).To(BeTrue(), "%v", err)
 		Eventually(mute.Open).WithTimeout(limit).Should(BeZero())
--- a/target/h1/pool.go
+++ b/target/h1/pool.go
@@ -77,7 +77,7 @@
 // NewPool returns an empty pool, which calls opened for each new connection.
 func NewPool(opened func()) *Pool {
 	return &Pool{
-		dialer: net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: sockets.DeadPeer},
+		dialer: net.Dialer{Timeout: DialTimeout, KeepAlive: -1, Control: sockets.DetectDeadPeer},
 		opened: opened,
 		idle:   map[string][]*conn{},
 	}
@@ -88,7 +88,7 @@
 func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration) (*conn, bool, error) {
 	for c := p.pop(address); c != nil; c = p.pop(address) {
 		idle := time.Since(c.idleSince)
-		if idle <= min(maxIdle, c.keepAlive) && sockets.Quiet(c.Conn.(*net.TCPConn)) {
+		if idle <= min(maxIdle, c.keepAlive) && sockets.StillIdle(c.Conn.(*net.TCPConn)) {
 			return c, false, nil
 		}
 		_ = c.Close()
@@ -155,7 +155,7 @@
 // It guards against a leak of file descriptors: a daemon sends each request to another
 // one of thousands of targets, and connections that their targets have closed would
 // hold descriptors until the same target is used again.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
@@ -186,7 +186,7 @@
 }
 
 // CloseIdle closes the idle connections to an address whose target was removed.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	list := p.idle[address]
 	delete(p.idle, address)
--- a/target/rawtarget/rawtarget.go
+++ b/target/rawtarget/rawtarget.go
@@ -20,7 +20,7 @@
 	Body              []byte
 	// Conn is the index of the connection, Index that of the request on its
 	// connection; both start at 0.
-	Conn, Turn int
+	Conn, Index int
 }
 
 // Target answers each request by calling a script.
@@ -81,7 +81,7 @@
 		if err != nil {
 			return
 		}
-		r := Request{Method: got.Method, URI: got.RequestURI, Host: got.Host, Header: got.Header, Body: body, Conn: number, Turn: turn}
+		r := Request{Method: got.Method, URI: got.RequestURI, Host: got.Host, Header: got.Header, Body: body, Conn: number, Index: turn}
 		t.mu.Lock()
 		t.requests = append(t.requests, r)
 		hook := t.hook
--- a/target/sockets/sockets.go
+++ b/target/sockets/sockets.go
@@ -24,7 +24,7 @@
 // whose other end lost power or was cut off without a reset, on which reads would hang
 // for minutes. With these options the kernel ends the connection after UserTimeout if
 // data is in flight, else after probeInterval*(probes+1).
-func DeadPeer(_, _ string, conn syscall.RawConn) error {
+func DetectDeadPeer(_, _ string, conn syscall.RawConn) error {
 	var optionErr error
 	err := conn.Control(func(fd uintptr) { optionErr = setOptions(int(fd)) })
 	if err != nil {
@@ -51,7 +51,7 @@
 
 // StillIdle reports whether nothing has arrived on an idle connection: no unexpected
 // bytes, no end of stream and no reset. It does not block.
-func Quiet(conn syscall.Conn) bool {
+func StillIdle(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -31,7 +31,7 @@
 				}
 				lost.Add(1)
 				expectRun(err, outcome.NotRun)
-				refused := caller.IsRefused(err)
+				refused := caller.AsRefusal(err)
 				Expect(refused.Status).To(Equal(409))
 				Expect(refused.Winner).NotTo(BeEmpty())
 				Expect(refused.Version).To(Equal(base + 1))
--- a/test/fleet/call.go
+++ b/test/fleet/call.go
@@ -95,15 +95,15 @@
 }
 
 // Kept reads the kept state of a key.
-func (f *Fleet) Kept(d *Daemon, key string) (caller.Kept, error) {
+func (f *Fleet) Kept(d *Daemon, key string) (caller.KeyedRequest, error) {
 	ctx, cancel := callContext()
 	defer cancel()
-	return d.Client.Kept(ctx, caller.Options{}, key)
+	return d.Client.KeyedRequest(ctx, caller.Options{}, key)
 }
 
 // Run returns the run state and code of an error; "" if it is no refusal.
 func Run(err error) (outcome.RunState, outcome.Code) {
-	refused := caller.IsRefused(err)
+	refused := caller.AsRefusal(err)
 	if refused == nil {
 		return "", ""
 	}
--- a/test/fleet/daemon.go
+++ b/test/fleet/daemon.go
@@ -63,7 +63,7 @@
 	d.start()
 	DeferCleanup(d.Kill)
 	httpAddress, peerAddress := d.addresses()
-	d.Client = &caller.Client{HTTP: caller.Pooled(), Base: "http://" + httpAddress, Token: Token}
+	d.Client = &caller.Client{HTTP: caller.NewHTTPClient(), Base: "http://" + httpAddress, Token: Token}
 	f.mu.Lock()
 	f.Daemons = append(f.Daemons, d)
 	f.mu.Unlock()
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -86,7 +86,7 @@
 	if o.Shape != nil {
 		o.Shape(&shape)
 	}
-	stand, err := deployment.Start(shape, deployment.Options{Log: o.Log, List: hostlist.Options{Lag: lag}})
+	stand, err := deployment.Start(shape, deployment.Options{Log: o.Log, Hosts: hostlist.Options{Lag: lag}})
 	Expect(err).NotTo(HaveOccurred())
 	f := &Fleet{Deployment: stand, opts: o, dir: GinkgoT().TempDir(), word: newTestimony()}
 	DeferCleanup(f.end)
@@ -110,7 +110,7 @@
 		ctx, cancel := callContext()
 		defer cancel()
 		_, err := f.Daemons[0].Client.PublishConfig(ctx, f.Config(), 0)
-		if refused := caller.IsRefused(err); refused != nil && refused.Version > 0 {
+		if refused := caller.AsRefusal(err); refused != nil && refused.Version > 0 {
 			return nil
 		}
 		return err
--- a/test/jobs_test.go
+++ b/test/jobs_test.go
@@ -37,7 +37,7 @@
 		for _, d := range f.Daemons {
 			_, err := f.Put(d, other)
 			expectRun(err, outcome.NotRun)
-			Expect(caller.IsRefused(err).Status).To(Equal(409))
+			Expect(caller.AsRefusal(err).Status).To(Equal(409))
 		}
 		f.WaitJob(f.Daemons[1], job)
 		f.CheckJob(job)
--- a/test/log_test.go
+++ b/test/log_test.go
@@ -24,7 +24,7 @@
 func expectLater(err error) {
 	GinkgoHelper()
 	expectRun(err, outcome.NotRun)
-	Expect(caller.IsRefused(err).RetryAfterMs).To(BeNumerically(">", 0))
+	Expect(caller.AsRefusal(err).RetryAfterMs).To(BeNumerically(">", 0))
 }
 
 var _ = Describe("The platform's log", func() {
--- a/test/whole_path_test.go
+++ b/test/whole_path_test.go
@@ -48,7 +48,7 @@
 		f := fleet.Start(fleet.Options{Daemons: 1})
 		_, err := f.Order(f.Daemons[0], "")
 		expectRun(err, outcome.NotRun)
-		Expect(caller.IsRefused(err).Status).To(Equal(400))
+		Expect(caller.AsRefusal(err).Status).To(Equal(400))
 	})
 
 	It("is worked by the command line", func() {
--- a/try/fleet.go
+++ b/try/fleet.go
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m := &member{
 		daemon: d,
-		client: &caller.Client{HTTP: caller.Pooled(), Base: "http://" + d.HTTPAddress(), Token: adminToken},
+		client: &caller.Client{HTTP: caller.NewHTTPClient(), Base: "http://" + d.HTTPAddress(), Token: adminToken},
 		cancel: cancel,
 		done:   make(chan struct{}),
 	}
@@ -91,7 +91,7 @@
 	text := f.standins.ConfigText()
 	err := retry(ctx, func() error {
 		_, err := f.daemons[0].client.PublishConfig(ctx, text, 0)
-		if refused := caller.IsRefused(err); refused != nil && refused.Winner != "" {
+		if refused := caller.AsRefusal(err); refused != nil && refused.Winner != "" {
 			return nil
 		}
 		return err
--- a/try/load.go
+++ b/try/load.go
@@ -168,7 +168,7 @@
 			count.orderAnswered(key, time.Since(begin), text)
 			return
 		}
-		if refused := caller.IsRefused(err); refused != nil && refused.Run != outcome.NotRun {
+		if refused := caller.AsRefusal(err); refused != nil && refused.Run != outcome.NotRun {
 			count.orderRefused(key, refused)
 			return
 		}
--- a/try/try.go
+++ b/try/try.go
@@ -81,9 +81,9 @@
 	fmt.Fprint(out, "\nTry, from another terminal:\n\n")
 	fmt.Fprintf(out, "DAEMON=%s\n", f.daemons[0].client.Base)
 	fmt.Fprintf(out, "curl -s $DAEMON%s -H 'Tarragon-Profile: %s' \\\n  -d '{\"model\":%q,\"messages\":[{\"role\":\"user\",\"content\":%q}]}'\n",
-		caller.ChatPath, f.shape.ChatProfile, f.shape.Model, f.shape.Question)
+		caller.ChatPath, f.shape.ChatProfile, f.shape.Model, f.shape.ExamplePrompt)
 	fmt.Fprintf(out, "curl -s $DAEMON/v1/services/%s%s -H 'Tarragon-Profile: %s' \\\n  -H 'Idempotency-Key: first-one' -d '%s'\n",
-		f.shape.Service, f.shape.ActionPath, f.shape.ActionProfile, f.shape.Action)
+		f.shape.Service, f.shape.ActionPath, f.shape.ActionProfile, f.shape.ExampleAction)
 	fmt.Fprintf(out, "\nAs an operator:\n\nexport TARRAGONHOLLOW_DAEMON=$DAEMON TARRAGONHOLLOW_TOKEN=%s\n", adminToken)
 	for _, command := range []string{"status", "config show", "report burn"} {
 		fmt.Fprintf(out, "go run ./cmd/tarragonhollow %s\n", command)
