--- a/test/fleet/call.go
+++ b/test/fleet/call.go
@@ -18,10 +18,10 @@
 	"tarragonhollow.example/tarragonhollow/target"
 )
 
-// MaxTokens bounds each answer.
+// MaxTokens is the max_tokens of each chat.
 const MaxTokens = 24
 
-// Prompt is the prompt with the given text.
+// Prompt returns the messages of a chat with the given text.
 func Prompt(text string) []target.Message {
 	return []target.Message{
 		{Role: "system", Content: "You answer for the house"},
@@ -29,12 +29,13 @@
 	}
 }
 
-// Expected is the whole answer to a prompt.
+// Expected returns the complete answer to a prompt.
 func (f *Fleet) Expected(text string) string {
 	return strings.Join(engine.ExpectedTokens(f.Shape.Model, Prompt(text), MaxTokens), "")
 }
 
-// Chat sends a chat completion, not streamed; an empty key sends none.
+// Chat sends a chat completion that is not streamed, without an idempotency key if
+// key is empty.
 func (f *Fleet) Chat(d *Daemon, key, text string) (string, error) {
 	return f.chat(key, text, func(o caller.Options, c caller.Chat) (string, error) {
 		ctx, cancel := callContext()
@@ -43,8 +44,8 @@
 	})
 }
 
-// Stream sends a streamed chat completion and returns what was read, also of a
-// stream that broke off.
+// Stream sends a streamed chat completion and returns the text read, also if the
+// stream broke off.
 func (f *Fleet) Stream(d *Daemon, key, text string) (string, error) {
 	return f.chat(key, text, func(o caller.Options, c caller.Chat) (string, error) {
 		ctx, cancel := callContext()
@@ -56,22 +57,22 @@
 }
 
 func (f *Fleet) chat(key, text string, send func(caller.Options, caller.Chat) (string, error)) (string, error) {
-	arrival := f.word.begin(subject{fingerprint: engine.Fingerprint(f.Shape.Model, Prompt(text))})
+	request := f.responses.begin(requestIdentity{fingerprint: engine.Fingerprint(f.Shape.Model, Prompt(text))})
 	answer, err := send(
 		caller.Options{Profile: f.Shape.ChatProfile, Key: key},
 		caller.Chat{Model: f.Shape.Model, MaxTokens: MaxTokens, Messages: Prompt(text)})
-	f.word.ended(arrival, err)
+	f.responses.ended(request, err)
 	return answer, err
 }
 
-// Order places a non-repeatable order and returns its execution's number.
+// Order places a non-repeatable order and returns the number of its execution.
 func (f *Fleet) Order(d *Daemon, key string) (execution int64, err error) {
-	arrival := f.word.begin(subject{key: key})
+	request := f.responses.begin(requestIdentity{key: key})
 	ctx, cancel := callContext()
 	defer cancel()
 	_, body, err := d.Client.Service(ctx, caller.Options{Profile: f.Shape.ActionProfile, Key: key}, http.MethodPost,
 		f.Shape.Service, f.Shape.ActionPath, []byte(fmt.Sprintf(`{"order":%q}`, key)))
-	f.word.ended(arrival, err)
+	f.responses.ended(request, err)
 	if err != nil {
 		return 0, err
 	}
@@ -94,14 +95,15 @@
 	return n
 }
 
-// Kept reads the kept state of a key.
+// Kept returns the stored state of a key.
 func (f *Fleet) Kept(d *Daemon, key string) (caller.Kept, error) {
 	ctx, cancel := callContext()
 	defer cancel()
 	return d.Client.Kept(ctx, caller.Options{}, key)
 }
 
-// Run returns the run state and code of an error; "" if it is no refusal.
+// RunState returns the run state and code of a refusal, and empty strings for any
+// other error.
 func Run(err error) (outcome.RunState, outcome.Code) {
 	refused := caller.IsRefused(err)
 	if refused == nil {
@@ -110,19 +112,19 @@
 	return refused.Run, refused.Code
 }
 
-// Impossible is the text of an item that no engine can do.
+// Impossible is a marker; every engine refuses an item whose text contains it.
 var Impossible = engine.DefaultOptions().ImpossibleMarker
 
 // Job is a batch job of prompts.
 type Job struct {
 	Name  string
 	Texts []string
-	// Profile, if set, replaces the deployment's batch profile.
+	// Profile is the batch profile; if empty, the deployment's default is used.
 	Profile string
 }
 
-// NewJob returns a job of n items; the one at impossible, if not negative, can
-// never be done.
+// NewJob returns a job of n items. The item at index impossible, if not negative,
+// fails on every engine.
 func NewJob(name string, n, impossible int) Job {
 	j := Job{Name: name}
 	for i := range n {
@@ -135,18 +137,18 @@
 	return j
 }
 
-// ItemID names the i-th item.
+// ItemID returns the custom ID of the i-th item.
 func ItemID(i int) string { return fmt.Sprintf("sheet-%03d", i) }
 
-// Put sends the job.
+// Put sends the job and reports whether the daemon created it.
 func (f *Fleet) Put(d *Daemon, j Job) (created bool, err error) {
 	GinkgoHelper()
 	lines := make([]caller.Line, len(j.Texts))
-	var arrivals []*arrival
+	var requests []*sentRequest
 	for i, text := range j.Texts {
 		chat := caller.Chat{Model: f.Shape.Model, MaxTokens: MaxTokens, Messages: Prompt(text)}
 		lines[i] = caller.Line{CustomID: ItemID(i), URL: caller.ChatPath, Body: chat}
-		arrivals = append(arrivals, f.word.begin(subject{fingerprint: engine.Fingerprint(f.Shape.Model, Prompt(text))}))
+		requests = append(requests, f.responses.begin(requestIdentity{fingerprint: engine.Fingerprint(f.Shape.Model, Prompt(text))}))
 	}
 	body, err := caller.EncodeLines(lines)
 	Expect(err).NotTo(HaveOccurred())
@@ -157,13 +159,13 @@
 	ctx, cancel := callContext()
 	defer cancel()
 	created, err = d.Client.PutJob(ctx, caller.Options{Profile: profile}, j.Name, body)
-	for _, a := range arrivals {
-		f.word.ended(a, err)
+	for _, a := range requests {
+		f.responses.ended(a, err)
 	}
 	return created, err
 }
 
-// MustPut sends the job until it is taken.
+// MustPut sends the job until a daemon accepts it.
 func (f *Fleet) MustPut(d *Daemon, j Job) {
 	GinkgoHelper()
 	Eventually(func() error {
@@ -179,8 +181,8 @@
 	return d.Client.Job(ctx, caller.Options{}, name)
 }
 
-// WaitJob waits until the job has ended as the daemon sees it. Its failure tells how far
-// the job has come, and how far some seconds later.
+// WaitJob waits until the daemon reports that the job has ended. On failure it prints
+// the job's progress twice, progressRecheckDelay apart.
 func (f *Fleet) WaitJob(d *Daemon, j Job) {
 	GinkgoHelper()
 	Eventually(func() (string, error) {
@@ -188,58 +190,58 @@
 		return job.State, err
 	}, 2*Bound, Poll).Should(Equal("ended"), func() string {
 		first := f.progress(j)
-		time.Sleep(laterProgress)
-		return fmt.Sprintf("job %s at %s\n%sand %s later\n%s", j.Name, d.Name, first, laterProgress, f.progress(j))
+		time.Sleep(progressRecheckDelay)
+		return fmt.Sprintf("job %s at %s\n%sand %s later\n%s", j.Name, d.Name, first, progressRecheckDelay, f.progress(j))
 	})
 }
 
-// laterProgress is how long after a wait has failed a job's progress is looked at again: it
-// tells a slow job from one that is stuck.
-const laterProgress = 5 * time.Second
+// progressRecheckDelay is the time between the two progress reports of a failed wait;
+// their difference distinguishes a slow job from a stuck one.
+const progressRecheckDelay = 5 * time.Second
 
-// progress tells, as each running daemon sees it, the counts of a job, the items that have
-// not ended, and what the daemon itself holds of any job.
+// progress returns a line for each running daemon with the job's counts and unfinished
+// items as that daemon reports them, and the number of items of any job that it holds.
 func (f *Fleet) progress(j Job) string {
 	var b strings.Builder
 	for _, d := range f.Running() {
 		job, err := f.JobState(d, j.Name)
-		fmt.Fprintf(&b, "%s: %+v, left %v, holds %d items, %v\n", d.Name, job.Counts, f.left(d, j), d.Status().Batch.Held, err)
+		fmt.Fprintf(&b, "%s: %+v, left %v, holds %d items, %v\n", d.Name, job.Counts, f.unfinishedItems(d, j), d.Status().Batch.Held, err)
 	}
 	return b.String()
 }
 
-// left lists the items of the job that the daemon has no end of.
-func (f *Fleet) left(d *Daemon, j Job) []string {
-	results, _ := f.Results(d, j.Name) // what can't be read is listed as left
+// unfinishedItems returns the items of the job for which the daemon has no result.
+func (f *Fleet) unfinishedItems(d *Daemon, j Job) []string {
+	results, _ := f.Results(d, j.Name) // on an error all items count as unfinished
 	ended := make(map[string]bool)
 	for _, r := range results {
 		ended[r.CustomID] = true
 	}
-	var left []string
+	var unfinished []string
 	for i := range j.Texts {
 		if !ended[ItemID(i)] {
-			left = append(left, ItemID(i))
+			unfinished = append(unfinished, ItemID(i))
 		}
 	}
-	return left
+	return unfinished
 }
 
-// Results reads the job's results from a daemon.
+// Results returns the job's results as a daemon reports them.
 func (f *Fleet) Results(d *Daemon, name string) ([]caller.Result, error) {
 	ctx, cancel := callContext()
 	defer cancel()
 	return d.Client.Results(ctx, caller.Options{}, name)
 }
 
-// CheckJob reads the ended job's results from every running daemon: each item
-// stands there once, with the answer to its own prompt, or failed if no engine
-// can do it.
+// CheckJob reads the ended job's results from every running daemon and expects each
+// item exactly once, with the answer to its own prompt, or failed if its text
+// contains Impossible.
 func (f *Fleet) CheckJob(j Job) {
 	GinkgoHelper()
 	f.CheckJobAt(f.Running(), j)
 }
 
-// CheckJobAt is CheckJob at some of the daemons.
+// CheckJobAt is CheckJob for the given daemons.
 func (f *Fleet) CheckJobAt(daemons []*Daemon, j Job) {
 	GinkgoHelper()
 	for _, d := range daemons {
@@ -256,8 +258,8 @@
 	var out []string
 	byID := map[string]caller.Result{}
 	for _, r := range results {
-		if _, twice := byID[r.CustomID]; twice {
-			out = append(out, r.CustomID+" stands twice")
+		if _, duplicate := byID[r.CustomID]; duplicate {
+			out = append(out, r.CustomID+" appears twice")
 		}
 		byID[r.CustomID] = r
 	}
@@ -315,10 +317,10 @@
 	return n
 }
 
-// ControlServices changes the faults of every service.
+// ControlServices sends the body to the control endpoint of every service.
 func (f *Fleet) ControlServices(body string) { f.control(f.ServiceAddresses, body) }
 
-// ControlEngines changes the faults of every engine.
+// ControlEngines sends the body to the control endpoint of every engine.
 func (f *Fleet) ControlEngines(body string) { f.control(f.EngineAddresses, body) }
 
 func (f *Fleet) control(addresses []string, body string) {
@@ -335,7 +337,7 @@
 	}
 }
 
-// Held counts the calls that frozen services hold.
+// Held counts the calls that frozen services have not answered yet.
 func (f *Fleet) Held() int {
 	n := 0
 	for _, s := range f.Services {
@@ -344,5 +346,5 @@
 	return n
 }
 
-// nowMs is the stand-ins' clock.
+// nowMs returns Unix time in milliseconds, the clock that the stand-ins also use.
 func nowMs() int64 { return time.Now().UnixMilli() }
--- a/test/fleet/daemon.go
+++ b/test/fleet/daemon.go
@@ -31,11 +31,11 @@
 
 // Daemon is one daemon process.
 type Daemon struct {
-	// Name and Zone are its own; a host that is replaced keeps its name.
+	// Name and Zone are those of its host; a replaced host keeps its name.
 	Name, Zone string
-	// Client speaks to it.
+	// Client sends requests to it.
 	Client *caller.Client
-	// Log is the proxy between it and the log.
+	// Log is the fault proxy between it and the log.
 	Log *faultproxy.Proxy
 
 	fleet   *Fleet
@@ -43,10 +43,10 @@
 	pid     int
 	logPath string
 	exited  chan struct{}
-	stopped atomic.Bool
+	paused  atomic.Bool
 }
 
-// Add starts one more daemon as host number i and puts it on the host list.
+// Add starts one more daemon as host number i and adds it to the host list.
 func (f *Fleet) Add(i int) *Daemon {
 	GinkgoHelper()
 	proxy, err := faultproxy.New(faultproxy.Options{Target: strings.TrimPrefix(f.LogURL, "http://")})
@@ -98,7 +98,7 @@
 	defer output.Close()
 	d.cmd = exec.Command(Binary(), "serve", "--settings", file)
 	d.cmd.Stdout, d.cmd.Stderr = output, output
-	// A test binary that dies without its cleanup leaves no daemon behind.
+	// The daemon ends with the test binary, also if that dies before its cleanup.
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	Expect(d.cmd.Start()).To(Succeed())
 	d.pid = d.cmd.Process.Pid
@@ -110,7 +110,7 @@
 
 var startedLine = regexp.MustCompile(`event=started .*http_address=(\S+) peer_address=(\S+)`)
 
-// addresses reads the daemon's addresses from its first log line.
+// addresses reads the daemon's addresses from its "started" log line.
 func (d *Daemon) addresses() (httpAddress, peerAddress string) {
 	GinkgoHelper()
 	var found [][]byte
@@ -123,29 +123,30 @@
 	return string(found[1]), string(found[2])
 }
 
-// Kill ends the process as a lost host would, and takes it off the host list.
+// Kill ends the process with SIGKILL, as the loss of its host would, and removes it
+// from the host list.
 func (d *Daemon) Kill() {
 	d.signal(syscall.SIGKILL)
 	<-d.exited
 	d.fleet.unlist(d)
 }
 
-// Pause stops the process without its noticing; Resume lets it go on.
+// Pause suspends the process with SIGSTOP until Resume.
 func (d *Daemon) Pause() {
-	d.stopped.Store(true)
+	d.paused.Store(true)
 	d.signal(syscall.SIGSTOP)
 }
 
-// Resume ends Pause.
+// Resume continues a paused process.
 func (d *Daemon) Resume() {
 	d.signal(syscall.SIGCONT)
-	d.stopped.Store(false)
+	d.paused.Store(false)
 }
 
-// Terminate asks the process to stop gracefully.
+// Terminate sends SIGTERM, which starts a graceful stop.
 func (d *Daemon) Terminate() { d.signal(syscall.SIGTERM) }
 
-// WaitExit waits for the end of a graceful stop, which must report success.
+// WaitExit waits until the process has exited, which must be with exit code 0.
 func (d *Daemon) WaitExit() {
 	GinkgoHelper()
 	Eventually(d.exited, Bound, Poll).Should(BeClosed(), "%s stops", d.Name)
@@ -161,7 +162,8 @@
 	}
 }
 
-// unlist takes the host off the list unless its name runs again.
+// unlist removes the host from the host list unless a replacement of the same
+// name runs.
 func (f *Fleet) unlist(d *Daemon) {
 	for _, other := range f.started() {
 		if other != d && other.Name == d.Name && other.alive() {
@@ -176,23 +178,23 @@
 	case <-d.exited:
 		return false
 	default:
-		return !d.stopped.Load()
+		return !d.paused.Load()
 	}
 }
 
-// CutLog cuts this daemon alone off from the log; HealLog ends it.
+// CutLog cuts only this daemon off from the log, until HealLog.
 func (d *Daemon) CutLog() {
 	GinkgoHelper()
 	Expect(d.Log.SetFaults(faultproxy.Faults{Cut: faultproxy.CutReset})).To(Succeed())
 }
 
-// HealLog ends CutLog.
+// HealLog removes all faults between this daemon and the log.
 func (d *Daemon) HealLog() {
 	GinkgoHelper()
 	Expect(d.Log.SetFaults(faultproxy.Faults{})).To(Succeed())
 }
 
-// Status is the part of GET /admin/status that specs look at.
+// Status is the part of the GET /admin/status response that specs use.
 type Status struct {
 	Ready         bool   `json:"ready"`
 	ConfigVersion uint64 `json:"config_version"`
@@ -203,9 +205,10 @@
 		} `json:"shards"`
 	} `json:"shards"`
 	Batch struct {
-		// Held is the number of batch items in the daemon's hands.
+		// Held is the number of batch items that the daemon holds.
 		Held int `json:"held"`
-		// Targets are those whose batch work the daemon starts, or just started.
+		// Targets are those whose batch work the daemon dispatches, or dispatched
+		// until recently.
 		Targets []struct {
 			Group   string `json:"group"`
 			Steward bool   `json:"steward"`
@@ -213,7 +216,8 @@
 	} `json:"batch"`
 }
 
-// Stewards returns the daemons that start batch work of a target group.
+// BatchDispatchers returns the running daemons that dispatch batch work to a target
+// group.
 func (f *Fleet) Stewards(group string) []*Daemon {
 	var out []*Daemon
 	for _, d := range f.Running() {
@@ -226,7 +230,7 @@
 	return out
 }
 
-// Status returns the operators' view; an unreachable daemon has an empty one.
+// Status returns the daemon's status, or the zero value if it is unreachable.
 func (d *Daemon) Status() Status {
 	ctx, cancel := callContext()
 	defer cancel()
@@ -242,7 +246,7 @@
 	return s
 }
 
-// Shards lists the shards that the daemon holds.
+// Shards returns the shards that the daemon holds.
 func (d *Daemon) Shards() []int {
 	var out []int
 	for _, s := range d.Status().Shards.Shards {
@@ -257,25 +261,25 @@
 	return bytes.Count(all, []byte(text))
 }
 
-// answeredLine matches the line of each answered request, which would drown
-// what a failed spec is read for.
-var answeredLine = regexp.MustCompile(`(?m)^.* event=request .* status=2.*\n`)
+// successLine matches the log line of a successful request. tail omits these lines
+// so that they do not displace the relevant ones.
+var successLine = regexp.MustCompile(`(?m)^.* event=request .* status=2.*\n`)
 
 func (d *Daemon) tail() string {
 	text, _ := os.ReadFile(d.logPath)
-	text = answeredLine.ReplaceAll(text, nil)
+	text = successLine.ReplaceAll(text, nil)
 	return string(text[max(0, len(text)-tailBytes):])
 }
 
-// callTimeout bounds one call of a spec.
+// callTimeout is the timeout of one call to a daemon.
 const callTimeout = 45 * time.Second
 
 func callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), callTimeout)
 }
 
-// Owner returns the running daemon that holds the shard of a key or job. While
-// a shard moves two may think so: the higher term is the true one.
+// Owner returns the running daemon that holds the shard of a key or job. While a
+// shard moves, two daemons may report it; the one with the higher term is the owner.
 func (f *Fleet) Owner(name string) *Daemon {
 	GinkgoHelper()
 	id := shard.Of("/"+name, shards)
@@ -295,13 +299,13 @@
 	return owner
 }
 
-// Others returns the running daemons but the given ones.
-func (f *Fleet) Others(than ...*Daemon) []*Daemon {
-	return slices.DeleteFunc(f.Running(), func(d *Daemon) bool { return slices.Contains(than, d) })
+// Others returns the running daemons except the given ones.
+func (f *Fleet) Others(excluded ...*Daemon) []*Daemon {
+	return slices.DeleteFunc(f.Running(), func(d *Daemon) bool { return slices.Contains(excluded, d) })
 }
 
-// KeyOwnedBy returns a key of the prefix whose shard the daemon holds. A daemon
-// may get its first shard only by the balance after a start.
+// KeyOwnedBy returns a key with the prefix whose shard the daemon holds. It waits,
+// since a daemon may get its first shard only from the rebalancing after a start.
 func (f *Fleet) KeyOwnedBy(d *Daemon, prefix string) string {
 	GinkgoHelper()
 	var held []int
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -25,33 +25,35 @@
 )
 
 const (
-	// Token guards the operators' paths of every daemon.
+	// Token is the bearer token of every daemon's operator endpoints.
 	Token = "test-operator-token"
-	// Bound is how long a condition may take to come true; Poll is the pause
-	// between two looks.
+	// WaitTimeout is how long a condition may take to become true; PollInterval
+	// is the interval between checks.
 	Bound = 30 * time.Second
 	Poll  = 20 * time.Millisecond
 
-	// shards and appendPace keep a fleet below the log's rate: 8 shards at an
-	// append each 25 ms are 320 a second.
+	// shards and appendPace keep a fleet below the log's rate limit: 8 shards with
+	// an append every 25 ms each make 320 appends a second.
 	shards     = 8
 	appendPace = 25 * time.Millisecond
-	// lag is the host list's.
-	lag = 200 * time.Millisecond
-	// engines and services are enough for retries and crashes.
+	// hostListLag is the delay before a change of the host list becomes visible.
+	hostListLag = 200 * time.Millisecond
+	// engines and services are the numbers of targets, enough for retries and
+	// crashes.
 	engines, services = 4, 2
-	// timeScale makes the engines that much faster than real ones.
+	// timeScale is the factor by which engines and services are faster than real
+	// ones.
 	timeScale = 10
 )
 
-// Options adjusts a fleet; zero values take the defaults.
+// Options configures a fleet; zero values select the defaults.
 type Options struct {
-	// Daemons is their number, by default three.
+	// Daemons is the number of daemons, by default three.
 	Daemons int
 	// Shape adjusts the stand-ins, Settings each daemon's settings.
 	Shape    func(*deployment.Shape)
 	Settings func(*settings.Settings)
-	// Log adjusts the log's stand-in.
+	// Log configures the log's stand-in.
 	Log logsvc.Options
 	// Limits is the [limits] section of the configuration.
 	Limits string
@@ -60,19 +62,20 @@
 // Fleet is a running deployment.
 type Fleet struct {
 	*deployment.Deployment
-	// Daemons are all that were ever started, in order.
+	// Daemons are all daemons started so far, in order, ended ones included.
 	Daemons []*Daemon
 
-	// mu guards Daemons while load goes on beside Add.
-	mu   sync.Mutex
-	opts Options
-	dir  string
-	word *testimony
+	// mu guards Daemons, which Add appends to while load runs.
+	mu        sync.Mutex
+	opts      Options
+	dir       string
+	responses *responseLog
 }
 
 // Start starts the stand-ins and the daemons, publishes the configuration and
-// waits until every daemon serves and every shard has an owner. The spec's end
-// checks what callers were told, and ends every process.
+// waits until every daemon is ready and every shard has an owner. When the spec
+// ends, the cleanup checks the refusals that callers received and stops every
+// process.
 func Start(o Options) *Fleet {
 	GinkgoHelper()
 	if o.Daemons == 0 {
@@ -86,9 +89,9 @@
 	if o.Shape != nil {
 		o.Shape(&shape)
 	}
-	stand, err := deployment.Start(shape, deployment.Options{Log: o.Log, List: hostlist.Options{Lag: lag}})
+	standIns, err := deployment.Start(shape, deployment.Options{Log: o.Log, List: hostlist.Options{Lag: hostListLag}})
 	Expect(err).NotTo(HaveOccurred())
-	f := &Fleet{Deployment: stand, opts: o, dir: GinkgoT().TempDir(), word: newTestimony()}
+	f := &Fleet{Deployment: standIns, opts: o, dir: GinkgoT().TempDir(), responses: newResponseLog()}
 	DeferCleanup(f.end)
 	for i := range o.Daemons {
 		f.Add(i)
@@ -99,7 +102,7 @@
 	return f
 }
 
-// Config is the configuration that the fleet starts with.
+// Config returns the configuration that the fleet starts with.
 func (f *Fleet) Config() string {
 	return f.ConfigText() + "\n[limits]\n" + f.opts.Limits + "\n"
 }
@@ -117,7 +120,7 @@
 	}, Bound, Poll).Should(Succeed())
 }
 
-// WaitReady waits until the daemons serve callers.
+// WaitReady waits until the daemons report that they are ready.
 func (f *Fleet) WaitReady(daemons ...*Daemon) {
 	GinkgoHelper()
 	for _, d := range daemons {
@@ -129,10 +132,10 @@
 	}
 }
 
-// WaitOwned waits until the running daemons hold every shard between them.
+// WaitOwned waits until every shard is held by a running daemon.
 func (f *Fleet) WaitOwned() { f.WaitOwnedBy(f.Running) }
 
-// WaitOwnedBy waits until the daemons hold every shard between them.
+// WaitOwnedBy waits until every shard is held by one of the daemons.
 func (f *Fleet) WaitOwnedBy(daemons func() []*Daemon) {
 	GinkgoHelper()
 	Eventually(func() int {
@@ -146,7 +149,7 @@
 	}, Bound, Poll).Should(Equal(shards), "shards with an owner")
 }
 
-// Running returns the daemons whose processes run and are not stopped.
+// Running returns the daemons whose processes run and are not paused.
 func (f *Fleet) Running() []*Daemon {
 	var out []*Daemon
 	for _, d := range f.started() {
@@ -163,17 +166,18 @@
 	return slices.Clone(f.Daemons)
 }
 
-// end checks what callers were told, once every process has ended. A failed
-// spec shows the end of each daemon's log.
+// end fails the spec if a caller received a false refusal, and closes the stand-ins.
+// It runs after the cleanups that end the daemon processes. A failed spec shows the
+// end of each daemon's log.
 func (f *Fleet) end() {
-	lies := f.word.lies(f)
+	falseRefusals := f.responses.falseRefusals(f)
 	f.Close()
-	if CurrentSpecReport().Failed() || len(lies) > 0 {
+	if CurrentSpecReport().Failed() || len(falseRefusals) > 0 {
 		for _, d := range f.Daemons {
 			fmt.Fprintf(GinkgoWriter, "--- log of %s (pid %d)\n%s\n", d.Name, d.pid, d.tail())
 		}
 	}
-	Expect(lies).To(BeEmpty(), "refusals with run=not_run are true")
+	Expect(falseRefusals).To(BeEmpty(), "refusals with run=not_run of requests that reached a target")
 }
 
 var binary struct {
@@ -182,7 +186,7 @@
 	err  error
 }
 
-// Binary builds the command once and returns its path.
+// Binary builds the tarragonhollow command once and returns its path.
 func Binary() string {
 	GinkgoHelper()
 	binary.once.Do(func() {
@@ -201,15 +205,15 @@
 	return binary.path
 }
 
-// RemoveBinary removes what Binary built.
+// RemoveBinary removes the executable that Binary built.
 func RemoveBinary() {
 	if binary.path != "" {
 		_ = os.RemoveAll(filepath.Dir(binary.path))
 	}
 }
 
-// CLI runs the command line with the arguments and returns its output and exit
-// code.
+// CLI runs the tarragonhollow command with the arguments and returns its output
+// and exit code.
 func CLI(args ...string) (output string, code int) {
 	GinkgoHelper()
 	cmd := exec.Command(Binary(), args...)
--- a/test/fleet/partition.go
+++ b/test/fleet/partition.go
@@ -19,27 +19,28 @@
 	"tarragonhollow.example/tarragonhollow/standin/faultproxy"
 )
 
-// firstIP is the last byte of the first daemon's loopback IP; the stand-ins and
-// callers use 127.0.0.1.
+// firstIP is the last byte of the first daemon's loopback address; the stand-ins
+// and callers use 127.0.0.1.
 const firstIP = 11
 
 // Shards is the number of shards of every fleet.
 const Shards = shards
 
-// Network lies between daemons: each has an IP of its own and a fault proxy in
-// front of its peer listener, so that any two can be cut from each other.
+// Network simulates the network between daemons. Each daemon has its own IP address
+// and a fault proxy in front of its peer listener, so that any two daemons can be
+// separated.
 type Network struct {
 	links map[string]*link
 }
 
-// link is the way to one daemon.
+// link is the connection path to one daemon.
 type link struct {
 	ip       string
 	listener string
 	proxy    *faultproxy.Proxy
 }
 
-// StartApart is Start with a Network between the daemons.
+// StartWithNetwork is Start with a Network between the daemons.
 func StartApart(o Options) (*Fleet, *Network) {
 	GinkgoHelper()
 	n := &Network{links: map[string]*link{}}
@@ -53,7 +54,7 @@
 		}
 	}
 	f := Start(o)
-	n.list(f)
+	n.publishProxies(f)
 	return f, n
 }
 
@@ -63,7 +64,7 @@
 		return l
 	}
 	l := &link{ip: fmt.Sprintf("127.0.0.%d", firstIP+len(n.links))}
-	l.listener = FreeAddress(l.ip) // the proxy is told it before the daemon starts
+	l.listener = FreeAddress(l.ip) // the proxy needs it before the daemon starts
 	var err error
 	l.proxy, err = faultproxy.New(faultproxy.Options{Listen: l.ip + ":0", Target: l.listener})
 	Expect(err).NotTo(HaveOccurred())
@@ -71,9 +72,9 @@
 	return l
 }
 
-// FreeAddress returns an address at the IP that nobody listens on, for a listener that
-// starts later. Its port lies below those that the kernel gives out, so that none of these
-// takes it before.
+// FreeAddress returns an address at the IP without a listener, for one that starts
+// later. Its port is below the kernel's ephemeral range, so that no outgoing connection
+// takes it in between.
 func FreeAddress(ip string) string {
 	GinkgoHelper()
 	var address string
@@ -88,20 +89,21 @@
 	return address
 }
 
-// list puts the proxies on the host list in place of the listeners, and waits
-// until no daemon knows a way round a proxy any more.
-func (n *Network) list(f *Fleet) {
+// publishProxies replaces the listeners' addresses on the host list by the proxies',
+// and waits until every daemon has read that list, so that no peer call bypasses a
+// proxy.
+func (n *Network) publishProxies(f *Fleet) {
 	GinkgoHelper()
 	for _, d := range f.Daemons {
 		Expect(f.Hosts.Put(extern.Host{Name: d.Name, Role: extern.RoleDaemon,
 			Address: n.links[d.Name].proxy.Addr(), Zone: d.Zone, State: extern.HostLive})).To(Succeed())
 	}
 	for _, d := range f.Daemons {
-		Eventually(func() int64 { return d.hostListVersion() }, Bound, Poll).Should(Equal(trueVersion(f)), d.Name)
+		Eventually(func() int64 { return d.hostListVersion() }, Bound, Poll).Should(Equal(currentListVersion(f)), d.Name)
 	}
 }
 
-func trueVersion(f *Fleet) int64 {
+func currentListVersion(f *Fleet) int64 {
 	GinkgoHelper()
 	resp, err := http.Get(f.HostsURL + "/control/hosts")
 	Expect(err).NotTo(HaveOccurred())
@@ -111,9 +113,10 @@
 	return view.Version
 }
 
-var listVersion = regexp.MustCompile(`tarragonhollow_members_host_list_version (\d+)`)
+var listVersionMetric = regexp.MustCompile(`tarragonhollow_members_host_list_version (\d+)`)
 
-// hostListVersion is that of the host list as the daemon has read it.
+// hostListVersion returns the version of the host list that the daemon has read, or
+// -1 if it cannot be determined.
 func (d *Daemon) hostListVersion() int64 {
 	resp, err := d.Client.HTTP.Get(d.Client.Base + "/metrics")
 	if err != nil {
@@ -121,7 +124,7 @@
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
-	found := listVersion.FindSubmatch(text)
+	found := listVersionMetric.FindSubmatch(text)
 	if found == nil {
 		return -1
 	}
@@ -129,8 +132,8 @@
 	return version
 }
 
-// Cut gives the calls of the from daemons to the to daemons the faults; their
-// OnlyFrom is set. Answers to calls of the other way come through.
+// Cut applies the faults to calls from the from daemons to the to daemons, and sets
+// the faults' OnlyFrom. Calls in the other direction and their responses pass.
 func (n *Network) Cut(from, to []*Daemon, faults faultproxy.Faults) {
 	GinkgoHelper()
 	faults.OnlyFrom = nil
@@ -142,14 +145,14 @@
 	}
 }
 
-// Split cuts two groups from each other, both ways.
+// Split applies the faults to calls between two groups in both directions.
 func (n *Network) Split(a, b []*Daemon, faults faultproxy.Faults) {
 	GinkgoHelper()
 	n.Cut(a, b, faults)
 	n.Cut(b, a, faults)
 }
 
-// Heal ends all cuts.
+// Heal removes all faults.
 func (n *Network) Heal() {
 	GinkgoHelper()
 	for _, l := range n.links {
@@ -163,7 +166,8 @@
 	}
 }
 
-// Sees lists the daemons that this one takes for live, itself included.
+// LiveHosts returns the names of the hosts that this daemon considers live, its own
+// included.
 func (d *Daemon) Sees() []string {
 	ctx, cancel := callContext()
 	defer cancel()
--- a/test/fleet/testimony.go
+++ b/test/fleet/testimony.go
@@ -8,87 +8,88 @@
 	"tarragonhollow.example/tarragonhollow/standin/engine"
 )
 
-// subject is what a request is at the targets: a service's call by its key, or
-// an engine's by its prompt.
-type subject struct{ key, fingerprint string }
+// requestIdentity identifies a request in the targets' records: a service call by its
+// key, an engine call by the fingerprint of its prompt.
+type requestIdentity struct{ key, fingerprint string }
 
-// arrival is one request as its caller sent it.
-type arrival struct {
-	subject subject
-	// refusedMs is when the caller was told not_run; 0 is "never".
+// sentRequest is one request sent by a caller.
+type sentRequest struct {
+	identity requestIdentity
+	// refusedMs is when the caller received not_run, in Unix milliseconds; 0 if never.
 	refusedMs int64
 	code      outcome.Code
 }
 
-// testimony notes what callers were told, to be compared with what the targets
-// saw.
-type testimony struct {
-	mu       sync.Mutex
-	arrivals []*arrival
+// responseLog records the requests sent and their not_run refusals, to be compared
+// with the targets' records.
+type responseLog struct {
+	mu   sync.Mutex
+	sent []*sentRequest
 }
 
-func newTestimony() *testimony { return &testimony{} }
+func newResponseLog() *responseLog { return &responseLog{} }
 
-func (t *testimony) begin(s subject) *arrival {
+func (t *responseLog) begin(identity requestIdentity) *sentRequest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a := &arrival{subject: s}
-	t.arrivals = append(t.arrivals, a)
-	return a
+	request := &sentRequest{identity: identity}
+	t.sent = append(t.sent, request)
+	return request
 }
 
-func (t *testimony) ended(a *arrival, err error) {
+func (t *responseLog) ended(request *sentRequest, err error) {
 	run, code := Run(err)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if run == outcome.NotRun {
-		a.refusedMs = nowMs()
-		a.code = code
+		request.refusedMs = nowMs()
+		request.code = code
 	}
 }
 
-// lies lists the not_run refusals that were not true: one of a request that a
-// target had received by then, and one of a request whose every arrival was
-// refused so and which a target received all the same.
-func (t *testimony) lies(f *Fleet) []string {
-	seen := f.received()
+// falseRefusals lists the not_run refusals that were wrong: those of a request that a
+// target had already received, and those of a request that was refused as not_run each
+// time it was sent and that a target received all the same.
+func (t *responseLog) falseRefusals(f *Fleet) []string {
+	receivedMs := f.received()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	taken := map[subject]bool{}
-	for _, a := range t.arrivals {
-		if a.refusedMs == 0 {
-			taken[a.subject] = true
+	notRefused := map[requestIdentity]bool{}
+	for _, request := range t.sent {
+		if request.refusedMs == 0 {
+			notRefused[request.identity] = true
 		}
 	}
 	var out []string
-	for _, a := range t.arrivals {
-		for _, atMs := range seen[a.subject] {
-			if a.refusedMs != 0 && (atMs < a.refusedMs || !taken[a.subject]) {
+	for _, request := range t.sent {
+		for _, atMs := range receivedMs[request.identity] {
+			if request.refusedMs != 0 && (atMs < request.refusedMs || !notRefused[request.identity]) {
 				out = append(out, fmt.Sprintf("%+v was refused as not_run (%s) at %d and reached a target at %d",
-					a.subject, a.code, a.refusedMs, atMs))
+					request.identity, request.code, request.refusedMs, atMs))
 			}
 		}
 	}
 	return out
 }
 
-// received returns when the targets took each request: a service's executions,
-// and the engines' calls that were not refused before admission.
-func (f *Fleet) received() map[subject][]int64 {
-	seen := map[subject][]int64{}
+// received returns the times, in Unix milliseconds, at which targets accepted each
+// request: the services' executions, and the engines' calls that were not refused
+// before admission.
+func (f *Fleet) received() map[requestIdentity][]int64 {
+	receivedMs := map[requestIdentity][]int64{}
 	for _, s := range f.Services {
 		for _, c := range s.Record().Calls {
 			if c.Execution > 0 {
-				seen[subject{key: c.Key}] = append(seen[subject{key: c.Key}], c.AtMs)
+				receivedMs[requestIdentity{key: c.Key}] = append(receivedMs[requestIdentity{key: c.Key}], c.AtMs)
 			}
 		}
 	}
 	for _, e := range f.Engines {
 		for _, r := range e.Records() {
 			if r.Ended != engine.EndedRefused {
-				seen[subject{fingerprint: r.Fingerprint}] = append(seen[subject{fingerprint: r.Fingerprint}], r.AtMs)
+				receivedMs[requestIdentity{fingerprint: r.Fingerprint}] = append(receivedMs[requestIdentity{fingerprint: r.Fingerprint}], r.AtMs)
 			}
 		}
 	}
-	return seen
+	return receivedMs
 }
