--- a/test/input/crowd_test.go
+++ b/test/input/crowd_test.go
@@ -25,20 +25,21 @@
 )
 
 const (
-	idleConnections = 2000
-	slowBodies      = 200
-	deafCallers     = 50
-	// slowBytes is what a slow body sends before it stops, of slowStated.
-	slowBytes, slowStated = 900 << 10, 1 << 20
-	// sheets and sheetName make the results too long for any socket's buffers.
-	sheets    = 16000
-	sheetName = 200
-	// mostRSS is what a daemon may hold with the whole crowd at its door. Its own
-	// bound for bodies is 256 MiB; the collector may let garbage grow to as much.
-	mostRSS = 640 << 20
+	idleConnections   = 2000
+	slowBodies        = 200
+	nonReadingCallers = 50
+	// slowBytes is how many bytes of a slow body are sent, of slowContentLength.
+	slowBytes, slowContentLength = 900 << 10, 1 << 20
+	// longJobItems and customIDLength make the results larger than socket buffers.
+	longJobItems   = 16000
+	customIDLength = 200
+	// maxRSS is the limit for a daemon's resident memory with all connections open. The
+	// daemon limits bodies to 256 MiB; garbage may grow to as much before it is
+	// collected.
+	maxRSS = 640 << 20
 )
 
-// residentBytes reads the VmRSS of the daemon's process.
+// residentBytes returns the VmRSS of the daemon's process in bytes.
 func residentBytes(d *fleet.Daemon) int64 {
 	GinkgoHelper()
 	found, err := filepath.Glob("/proc/[0-9]*/cmdline")
@@ -46,8 +47,8 @@
 	for _, file := range found {
 		line, _ := os.ReadFile(file)
 		status, _ := os.ReadFile(filepath.Join(filepath.Dir(file), "status"))
-		mine := bytes.Contains(status, []byte(fmt.Sprintf("PPid:\t%d\n", os.Getpid())))
-		if !mine || !bytes.HasSuffix(line, []byte("/"+d.Name+".ini\x00")) {
+		isChild := bytes.Contains(status, []byte(fmt.Sprintf("PPid:\t%d\n", os.Getpid())))
+		if !isChild || !bytes.HasSuffix(line, []byte("/"+d.Name+".ini\x00")) {
 			continue
 		}
 		kb := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(status)
@@ -60,14 +61,14 @@
 	return 0
 }
 
-// crowd is the connections of callers that want nothing or too much.
-type crowd struct {
+// clientConns holds the connections of idle, slow and non-reading callers.
+type clientConns struct {
 	address string
 	mu      sync.Mutex
 	conns   []net.Conn
 }
 
-func (c *crowd) dial() net.Conn {
+func (c *clientConns) dial() net.Conn {
 	GinkgoHelper()
 	conn, err := net.Dial("tcp", c.address)
 	Expect(err).NotTo(HaveOccurred())
@@ -78,16 +79,16 @@
 	return conn
 }
 
-func (c *crowd) close() {
+func (c *clientConns) close() {
 	for _, conn := range c.conns {
 		_ = conn.Close()
 	}
 }
 
-// answersOnce sends a request on a kept connection.
-func answersOnce(conn net.Conn) {
+// expectHealthy sends a health check on an open connection and expects status 200.
+func expectHealthy(conn net.Conn) {
 	GinkgoHelper()
-	Expect(conn.SetDeadline(time.Now().Add(bound))).To(Succeed())
+	Expect(conn.SetDeadline(time.Now().Add(timeout))).To(Succeed())
 	_, err := io.WriteString(conn, "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
 	Expect(err).NotTo(HaveOccurred())
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -97,34 +98,35 @@
 	Expect(resp.StatusCode).To(Equal(http.StatusOK))
 }
 
-// slowBody sends most of a body and then nothing, and returns the answer.
+// slowBody sends most of a body, then nothing, and returns the refusal.
 func slowBody(conn net.Conn, profile string, caller int, sent *atomic.Int32) refusal {
 	GinkgoHelper()
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: a\r\nTarragon-Profile: %s\r\nTarragon-Caller: slow-%d\r\nContent-Length: %d\r\n\r\n%s",
-		chatPath, profile, caller, slowStated, strings.Repeat(" ", slowBytes))
+		chatPath, profile, caller, slowContentLength, strings.Repeat(" ", slowBytes))
 	Expect(err).NotTo(HaveOccurred())
 	sent.Add(1)
-	Expect(conn.SetReadDeadline(time.Now().Add(2 * bound))).To(Succeed())
+	Expect(conn.SetReadDeadline(time.Now().Add(2 * timeout))).To(Succeed())
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	Expect(err).NotTo(HaveOccurred())
 	r := readRefusal(resp)
-	// Large bodies may take three quarters of the memory; the rest of the crowd
-	// is told to come back.
+	// Large bodies may use three quarters of the body memory; further ones are refused
+	// with 503.
 	Expect(fmt.Sprint(resp.StatusCode, r.Code)).To(BeElementOf("400bad_request", "503overloaded"))
 	return r
 }
 
-var stalledWrites = regexp.MustCompile(`tarragonhollow_http_stalled_writes_total (\d+)`)
+var stalledWritesMetric = regexp.MustCompile(`tarragonhollow_http_stalled_writes_total (\d+)`)
 
-// stalled is how many callers the daemon cut since they did not read.
-func stalled(d *fleet.Daemon) int {
+// stalledCallers returns how many callers the daemon disconnected because they did not
+// read, or -1 if that cannot be determined.
+func stalledCallers(d *fleet.Daemon) int {
 	resp, err := send(d, "GET", "/metrics", nil)
 	if err != nil {
 		return -1
 	}
 	defer resp.Body.Close()
 	text, _ := io.ReadAll(resp.Body)
-	found := stalledWrites.FindSubmatch(text)
+	found := stalledWritesMetric.FindSubmatch(text)
 	if found == nil {
 		return -1
 	}
@@ -132,27 +134,27 @@
 	return n
 }
 
-var _ = Describe("A crowd at one daemon's door", func() {
-	// A balancer's pool leaks thousands of connections, tablets with a bad radio
-	// stop in the middle of their bodies, and dashboards ask for a night's
-	// results and hang. The daemon's memory is bounded, each of them is told or
-	// cut, and the guests notice nothing.
-	It("holds bounded memory and harms no ordinary caller", func() {
+var _ = Describe("Many idle, slow and non-reading callers of one daemon", func() {
+	// A connection pool leaks thousands of connections, clients stop in the middle of
+	// their bodies, and others request large results and do not read them. The daemon's
+	// memory must stay bounded, slow bodies must be refused and non-reading callers
+	// disconnected, and ordinary callers must not be affected.
+	It("use bounded memory and harm no ordinary caller", func() {
 		f := fleet.Start(fleet.Options{Daemons: 2, Shape: func(s *deployment.Shape) { s.EngineOptions.TimeScale = 200 }})
 		d := f.Daemons[0]
-		putLong(f, d)
-		c := &crowd{address: strings.TrimPrefix(d.Client.Base, "http://")}
+		runLongJob(f, d)
+		c := &clientConns{address: strings.TrimPrefix(d.Client.Base, "http://")}
 		defer c.close()
 		before := residentBytes(d)
 
 		idle := make([]net.Conn, idleConnections)
-		all(slowBodies, func(i int) {
+		concurrently(slowBodies, func(i int) {
 			for k := i; k < len(idle); k += slowBodies {
 				idle[k] = c.dial()
-				answersOnce(idle[k])
+				expectHealthy(idle[k])
 			}
 		})
-		for range deafCallers {
+		for range nonReadingCallers {
 			_, err := io.WriteString(c.dial(), "GET /v1/jobs/long/results HTTP/1.1\r\nHost: a\r\n\r\n")
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -165,9 +167,9 @@
 				refused[i] = slowBody(c.dial(), f.Shape.ChatProfile, i, &sent)
 			})
 		}
-		most := before
-		Eventually(func() int32 { return sent.Load() }, bound, poll).Should(Equal(int32(slowBodies)))
-		// Guests go on until every member of the crowd was told or cut.
+		maxResident := before
+		Eventually(func() int32 { return sent.Load() }, timeout, pollInterval).Should(Equal(int32(slowBodies)))
+		// Ordinary callers continue until every non-reading caller is disconnected.
 		guests := 0
 		Eventually(func() int {
 			guests++
@@ -177,28 +179,28 @@
 			_, err := f.Order(d, key)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(f.Executions(key)).To(Equal(1))
-			most = max(most, residentBytes(d))
-			return stalled(d)
-		}, 2*bound, poll).Should(BeNumerically(">=", deafCallers))
+			maxResident = max(maxResident, residentBytes(d))
+			return stalledCallers(d)
+		}, 2*timeout, pollInterval).Should(BeNumerically(">=", nonReadingCallers))
 		slow.Wait()
 		for i, r := range refused {
 			Expect(r.Run).To(Equal(outcome.NotRun), "slow body %d: %+v", i, r)
 		}
 		for _, conn := range idle {
-			answersOnce(conn)
+			expectHealthy(conn)
 		}
-		fmt.Fprintf(GinkgoWriter, "resident MiB: %d before, %d at most; %d guests answered\n", before>>20, most>>20, guests)
-		Expect(most).To(BeNumerically("<", mostRSS))
+		fmt.Fprintf(GinkgoWriter, "resident MiB: %d before, %d at most; %d guests answered\n", before>>20, maxResident>>20, guests)
+		Expect(maxResident).To(BeNumerically("<", maxRSS))
 	})
 })
 
-// putLong runs a job whose results are too long for a socket's buffers.
-func putLong(f *fleet.Fleet, d *fleet.Daemon) {
+// runLongJob runs a job whose results are larger than a socket's buffers.
+func runLongJob(f *fleet.Fleet, d *fleet.Daemon) {
 	GinkgoHelper()
 	var b strings.Builder
-	for i := range sheets {
+	for i := range longJobItems {
 		fmt.Fprintf(&b, `{"custom_id":"%0*d","url":"/v1/chat/completions","body":{"model":"ordering","max_tokens":1,"messages":[{"role":"user","content":"long %d"}]}}`+"\n",
-			sheetName, i, i)
+			customIDLength, i, i)
 	}
 	resp, err := send(d, "PUT", "/v1/jobs/long", strings.NewReader(b.String()), "Tarragon-Profile", f.Shape.BatchProfile)
 	Expect(err).NotTo(HaveOccurred())
--- a/test/input/greedy_test.go
+++ b/test/input/greedy_test.go
@@ -17,24 +17,26 @@
 )
 
 const (
-	// bodyMemory is small, so that a few slow bodies fill it.
+	// bodyMemory is small, so that a few slow bodies use it up.
 	bodyMemory = 32 << 20
-	// mostBodies would take it whole, and more.
-	mostBodies = 64
-	// longOrder is an ordinary order with a long note.
-	longOrder = 200 << 10
-	// answerWait tells a body that waits for more from one that is refused.
+	// maxBodies is how many bodies a caller starts at most: more than fit into
+	// bodyMemory.
+	maxBodies = 64
+	// longOrderBytes is the size of the note of a large but ordinary order.
+	longOrderBytes = 200 << 10
+	// answerWait is how long to wait for a refusal; without one, the daemon waits for
+	// the rest of the body.
 	answerWait = 100 * time.Millisecond
-	// bodyStall lets the first bodies wait until the last is sent.
+	// bodyStall is long enough for the first bodies to wait until the last is sent.
 	bodyStall = time.Minute
 )
 
-// sendPart sends n bytes of a body and returns the refusal, nil if the daemon waits
+// sendPart sends n bytes of a body and returns the refusal, or nil if the daemon waits
 // for the rest.
 func sendPart(conn net.Conn, profile, caller string, n int) *refusal {
 	GinkgoHelper()
 	_, err := fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: a\r\nTarragon-Profile: %s\r\nTarragon-Caller: %s\r\nContent-Length: %d\r\n\r\n%s",
-		chatPath, profile, caller, slowStated, strings.Repeat(" ", n))
+		chatPath, profile, caller, slowContentLength, strings.Repeat(" ", n))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(conn.SetReadDeadline(time.Now().Add(answerWait))).To(Succeed())
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -46,25 +48,25 @@
 }
 
 var _ = Describe("One caller's slow bodies", func() {
-	// A tablet app with a fault opens an upload after another and finishes none.
-	// They fill the memory for bodies; the kitchen's long orders come meanwhile.
-	// The app's owner is told its limit, and the orders go through.
-	It("leave room for the bodies of others", func() {
+	// A faulty client starts one upload after another, finishes none and uses up the
+	// memory for bodies. It must be refused with caller_limit, and another caller's
+	// large orders must succeed meanwhile.
+	It("leave memory for the bodies of other callers", func() {
 		f := fleet.Start(fleet.Options{Daemons: 1, Settings: func(s *settings.Settings) {
 			s.HTTP.MaxBodyMemory, s.HTTP.BodyStall = bodyMemory, bodyStall
 		}})
 		d := f.Daemons[0]
-		c := &crowd{address: strings.TrimPrefix(d.Client.Base, "http://")}
+		c := &clientConns{address: strings.TrimPrefix(d.Client.Base, "http://")}
 		defer c.close()
-		var told *refusal
-		for _, size := range []int{slowBytes, longOrder / 2} {
-			told = nil
-			for i := 0; i < mostBodies && told == nil; i++ {
-				told = sendPart(c.dial(), f.Shape.ChatProfile, "tablet-app", size)
+		var refused *refusal
+		for _, size := range []int{slowBytes, longOrderBytes / 2} {
+			refused = nil
+			for i := 0; i < maxBodies && refused == nil; i++ {
+				refused = sendPart(c.dial(), f.Shape.ChatProfile, "tablet-app", size)
 			}
-			Expect(told).NotTo(BeNil(), "the app is refused in the end")
+			Expect(refused).NotTo(BeNil(), "the client is refused in the end")
 		}
-		note := strings.Repeat("n", longOrder)
+		note := strings.Repeat("n", longOrderBytes)
 		for i := range 3 {
 			key := fmt.Sprintf("tray-%d", i)
 			resp, err := send(d, "POST", "/v1/services/"+f.Shape.Service+f.Shape.ActionPath, strings.NewReader(`{"note":"`+note+`"}`),
@@ -73,7 +75,7 @@
 			Expect(resp.Body.Close()).To(Succeed())
 			Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		}
-		Expect(told.Code).To(Equal(outcome.CallerLimit))
-		Expect(told.Run).To(Equal(outcome.NotRun))
+		Expect(refused.Code).To(Equal(outcome.CallerLimit))
+		Expect(refused.Run).To(Equal(outcome.NotRun))
 	})
 })
--- a/test/input/half_test.go
+++ b/test/input/half_test.go
@@ -15,12 +15,12 @@
 	"tarragonhollow.example/tarragonhollow/test/fleet"
 )
 
-// chunks is enough items to put several chunks of an upload on the log before
-// its fault is met.
-const chunks = 4000
+// uploadItems is the number of items before an upload's fault, enough to append several
+// chunks of the upload to the log first.
+const uploadItems = 4000
 
-// manyLines returns n job lines with prompts of their own.
-func manyLines(n int, text string) string {
+// jobLines returns n job lines with distinct prompts.
+func jobLines(n int, text string) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, `{"custom_id":"i-%d","url":"/v1/chat/completions","body":{"model":"ordering","max_tokens":4,"messages":[{"role":"user","content":"%s %d"}]}}`+"\n", i, text, i)
@@ -28,23 +28,24 @@
 	return b.String()
 }
 
-// broken ends a body with the loss of its connection.
-type broken struct{}
+// droppedConnection ends a body with an error, which makes the client close its
+// connection.
+type droppedConnection struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("the line dropped") }
+func (droppedConnection) Read([]byte) (int, error) { return 0, errors.New("connection dropped") }
 
-var _ = Describe("A job sent in part", func() {
-	// The office's upload fails at the end, after much of it went to the log: a
-	// bad last line, or a dropped line. Nothing of it may be a job or run, and
-	// the name is free for the whole list.
-	DescribeTable("is not there, runs nothing and leaves its name free",
+var _ = Describe("A partially uploaded job", func() {
+	// An upload fails at its end, after much of it was appended to the log, because of
+	// a bad last line or a dropped connection. No job may exist and nothing may run,
+	// and the name must remain free for the complete list.
+	DescribeTable("does not exist, runs nothing and leaves its name free",
 		func(tail func() io.Reader, status int) {
 			f := fleet.Start(fleet.Options{})
 			job := fleet.NewJob("prep", 30, -1)
 			owner := f.Owner(job.Name)
 			others := f.Others(owner)
 			for i, d := range []*fleet.Daemon{owner, others[0]} {
-				resp, err := send(d, "PUT", "/v1/jobs/prep", io.MultiReader(strings.NewReader(manyLines(chunks, "half")), tail()),
+				resp, err := send(d, "PUT", "/v1/jobs/prep", io.MultiReader(strings.NewReader(jobLines(uploadItems, "half")), tail()),
 					"Tarragon-Profile", f.Shape.BatchProfile)
 				if status == 0 {
 					Expect(err).To(HaveOccurred(), "upload %d", i)
@@ -68,19 +69,19 @@
 				f.WaitJob(d, job)
 			}
 			f.CheckJob(job)
-			Expect(reached(f)).To(Equal(len(job.Texts)), "calls at targets")
+			Expect(targetCalls(f)).To(Equal(len(job.Texts)), "calls at targets")
 		},
 		Entry("with a bad last line", func() io.Reader { return strings.NewReader("{]") }, 400),
-		Entry("with a last line too long", func() io.Reader { return strings.NewReader(strings.Repeat("x", 300<<10)) }, 413),
-		Entry("with a repeated name at its end", func() io.Reader { return strings.NewReader(manyLines(1, "half")) }, 400),
-		Entry("whose connection drops", func() io.Reader { return broken{} }, 0),
+		Entry("with a last line that is too long", func() io.Reader { return strings.NewReader(strings.Repeat("x", 300<<10)) }, 413),
+		Entry("with a repeated custom_id at its end", func() io.Reader { return strings.NewReader(jobLines(1, "half")) }, 400),
+		Entry("whose connection drops", func() io.Reader { return droppedConnection{} }, 0),
 	)
 })
 
-var _ = Describe("An order sent in part", func() {
-	// The tablet loses its radio in the middle of an order and sends it again
-	// with the same key: the kitchen gets it once.
-	It("has not run, and its key is free for the whole order", func() {
+var _ = Describe("A partially sent order", func() {
+	// A caller's connection drops in the middle of an order, and the caller sends it
+	// again with the same key: it must run once.
+	It("has not run, and its key is free for the complete order", func() {
 		f := fleet.Start(fleet.Options{Daemons: 2})
 		path := "/v1/services/" + f.Shape.Service + f.Shape.ActionPath
 		for _, d := range f.Daemons {
@@ -101,7 +102,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(readRefusal(resp).Code).To(Equal(outcome.NotFound))
 		}
-		Expect(reached(f)).To(BeZero())
+		Expect(targetCalls(f)).To(BeZero())
 		first, err := f.Order(f.Daemons[0], "tray")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Order(f.Daemons[1], "tray")).To(Equal(first))
--- a/test/input/refusal_test.go
+++ b/test/input/refusal_test.go
@@ -14,74 +14,74 @@
 )
 
 const (
-	chatPath  = "/v1/chat/completions"
-	smallBody = 4 << 10
-	smallLine = 1 << 10
-	// limits make the bounds small enough to be met by a short text.
+	chatPath     = "/v1/chat/completions"
+	maxBodyBytes = 4 << 10
+	maxLineBytes = 1 << 10
+	// limits are small enough for short inputs to exceed them.
 	limits   = "body_bytes = 4KiB\njob_bytes = 64KiB\nline_bytes = 1KiB\nitems_per_job = 20\nin_flight_per_caller = 2\n"
 	goodLine = `{"custom_id":"a","url":"/v1/chat/completions","body":{"model":"ordering","messages":[{"role":"user","content":"x"}]}}` + "\n"
 )
 
-// bad is a request that must be refused.
-type bad struct {
+// badRequest is a request that must be refused.
+type badRequest struct {
 	name, method, path, body string
 	headers                  []string
 	status                   int
 	code                     outcome.Code
 }
 
-func badRequests(f *fleet.Fleet) []bad {
+func badRequests(f *fleet.Fleet) []badRequest {
 	online := []string{"Tarragon-Profile", f.Shape.ChatProfile}
 	order := []string{"Tarragon-Profile", f.Shape.ActionProfile}
 	batch := []string{"Tarragon-Profile", f.Shape.BatchProfile}
 	with := func(h []string, more ...string) []string { return append(append([]string{}, h...), more...) }
-	chat := func(name, body string, status int, code outcome.Code) bad {
-		return bad{"chat: " + name, "POST", chatPath, body, online, status, code}
+	chat := func(name, body string, status int, code outcome.Code) badRequest {
+		return badRequest{"chat: " + name, "POST", chatPath, body, online, status, code}
 	}
-	job := func(name, path, body string, status int, code outcome.Code) bad {
-		return bad{"job: " + name, "PUT", "/v1/jobs/" + path, body, batch, status, code}
+	job := func(name, path, body string, status int, code outcome.Code) badRequest {
+		return badRequest{"job: " + name, "PUT", "/v1/jobs/" + path, body, batch, status, code}
 	}
-	const whole = `{"model":"ordering","messages":[{"role":"user","content":"x"}]}`
+	const validChat = `{"model":"ordering","messages":[{"role":"user","content":"x"}]}`
 	orders := "/v1/services/" + f.Shape.Service + f.Shape.ActionPath
-	return []bad{
-		chat("no JSON", `{"model":`, 400, outcome.BadRequest),
+	return []badRequest{
+		chat("invalid JSON", `{"model":`, 400, outcome.BadRequest),
 		chat("an array", `[]`, 400, outcome.BadRequest),
 		chat("null", `null`, 400, outcome.BadRequest),
-		chat("nothing", ``, 400, outcome.BadRequest),
-		chat("two values", whole+whole, 400, outcome.BadRequest),
+		chat("an empty body", ``, 400, outcome.BadRequest),
+		chat("two values", validChat+validChat, 400, outcome.BadRequest),
 		chat("a picture", `{"model":"ordering","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, 400, outcome.BadRequest),
 		chat("a huge number", `{"model":"ordering","max_tokens":1e999,"messages":[{"role":"user","content":"x"}]}`, 400, outcome.BadRequest),
-		chat("deep nesting", strings.Repeat("[", smallBody-1), 400, outcome.BadRequest),
-		chat("no model of ours", `{"model":"nobody","messages":[{"role":"user","content":"x"}]}`, 404, outcome.UnknownTarget),
-		chat("a body too long", strings.Repeat(" ", smallBody+1), 413, outcome.TooLarge),
-		{"no profile", "POST", chatPath, whole, nil, 400, outcome.BadRequest},
-		{"an unknown profile", "POST", chatPath, whole, []string{"Tarragon-Profile", "room-chat2"}, 400, outcome.UnknownProfile},
-		{"a profile with odd characters", "POST", chatPath, whole, []string{"Tarragon-Profile", "caf\xc3\xa9"}, 400, outcome.BadRequest},
-		{"two profiles", "POST", chatPath, whole, with(online, online...), 400, outcome.BadRequest},
-		{"a batch profile", "POST", chatPath, whole, batch, 400, outcome.BadRequest},
-		{"a deadline of no number", "POST", chatPath, whole, with(online, "Tarragon-Deadline-Ms", "soon"), 400, outcome.BadRequest},
-		{"a deadline of 0", "POST", chatPath, whole, with(online, "Tarragon-Deadline-Ms", "0"), 400, outcome.BadRequest},
-		{"a caller with a slash", "POST", chatPath, whole, with(online, "Tarragon-Caller", "a/b"), 400, outcome.BadRequest},
-		{"a caller too long", "POST", chatPath, whole, with(online, "Tarragon-Caller", strings.Repeat("c", 129)), 400, outcome.BadRequest},
-		{"headers too long", "POST", chatPath, whole, with(online, "X-Filler", strings.Repeat("h", 40<<10)), 413, outcome.TooLarge},
+		chat("deep nesting", strings.Repeat("[", maxBodyBytes-1), 400, outcome.BadRequest),
+		chat("an unknown model", `{"model":"nobody","messages":[{"role":"user","content":"x"}]}`, 404, outcome.UnknownTarget),
+		chat("a body too long", strings.Repeat(" ", maxBodyBytes+1), 413, outcome.TooLarge),
+		{"no profile", "POST", chatPath, validChat, nil, 400, outcome.BadRequest},
+		{"an unknown profile", "POST", chatPath, validChat, []string{"Tarragon-Profile", "room-chat2"}, 400, outcome.UnknownProfile},
+		{"a profile with odd characters", "POST", chatPath, validChat, []string{"Tarragon-Profile", "caf\xc3\xa9"}, 400, outcome.BadRequest},
+		{"two profiles", "POST", chatPath, validChat, with(online, online...), 400, outcome.BadRequest},
+		{"a batch profile", "POST", chatPath, validChat, batch, 400, outcome.BadRequest},
+		{"a deadline that is no number", "POST", chatPath, validChat, with(online, "Tarragon-Deadline-Ms", "soon"), 400, outcome.BadRequest},
+		{"a deadline of 0", "POST", chatPath, validChat, with(online, "Tarragon-Deadline-Ms", "0"), 400, outcome.BadRequest},
+		{"a caller with a slash", "POST", chatPath, validChat, with(online, "Tarragon-Caller", "a/b"), 400, outcome.BadRequest},
+		{"a caller too long", "POST", chatPath, validChat, with(online, "Tarragon-Caller", strings.Repeat("c", 129)), 400, outcome.BadRequest},
+		{"headers too long", "POST", chatPath, validChat, with(online, "X-Filler", strings.Repeat("h", 40<<10)), 413, outcome.TooLarge},
 		{"an order without a key", "POST", orders, `{}`, order, 400, outcome.KeyRequired},
 		{"a key too long", "POST", orders, `{}`, with(order, "Idempotency-Key", strings.Repeat("k", 257)), 400, outcome.BadRequest},
 		{"a key with a tab", "POST", orders, `{}`, with(order, "Idempotency-Key", "a\tb"), 400, outcome.BadRequest},
-		{"no service of ours", "POST", "/v1/services/nobody/x", `{}`, with(order, "Idempotency-Key", "k"), 404, outcome.UnknownTarget},
-		{"no path of ours", "GET", "/v3/chat", "", nil, 404, outcome.NotFound},
-		{"a method of no use", "PATCH", chatPath, "", nil, 405, "method_not_allowed"},
+		{"an unknown service", "POST", "/v1/services/nobody/x", `{}`, with(order, "Idempotency-Key", "k"), 404, outcome.UnknownTarget},
+		{"an unknown path", "GET", "/v3/chat", "", nil, 404, outcome.NotFound},
+		{"an unsupported method", "PATCH", chatPath, "", nil, 405, "method_not_allowed"},
 		{"an unknown key", "GET", "/v1/requests/never-sent", "", nil, 404, outcome.NotFound},
 		job("a space in the name", "a%20b", goodLine, 400, outcome.BadRequest),
 		job("a slash in the name", "a%2Fb", goodLine, 400, outcome.BadRequest),
-		job("a line's end in the name", "a%0Ab", goodLine, 400, outcome.BadRequest),
+		job("a newline in the name", "a%0Ab", goodLine, 400, outcome.BadRequest),
 		job("a name too long", strings.Repeat("j", 129), goodLine, 400, outcome.BadRequest),
-		job("letters of other scripts", "%E1%BA%BFp", goodLine, 400, outcome.BadRequest),
-		job("no JSON", "j", goodLine+"{\n", 400, outcome.BadRequest),
+		job("non-ASCII letters in the name", "%E1%BA%BFp", goodLine, 400, outcome.BadRequest),
+		job("invalid JSON", "j", goodLine+"{\n", 400, outcome.BadRequest),
 		job("not UTF-8", "j", goodLine+"\xff\xfe\n", 400, outcome.BadRequest),
 		job("an unknown field", "j", goodLine+`{"custom_id":"b","uri":"/"}`+"\n", 400, outcome.BadRequest),
 		job("a repeated custom_id", "j", goodLine+goodLine, 400, outcome.BadRequest),
-		job("a line too long", "j", goodLine+strings.Repeat("x", smallLine+1)+"\n", 413, outcome.TooLarge),
-		job("too many items", "j", manyLines(21, "x"), 413, outcome.TooLarge),
+		job("a line too long", "j", goodLine+strings.Repeat("x", maxLineBytes+1)+"\n", 413, outcome.TooLarge),
+		job("too many items", "j", jobLines(21, "x"), 413, outcome.TooLarge),
 		job("a job too long", "j", goodLine+strings.Repeat("\n", 64<<10), 413, outcome.TooLarge),
 		job("no items", "j", "\n \n", 400, outcome.BadRequest),
 		{"job: an online profile", "PUT", "/v1/jobs/j", goodLine, online, 400, outcome.BadRequest},
@@ -90,9 +90,9 @@
 }
 
 var _ = Describe("Bad input", func() {
-	// A caller's script has a fault. It must be told which, in the one shape that
-	// it parses, and nothing of its request may have reached a target.
-	It("is refused in the contract's shape and reaches no target", func() {
+	// Every faulty request must be refused in the error format that callers parse, with
+	// the code of its fault, and must not reach a target.
+	It("is refused in the API's error format and reaches no target", func() {
 		f := fleet.Start(fleet.Options{Daemons: 2, Limits: limits})
 		for i, b := range badRequests(f) {
 			By(b.name)
@@ -109,11 +109,11 @@
 			Expect(readRefusal(resp).Code).To(Equal(outcome.NotFound))
 			Expect(f.Chat(d, "", "after "+d.Name)).To(Equal(f.Expected("after " + d.Name)))
 		}
-		Expect(reached(f)).To(Equal(len(f.Daemons)), "calls at targets: %+v", ended(f))
+		Expect(targetCalls(f)).To(Equal(len(f.Daemons)), "calls at targets: %+v", engineCalls(f))
 	})
 
-	// The same faults without a stated length, as a proxy would pass them on.
-	It("is refused alike when its length is not stated", func() {
+	// Bodies over the limits sent without a Content-Length, as a proxy may forward them.
+	It("is refused in the same way without a Content-Length", func() {
 		f := fleet.Start(fleet.Options{Daemons: 1, Limits: limits})
 		d := f.Daemons[0]
 		long := strings.Repeat("x", 1<<20)
@@ -124,10 +124,10 @@
 			Expect(resp.StatusCode).To(Equal(http.StatusRequestEntityTooLarge), "%+v", got)
 			Expect(got.Run).To(Equal(outcome.NotRun))
 		}
-		Expect(reached(f)).To(BeZero())
+		Expect(targetCalls(f)).To(BeZero())
 	})
 
-	It("that is no HTTP at all ends its own connection only", func() {
+	It("that is not HTTP closes only its own connection", func() {
 		f := fleet.Start(fleet.Options{Daemons: 1})
 		d := f.Daemons[0]
 		for _, text := range []string{
@@ -138,7 +138,7 @@
 		} {
 			conn, err := net.Dial("tcp", strings.TrimPrefix(d.Client.Base, "http://"))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(conn.SetDeadline(time.Now().Add(bound))).To(Succeed())
+			Expect(conn.SetDeadline(time.Now().Add(timeout))).To(Succeed())
 			_, _ = conn.Write([]byte(text)) // the daemon may close before it has all
 			answer := make([]byte, len("HTTP/1.1 4"))
 			if n, err := conn.Read(answer); err == nil {
@@ -149,9 +149,9 @@
 		}
 	})
 
-	// A caller's loop sends an order after another while the kitchen's tickets
-	// hang. Its third is refused; another caller's goes on.
-	It("is a caller's flood, which bounds that caller alone", func() {
+	// A caller sends one order after another while the service hangs. Its third order
+	// must be refused, and another caller's order must not be.
+	It("that is a flood of one caller's orders limits only that caller", func() {
 		f := fleet.Start(fleet.Options{Daemons: 1, Limits: limits})
 		d := f.Daemons[0]
 		f.ControlServices(`{"frozen":true}`)
@@ -169,7 +169,7 @@
 		}
 		go run("loop", "first")
 		go run("loop", "second")
-		Eventually(f.Held, bound, poll).Should(Equal(2))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(2))
 		resp, err := order("loop", "third")
 		Expect(err).NotTo(HaveOccurred())
 		got := readRefusal(resp)
@@ -177,10 +177,10 @@
 		Expect(got.Run).To(Equal(outcome.NotRun))
 		Expect(*got.RetryAfterMs).To(BeNumerically(">", 0))
 		go run("other", "theirs")
-		Eventually(f.Held, bound, poll).Should(Equal(3))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(3))
 		f.ControlServices(`{"frozen":false}`)
 		for range 3 {
-			Eventually(done, bound).Should(Receive(BeNil()))
+			Eventually(done, timeout).Should(Receive(BeNil()))
 		}
 		Expect(f.Executions("third") + f.Executions("loop/third")).To(BeZero())
 	})
--- a/test/input/suite_test.go
+++ b/test/input/suite_test.go
@@ -1,6 +1,6 @@
-// Package input proves with real daemon processes that bad input and greedy
-// callers are refused clearly, lose nothing, hold bounded memory and harm no
-// other caller. What became of the work is read from the targets' records.
+// Package input checks with real daemon processes that bad input and excessive load
+// from a caller are refused with a clear error, lose no work, use bounded memory and do
+// not affect other callers. The outcome is read from the targets' records.
 package input
 
 import (
@@ -21,18 +21,18 @@
 
 func TestInput(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "bad input and greedy callers")
+	RunSpecs(t, "bad input and excessive load from callers")
 }
 
 var _ = AfterSuite(fleet.RemoveBinary)
 
-// bound and poll are those of every wait.
+// timeout and pollInterval apply to every wait.
 const (
-	bound = fleet.Bound
-	poll  = fleet.Poll
+	timeout      = fleet.Bound
+	pollInterval = fleet.Poll
 )
 
-// refusal is the contract's shape of an error.
+// refusal is the error object of the API's error format.
 type refusal struct {
 	Code         outcome.Code     `json:"code"`
 	Message      string           `json:"message"`
@@ -40,7 +40,7 @@
 	RetryAfterMs *int64           `json:"retry_after_ms"`
 }
 
-// readRefusal reads an answer that must have exactly the contract's shape.
+// readRefusal reads a response that must have exactly the API's error format.
 func readRefusal(resp *http.Response) refusal {
 	GinkgoHelper()
 	defer resp.Body.Close()
@@ -48,18 +48,18 @@
 	Expect(err).NotTo(HaveOccurred())
 	decoder := json.NewDecoder(strings.NewReader(string(text)))
 	decoder.DisallowUnknownFields()
-	var whole struct {
+	var envelope struct {
 		Error refusal `json:"error"`
 	}
-	Expect(decoder.Decode(&whole)).To(Succeed(), "status %d: %.200s", resp.StatusCode, text)
-	Expect(whole.Error.Message).NotTo(BeEmpty())
-	Expect(whole.Error.RetryAfterMs).NotTo(BeNil(), "%s", text)
-	Expect(resp.Header.Get("Retry-After") != "").To(Equal(*whole.Error.RetryAfterMs > 0))
+	Expect(decoder.Decode(&envelope)).To(Succeed(), "status %d: %.200s", resp.StatusCode, text)
+	Expect(envelope.Error.Message).NotTo(BeEmpty())
+	Expect(envelope.Error.RetryAfterMs).NotTo(BeNil(), "%s", text)
+	Expect(resp.Header.Get("Retry-After") != "").To(Equal(*envelope.Error.RetryAfterMs > 0))
 	Expect(resp.Header.Get("Tarragon-Request-Id")).NotTo(BeEmpty())
-	return whole.Error
+	return envelope.Error
 }
 
-// send sends a request as it is; headers are names and values in turn.
+// send sends a request unchanged; headers alternates names and values.
 func send(d *fleet.Daemon, method, path string, body io.Reader, headers ...string) (*http.Response, error) {
 	req, err := http.NewRequest(method, d.Client.Base+path, body)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return d.Client.HTTP.Do(req)
 }
 
-// reached counts every call that any target took.
-func reached(f *fleet.Fleet) int {
+// targetCalls counts the calls that all targets have received.
+func targetCalls(f *fleet.Fleet) int {
 	n := 0
 	for _, s := range f.Services {
 		n += len(s.Record().Calls)
@@ -84,8 +84,8 @@
 	return n
 }
 
-// all runs work(0..n-1) at once and returns when all have ended.
-func all(n int, work func(i int)) {
+// concurrently runs work(0) to work(n-1) concurrently and returns when all have ended.
+func concurrently(n int, work func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Add(1)
@@ -98,8 +98,9 @@
 	wg.Wait()
 }
 
-// ended lists how the engines' calls ended, to be read when a spec fails.
-func ended(f *fleet.Fleet) []engine.Record {
+// engineCalls returns the engines' records of all calls, for the message of a failed
+// spec.
+func engineCalls(f *fleet.Fleet) []engine.Record {
 	var out []engine.Record
 	for _, e := range f.Engines {
 		out = append(out, e.Records()...)
--- a/test/retention/retention_test.go
+++ b/test/retention/retention_test.go
@@ -1,6 +1,6 @@
-// Package retention proves that work outlives the log's records. It is apart
-// from the other specs because it waits for the shortest retention there is,
-// and the test tool runs packages side by side.
+// Package retention checks that work outlives the log's records. It is a package of its
+// own because it waits for the shortest allowed retention, and go test runs packages in
+// parallel.
 package retention
 
 import (
@@ -22,12 +22,12 @@
 
 var _ = AfterSuite(fleet.RemoveBinary)
 
-// retention is the shortest that the settings allow.
+// retention is the shortest retention that the settings allow.
 const retention = time.Minute
 
 var _ = Describe("The log's retention", func() {
-	// The office reads its results long after the night. The log has dropped the
-	// records of the job by then, and every daemon has been replaced since.
+	// Results are read after the log has dropped the job's records and every daemon has
+	// been replaced.
 	It("is outlived by a job's results, a kept order and the configuration", func() {
 		f := fleet.Start(fleet.Options{
 			Log:      logsvc.Options{Retention: retention},
@@ -38,11 +38,11 @@
 		execution, err := f.Order(f.Daemons[1], "tray")
 		Expect(err).NotTo(HaveOccurred())
 		f.WaitJob(f.Daemons[0], job)
-		last := map[string]int64{}
+		nextOffsets := map[string]int64{}
 		for _, stream := range f.Log.Store().Names() {
-			_, last[stream] = f.Log.Store().Bounds(stream)
+			_, nextOffsets[stream] = f.Log.Store().Bounds(stream)
 		}
-		Eventually(func() []string { return kept(f, last) }, 3*retention, time.Second).Should(BeEmpty(), "streams that still hold their old records")
+		Eventually(func() []string { return streamsWithOldRecords(f, nextOffsets) }, 3*retention, time.Second).Should(BeEmpty(), "streams that still hold their old records")
 		f.CheckJob(job)
 		for i, d := range f.Running() {
 			d.Kill()
@@ -61,9 +61,9 @@
 	})
 })
 
-// kept lists the streams that still hold a record from before the given next
-// offsets.
-func kept(f *fleet.Fleet, next map[string]int64) []string {
+// streamsWithOldRecords returns the streams that still hold a record from before the
+// given next offsets.
+func streamsWithOldRecords(f *fleet.Fleet, next map[string]int64) []string {
 	var out []string
 	for stream, before := range next {
 		if first, _ := f.Log.Store().Bounds(stream); first < before {
