--- a/test/batch_orders_test.go
+++ b/test/batch_orders_test.go
@@ -11,60 +11,60 @@
 	"tarragonhollow.example/tarragonhollow/test/fleet"
 )
 
-// ticketProfile is a batch profile whose items may not be repeated.
-const ticketProfile = "\n[profile night-tickets]\nurgency = batch\nrepeatable = false\ndue = 1h\nretries = 2\ndeadline = 20s\n"
+// nonRepeatableProfile is a batch profile whose items may not be repeated.
+const nonRepeatableProfile = "\n[profile night-tickets]\nurgency = batch\nrepeatable = false\ndue = 1h\nretries = 2\ndeadline = 20s\n"
 
 var _ = Describe("A job whose items may not be repeated", func() {
-	// The desk sends the morning's breakfasts as one job. A daemon dies with some
-	// of them at the kitchen, and some of the kitchen's answers are lost: no room
-	// may be billed twice, and what the results say of each must be true.
-	It("runs each at most once and says truly which ran", func() {
-		f := fleet.Start(fleet.Options{Limits: ticketProfile})
-		startBreakfasts(f)
-		f.Others(f.Owner(breakfasts))[0].Kill()
+	// A daemon dies while items of the job run at a service, and some of the
+	// service's answers are lost. Guards against items that run twice and against
+	// results that state the wrong run state.
+	It("runs each at most once and reports correctly which ran", func() {
+		f := fleet.Start(fleet.Options{Limits: nonRepeatableProfile})
+		startTicketJob(f)
+		f.Others(f.Owner(ticketJob))[0].Kill()
 		f.WaitOwned()
 		for _, d := range f.Running() {
-			f.WaitJob(d, fleet.Job{Name: breakfasts})
+			f.WaitJob(d, fleet.Job{Name: ticketJob})
 			expectTickets(f, d)
 		}
 	})
 })
 
-// breakfasts is a job of so many orders, none of which may be repeated.
+// ticketJob is a job of ticketItems orders, none of which may be repeated.
 const (
-	breakfasts     = "breakfasts"
-	breakfastItems = 200
+	ticketJob   = "breakfasts"
+	ticketItems = 200
 )
 
-// startBreakfasts hands the job in, to slow services that lose some answers, and
-// waits until some of it is executed.
-func startBreakfasts(f *fleet.Fleet) {
+// startTicketJob makes the services slow and lose some answers, submits the job, and
+// waits until more than 20 of its items have run.
+func startTicketJob(f *fleet.Fleet) {
 	f.ControlServices(`{"slow_ms":2000,"answer_lost":2}`)
-	lines := make([]caller.Line, breakfastItems)
+	lines := make([]caller.Line, ticketItems)
 	for i := range lines {
 		lines[i] = caller.Line{CustomID: fleet.ItemID(i), URL: "/v1/services/" + f.Shape.Service + f.Shape.ActionPath, Body: map[string]int{"room": i}}
 	}
 	body, err := caller.EncodeLines(lines)
 	Expect(err).NotTo(HaveOccurred())
-	ctx, stop := callTime()
+	ctx, stop := callContext()
 	defer stop()
-	_, err = f.Daemons[0].Client.PutJob(ctx, caller.Options{Profile: "night-tickets"}, breakfasts, body)
+	_, err = f.Daemons[0].Client.PutJob(ctx, caller.Options{Profile: "night-tickets"}, ticketJob, body)
 	Expect(err).NotTo(HaveOccurred())
-	Eventually(func() int { return served(f) }, bound, poll).Should(BeNumerically(">", 20))
+	Eventually(func() int { return executedCalls(f) }, timeout, pollInterval).Should(BeNumerically(">", 20))
 }
 
-// expectTickets holds the results that a daemon shows against the executions.
+// expectTickets compares the results that a daemon returns with the executions.
 func expectTickets(f *fleet.Fleet, d *fleet.Daemon) {
-	results, err := f.Results(d, breakfasts)
+	results, err := f.Results(d, ticketJob)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(results).To(HaveLen(breakfastItems))
+	Expect(results).To(HaveLen(ticketItems))
 	for _, r := range results {
-		Expect(ticketProblem(f, breakfasts, r)).To(BeEmpty(), "%+v", r)
+		Expect(ticketProblem(f, ticketJob, r)).To(BeEmpty(), "%+v", r)
 	}
 }
 
-// served counts the calls that the services have executed.
-func served(f *fleet.Fleet) int {
+// executedCalls counts the calls that the services have executed.
+func executedCalls(f *fleet.Fleet) int {
 	n := 0
 	for _, s := range f.Services {
 		n += len(s.Record().Calls)
@@ -72,7 +72,8 @@
 	return n
 }
 
-// ticketProblem compares an item's result with its executions.
+// ticketProblem compares an item's result with its executions and returns what is
+// wrong, or "".
 func ticketProblem(f *fleet.Fleet, job string, r caller.Result) string {
 	ran := f.Executions("/" + job + "/" + r.CustomID)
 	switch {
--- a/test/batch_owner_test.go
+++ b/test/batch_owner_test.go
@@ -12,19 +12,19 @@
 )
 
 var _ = Describe("A job whose items may not be repeated and whose owner dies", func() {
-	// The desk sends the morning's breakfasts as one job. A daemon dies with some
-	// of them at the kitchen, and some of the kitchen's answers are lost: no room
-	// may be billed twice, and what the results say of each must be true.
-	It("runs each at most once and says truly which ran", func() {
-		f := fleet.Start(fleet.Options{Limits: ticketProfile})
+	// The job's owner dies while items run at a service, log reads are slow, and some
+	// of the service's answers are lost. Guards against items that run twice and
+	// against results that state the wrong run state.
+	It("runs each at most once and reports correctly which ran", func() {
+		f := fleet.Start(fleet.Options{Limits: nonRepeatableProfile})
 		logFaults(f, logsvc.Faults{ReadDelayMs: 300})
-		startBreakfasts(f)
-		f.Owner(breakfasts).Kill()
+		startTicketJob(f)
+		f.Owner(ticketJob).Kill()
 		logFaults(f, logsvc.Faults{})
 		f.WaitOwned()
 		for _, d := range f.Running() {
-			Eventually(func() (caller.Job, error) { return f.JobState(d, breakfasts) }, bound, poll).Should(HaveField("State", "ended"), func() string {
-				stuck, _ := f.JobState(d, breakfasts)
+			Eventually(func() (caller.Job, error) { return f.JobState(d, ticketJob) }, timeout, pollInterval).Should(HaveField("State", "ended"), func() string {
+				stuck, _ := f.JobState(d, ticketJob)
 				return fmt.Sprintf("%+v", stuck)
 			})
 			expectTickets(f, d)
--- a/test/condemn_test.go
+++ b/test/condemn_test.go
@@ -15,23 +15,23 @@
 var _ = Describe("A request that crashes every engine", func() {
 	marker := engine.DefaultOptions().CrashMarker
 
-	// A planner's drawing kills every engine that reads it, and his script sends
-	// it again to one daemon after the other, while others' requests run there.
+	// A request crashes every engine that runs it, and its caller retries it at one
+	// daemon after the other while other callers' requests run on the same engines.
 	It("is refused everywhere after a few crashes, and the others' requests complete", func() {
 		f := fleet.Start(fleet.Options{Shape: func(s *deployment.Shape) { s.Engines = 10 }})
 		var mu sync.Mutex
-		var harmed []string
+		var failures []string
 		done := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
 			defer close(done)
-			all(8, func(i int) {
+			concurrently(8, func(i int) {
 				for n := range 12 {
 					text := fmt.Sprintf("room %d-%d", i, n)
 					answer, err := f.Stream(f.Daemons[(i+n)%3], "", text)
 					if err != nil || answer != f.Expected(text) {
 						mu.Lock()
-						harmed = append(harmed, fmt.Sprintf("%s: %q, %v", text, answer, err))
+						failures = append(failures, fmt.Sprintf("%s: %q, %v", text, answer, err))
 						mu.Unlock()
 					}
 				}
@@ -43,9 +43,9 @@
 			run, _ := fleet.Run(err)
 			Expect(run).NotTo(BeEmpty(), "%v", err)
 		}
-		Eventually(done, bound, poll).Should(BeClosed())
+		Eventually(done, timeout, pollInterval).Should(BeClosed())
 		Expect(f.Crashes()).To(BeNumerically(">=", 1))
-		Expect(harmed).To(BeEmpty(), "others' requests, after %d crashes", f.Crashes())
-		Expect(f.Crashes()).To(BeNumerically("<=", crashBound))
+		Expect(failures).To(BeEmpty(), "others' requests, after %d crashes", f.Crashes())
+		Expect(f.Crashes()).To(BeNumerically("<=", maxCrashes))
 	})
 })
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -13,20 +13,21 @@
 )
 
 var _ = Describe("The operators' configuration", func() {
-	// Two operators publish at the same moment, each from version 1. One wins;
-	// the other must hear who, and that nothing of hers is in force.
-	It("has one winner of each race, in force everywhere", func() {
+	// Three operators publish at the same time from the same base version, 1 in the first
+	// round. One publication must be accepted; the others must be refused with the
+	// winner and its version, and have no effect.
+	It("accepts one of several concurrent publications and applies it on every daemon", func() {
 		f := fleet.Start(fleet.Options{})
 		for base := uint64(1); base < 5; base++ {
 			var won, lost atomic.Int32
 			var text atomic.Value
-			all(3, func(i int) {
-				mine := fmt.Sprintf("%s\n# by operator %d from %d\n", f.Config(), i, base)
-				published, err := publish(f.Daemons[i], mine, base)
+			concurrently(3, func(i int) {
+				candidate := fmt.Sprintf("%s\n# by operator %d from %d\n", f.Config(), i, base)
+				published, err := publish(f.Daemons[i], candidate, base)
 				if err == nil {
 					Expect(published.Version).To(Equal(base + 1))
 					won.Add(1)
-					text.Store(mine)
+					text.Store(candidate)
 					return
 				}
 				lost.Add(1)
@@ -38,14 +39,14 @@
 			})
 			Expect([]int32{won.Load(), lost.Load()}).To(Equal([]int32{1, 2}))
 			for _, d := range f.Daemons {
-				Eventually(func() string { return inForce(d).Text }, bound, poll).Should(Equal(text.Load()))
+				Eventually(func() string { return activeConfig(d).Text }, timeout, pollInterval).Should(Equal(text.Load()))
 			}
 		}
 	})
 
-	// All hosts are replaced one after the other while guests chat, and then all
-	// in the same minute. Nobody may ever be served by an older configuration,
-	// and the night's results must still be readable.
+	// All hosts are replaced one after the other under load, and then all at once. No
+	// daemon may serve by an older configuration, and the job's results and the
+	// order's answer must remain readable.
 	It("and a job's results survive the replacement of every daemon", func() {
 		f := fleet.Start(fleet.Options{})
 		job := fleet.NewJob("prep", 60, 9)
@@ -58,39 +59,39 @@
 		go func() {
 			defer GinkgoRecover()
 			defer close(load)
-			all(6, func(i int) { orderUntil(f, fmt.Sprintf("guest-%d", i), &replaced) })
+			concurrently(6, func(i int) { orderUntil(f, fmt.Sprintf("guest-%d", i), &replaced) })
 		}()
 		for i := range 3 {
 			f.Daemons[i].Terminate()
 			f.Daemons[i].WaitExit()
 			fresh := f.Add(i)
-			neverOlder(fresh, 2)
+			expectNeverOlder(fresh, 2)
 			f.WaitReady(fresh)
 			Expect(f.Chat(fresh, "", "room "+fresh.Name)).To(Equal(f.Expected("room " + fresh.Name)))
 		}
 		replaced.Store(true)
-		Eventually(load, bound, poll).Should(BeClosed())
+		Eventually(load, timeout, pollInterval).Should(BeClosed())
 		f.WaitJob(f.Running()[0], job)
 		f.CheckJob(job)
 		for _, d := range f.Running() {
 			d.Kill()
 		}
 		for i := range 3 {
-			neverOlder(f.Add(i), 2)
+			expectNeverOlder(f.Add(i), 2)
 		}
 		f.WaitReady(f.Running()...)
 		f.WaitOwned()
 		f.CheckJob(job)
 		for _, d := range f.Running() {
-			Expect(inForce(d).Version).To(Equal(uint64(2)))
+			Expect(activeConfig(d).Version).To(Equal(uint64(2)))
 			Expect(f.Order(d, "tray")).To(Equal(execution))
 		}
 		Expect(f.Executions("tray")).To(Equal(1))
 	})
 })
 
-// orderUntil places one order after the other until the end is set, each at any
-// daemon that takes it: each runs once.
+// orderUntil places one order after the other until end is set, each at the first
+// daemon that accepts it, and expects each to run once.
 func orderUntil(f *fleet.Fleet, guest string, end *atomic.Bool) {
 	for n := 0; !end.Load(); n++ {
 		key := fmt.Sprintf("%s-%d", guest, n)
@@ -101,23 +102,23 @@
 				}
 			}
 			return err
-		}, bound, poll).Should(Succeed(), key)
+		}, timeout, pollInterval).Should(Succeed(), key)
 		Expect(f.Executions(key)).To(Equal(1), key)
 	}
 }
 
-// inForce returns the configuration in force at a daemon, the zero one if the
+// activeConfig returns the configuration in force at a daemon, or the zero value if the
 // daemon does not answer.
-func inForce(d *fleet.Daemon) caller.Config {
-	ctx, stop := callTime()
+func activeConfig(d *fleet.Daemon) caller.Config {
+	ctx, stop := callContext()
 	defer stop()
 	config, _ := d.Client.Config(ctx)
 	return config
 }
 
-// neverOlder watches a fresh daemon until it is ready: it serves by the version
-// or a newer one, or not at all.
-func neverOlder(d *fleet.Daemon, version uint64) {
+// expectNeverOlder polls a new daemon until it is ready, and expects that it is not
+// ready with a configuration older than the version.
+func expectNeverOlder(d *fleet.Daemon, version uint64) {
 	GinkgoHelper()
 	Eventually(func(g Gomega) {
 		status := d.Status()
@@ -125,5 +126,5 @@
 			Expect(status.ConfigVersion).To(BeNumerically(">=", version), "%s is ready", d.Name)
 		}
 		g.Expect(status.Ready).To(BeTrue())
-	}, bound, poll).Should(Succeed())
+	}, timeout, pollInterval).Should(Succeed())
 }
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -9,14 +9,15 @@
 	"tarragonhollow.example/tarragonhollow/test/fleet"
 )
 
-// crashBound is how many engines one request may crash: the limit that condemns
-// it, and one more while the word spreads.
-var crashBound = config.DefaultLimits().CrashLimit + 1
+// maxCrashes is how many engines one request may crash: the limit at which it is
+// quarantined, and one more until every daemon has received the report.
+var maxCrashes = config.DefaultLimits().CrashLimit + 1
 
 var _ = Describe("A request that crashes its engine", func() {
 	marker := engine.DefaultOptions().CrashMarker
 
-	// The same drawing lies in a night's bundle.
+	// A request that crashes every engine is an item of a job. The other items must
+	// complete.
 	It("fails alone in its job", func() {
 		f := fleet.Start(fleet.Options{})
 		job := fleet.NewJob("prep", 60, -1)
@@ -33,6 +34,6 @@
 			}
 			Expect(r.State).To(Equal(want), "%+v", r)
 		}
-		Expect(f.Crashes()).To(BeNumerically("<=", crashBound))
+		Expect(f.Crashes()).To(BeNumerically("<=", maxCrashes))
 	})
 })
--- a/test/helpers_test.go
+++ b/test/helpers_test.go
@@ -10,22 +10,23 @@
 	"tarragonhollow.example/tarragonhollow/test/fleet"
 )
 
-// cancel cancels a job.
-func cancel(f *fleet.Fleet, d *fleet.Daemon, name string) error {
-	ctx, stop := callTime()
+// cancelJob cancels a job at a daemon.
+func cancelJob(f *fleet.Fleet, d *fleet.Daemon, name string) error {
+	ctx, stop := callContext()
 	defer stop()
 	_, err := d.Client.CancelJob(ctx, caller.Options{}, name)
 	return err
 }
 
-// publish publishes a configuration made from the base version.
+// publish publishes a configuration with the given base version.
 func publish(d *fleet.Daemon, text string, base uint64) (caller.Config, error) {
-	ctx, stop := callTime()
+	ctx, stop := callContext()
 	defer stop()
 	return d.Client.PublishConfig(ctx, text, base)
 }
 
-// mustPublish publishes a configuration that nobody races.
+// mustPublish publishes a configuration and expects success; nothing else may publish
+// at the same time.
 func mustPublish(d *fleet.Daemon, text string, base uint64) {
 	GinkgoHelper()
 	published, err := publish(d, text, base)
@@ -33,7 +34,7 @@
 	Expect(published.Version).To(Equal(base + 1))
 }
 
-// callTime bounds one call.
-func callTime() (context.Context, context.CancelFunc) {
+// callContext returns the context of one call, with a timeout.
+func callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), fleet.Bound)
 }
--- a/test/jobs_test.go
+++ b/test/jobs_test.go
@@ -15,13 +15,13 @@
 )
 
 var _ = Describe("A job", func() {
-	// The kitchen's script retries its upload at every daemon at once, and a
-	// colleague sends another list under the same name.
-	It("that is resent whole to several daemons at once is one job, and its name stays its own", func() {
+	// A script retries its upload at every daemon at once, and another caller sends
+	// another list under the same name.
+	It("that is resent whole to several daemons at once is accepted once, and its name cannot be reused", func() {
 		f := fleet.Start(fleet.Options{})
 		job := fleet.NewJob("prep", 50, -1)
 		var created, same atomic.Int32
-		all(6, func(i int) {
+		concurrently(6, func(i int) {
 			isNew, err := f.Put(f.Daemons[i%3], job)
 			Expect(err).NotTo(HaveOccurred())
 			if isNew {
@@ -42,23 +42,23 @@
 		f.WaitJob(f.Daemons[1], job)
 		f.CheckJob(job)
 		Expect(f.ItemCalls(other)).To(BeEmpty())
-		for fingerprint, n := range finished(f, job) {
+		for fingerprint, n := range finishedRuns(f, job) {
 			Expect(n).To(Equal(1), "runs of prompt %s", fingerprint)
 		}
 		Expect(f.Put(f.Daemons[2], job)).To(BeFalse())
 	})
 
-	// The office withdraws a bundle in the middle of the night. From the moment
-	// the daemon says so no further drawing may start at any engine.
-	It("that is cancelled starts no item any more", func() {
+	// Once a daemon has acknowledged the cancellation, no further item may start at
+	// any engine.
+	It("that is cancelled starts no further item", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
 		job := fleet.NewJob("prep", 400, -1)
 		f.MustPut(f.Daemons[0], job)
-		batchRuns(f, job, 30)
+		waitForItemCalls(f, job, 30)
 		other := f.Others(f.Owner(job.Name))[0]
-		Expect(cancel(f, other, job.Name)).To(Succeed())
-		told := time.Now().UnixMilli()
-		expectCancelled(f, job, told)
+		Expect(cancelJob(f, other, job.Name)).To(Succeed())
+		acknowledgedMs := time.Now().UnixMilli()
+		expectCancelled(f, job, acknowledgedMs)
 		results, err := f.Results(f.Daemons[2], job.Name)
 		Expect(err).NotTo(HaveOccurred())
 		states := map[string]int{}
@@ -70,66 +70,68 @@
 		Expect(states["cancelled"]).To(BeNumerically(">", 0))
 		// A resent job is the cancelled one, not a new one.
 		Expect(f.Put(f.Daemons[1], job)).To(BeFalse())
-		expectCancelled(f, job, told)
+		expectCancelled(f, job, acknowledgedMs)
 	})
 
-	// A daemon that hands items to engines hangs while the office withdraws the
-	// bundle, and goes on after the office was told that nothing starts any more.
-	It("that is cancelled starts no item at a daemon that wakes again", func() {
+	// Daemons that dispatch items to engines hang while the job is cancelled, and
+	// resume after the cancellation was acknowledged.
+	It("that is cancelled starts no item at a daemon that resumes", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines, Settings: func(s *settings.Settings) {
 			s.Ledger.Lease = 3 * time.Second
 		}})
 		job := fleet.NewJob("prep", 400, -1)
 		f.MustPut(f.Daemons[0], job)
-		batchRuns(f, job, 30)
+		waitForItemCalls(f, job, 30)
 		owner := f.Owner(job.Name)
 		hung := f.Others(owner)
 		for _, d := range hung {
 			d.Pause()
 		}
-		Expect(cancel(f, owner, job.Name)).To(Succeed())
-		told := time.Now().UnixMilli()
-		// The engines are free by then: whoever holds items could start them.
-		Eventually(func() int { return running(f) }, bound, poll).Should(BeZero())
+		Expect(cancelJob(f, owner, job.Name)).To(Succeed())
+		acknowledgedMs := time.Now().UnixMilli()
+		// The engines are idle then, so that a daemon that holds items could start them.
+		Eventually(func() int { return runningCalls(f) }, timeout, pollInterval).Should(BeZero())
 		for _, d := range hung {
 			d.Resume()
 		}
 		f.WaitOwned()
-		expectCancelled(f, job, told)
+		expectCancelled(f, job, acknowledgedMs)
 	})
 
-	// The shard's owner is lost between the cancel's word and the stewards'.
+	// The shard's owner is lost right after the cancellation was acknowledged, possibly
+	// before the batch dispatchers have received it.
 	It("that is cancelled stays cancelled when its owner is lost", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
 		job := fleet.NewJob("prep", 400, -1)
 		f.MustPut(f.Daemons[0], job)
-		batchRuns(f, job, 30)
+		waitForItemCalls(f, job, 30)
 		owner := f.Owner(job.Name)
-		Expect(cancel(f, f.Others(owner)[0], job.Name)).To(Succeed())
-		told := time.Now().UnixMilli()
+		Expect(cancelJob(f, f.Others(owner)[0], job.Name)).To(Succeed())
+		acknowledgedMs := time.Now().UnixMilli()
 		owner.Kill()
 		f.WaitOwned()
-		expectCancelled(f, job, told)
+		expectCancelled(f, job, acknowledgedMs)
 	})
 })
 
-// expectCancelled waits until every daemon calls the job cancelled and none of
-// its items runs, and then checks that none started after the time.
-func expectCancelled(f *fleet.Fleet, j fleet.Job, toldMs int64) {
+// expectCancelled waits until every daemon reports the job as cancelled and none of its
+// items runs, and then checks that none started after acknowledgedMs, the time in Unix
+// milliseconds at which the cancellation was acknowledged.
+func expectCancelled(f *fleet.Fleet, j fleet.Job, acknowledgedMs int64) {
 	GinkgoHelper()
 	for _, d := range f.Running() {
 		Eventually(func() (string, error) {
 			state, err := f.JobState(d, j.Name)
 			return state.State, err
-		}, bound, poll).Should(Equal("cancelled"), d.Name)
+		}, timeout, pollInterval).Should(Equal("cancelled"), d.Name)
 	}
-	Eventually(func() []engine.Record { return open(f.ItemCalls(j)) }, bound, poll).Should(BeEmpty())
+	Eventually(func() []engine.Record { return unfinished(f.ItemCalls(j)) }, timeout, pollInterval).Should(BeEmpty())
 	for _, r := range f.ItemCalls(j) {
-		Expect(r.AtMs).To(BeNumerically("<=", toldMs), "started after the cancel was told: %+v", r)
+		Expect(r.AtMs).To(BeNumerically("<=", acknowledgedMs), "started after the cancellation was acknowledged: %+v", r)
 	}
 }
 
-func open(records []engine.Record) []engine.Record {
+func unfinished(records []engine.Record) []engine.Record {
 	var out []engine.Record
 	for _, r := range records {
 		if r.Ended == "" {
--- a/test/kill_test.go
+++ b/test/kill_test.go
@@ -12,18 +12,19 @@
 	"tarragonhollow.example/tarragonhollow/test/fleet"
 )
 
-// slowEngines leaves work in flight long enough to be caught there.
+// slowEngines makes work run long enough for a failure to hit it in flight.
 func slowEngines(s *deployment.Shape) { s.EngineOptions.TimeScale = 1 }
 
-// batchRuns waits until the engines have had that many calls of the job.
-func batchRuns(f *fleet.Fleet, j fleet.Job, calls int) {
+// waitForItemCalls waits until the engines have received the given number of calls for
+// the job's items.
+func waitForItemCalls(f *fleet.Fleet, j fleet.Job, calls int) {
 	GinkgoHelper()
-	Eventually(func() int { return len(f.ItemCalls(j)) }, bound, poll).Should(BeNumerically(">=", calls))
+	Eventually(func() int { return len(f.ItemCalls(j)) }, timeout, pollInterval).Should(BeNumerically(">=", calls))
 }
 
-// askInTurn sends a keyed chat to one daemon after the other until one answers,
-// as callers behind a balancer do.
-func askInTurn(f *fleet.Fleet, first int, key, text string) (string, error) {
+// streamFromAny sends a keyed chat to one daemon after the other until one answers, as
+// callers behind a load balancer do.
+func streamFromAny(f *fleet.Fleet, first int, key, text string) (string, error) {
 	var answer string
 	var err error
 	for i := range f.Daemons {
@@ -36,28 +37,27 @@
 }
 
 var _ = Describe("A daemon that is lost", func() {
-	// The host that owns a kitchen's job and serves guests loses its power. The
-	// guests' tablets ask another daemon by the same key, and the job goes on
-	// under the shard's next owner.
-	It("leaves every accepted item with exactly one right result", func() {
+	// The host that owns a job and streams chats is lost. The callers retry at another
+	// daemon with the same key, and the job continues under the shard's next owner.
+	It("leaves every accepted item with exactly one correct result", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
 		job := fleet.NewJob("prep", 120, 11)
 		f.MustPut(f.Daemons[1], job)
 		lost := f.Owner(job.Name)
-		batchRuns(f, job, 10)
+		waitForItemCalls(f, job, 10)
 		var reading atomic.Int32
 		killed := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
 			defer close(killed)
-			Eventually(func() int { return running(f) }, bound, poll).Should(BeNumerically(">", 6))
-			Eventually(reading.Load, bound, poll).Should(Equal(int32(12)))
+			Eventually(func() int { return runningCalls(f) }, timeout, pollInterval).Should(BeNumerically(">", 6))
+			Eventually(reading.Load, timeout, pollInterval).Should(Equal(int32(12)))
 			lost.Kill()
 		}()
-		all(12, func(i int) {
+		concurrently(12, func(i int) {
 			reading.Add(1)
 			text := fmt.Sprintf("room %d", i)
-			answer, err := askInTurn(f, i, "chat-"+text, text)
+			answer, err := streamFromAny(f, i, "chat-"+text, text)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(answer).To(Equal(f.Expected(text)))
 		})
@@ -67,8 +67,8 @@
 		f.CheckJob(job)
 	})
 
-	// A daemon tells 202 and a second later its rack is gone, together with the
-	// owner of the job's shard. The caller was told that the job is taken.
+	// A daemon answers 202 and is lost right after, together with the owner of the
+	// job's shard. The job was acknowledged and must run.
 	It("keeps a job that was acknowledged just before", func() {
 		f := fleet.Start(fleet.Options{})
 		job := fleet.NewJob("prep", 40, -1)
@@ -82,8 +82,8 @@
 		f.CheckJob(job)
 	})
 
-	// A tablet shows "order placed", and the daemon that said so and the shard's
-	// owner are lost in the same moment. The tablet asks again elsewhere.
+	// The daemon that acknowledged an order and the shard's owner are lost at the same
+	// time. The caller resends the order to another daemon.
 	It("keeps an order's answer that was acknowledged just before", func() {
 		f := fleet.Start(fleet.Options{})
 		const key = "tray"
@@ -94,21 +94,21 @@
 		owner.Kill()
 		entry.Kill()
 		left := f.Running()[0]
-		Eventually(func() (int64, error) { return f.Order(left, key) }, bound, poll).Should(Equal(execution))
+		Eventually(func() (int64, error) { return f.Order(left, key) }, timeout, pollInterval).Should(Equal(execution))
 		kept, err := f.Kept(left, key)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(kept.State).To(Equal("completed"))
 		Expect(f.Executions(key)).To(Equal(1))
 	})
 
-	// Hosts are replaced one after the other in a bad hour: each one is killed
-	// while it works, and a new one with its name comes up.
-	It("may be each one in turn, replaced, and the job still ends right", func() {
+	// Each host in turn is killed while it works and replaced by a new one of the same
+	// name.
+	It("may be each daemon in turn, with a replacement, and the job ends correctly", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
 		job := fleet.NewJob("prep", 150, -1)
 		f.MustPut(f.Daemons[0], job)
 		for i := range 3 {
-			batchRuns(f, job, 20*(i+1))
+			waitForItemCalls(f, job, 20*(i+1))
 			f.Daemons[i].Kill()
 			f.WaitReady(f.Add(i))
 		}
@@ -116,13 +116,13 @@
 		f.CheckJob(job)
 	})
 
-	// The process hangs in a stopped machine beyond its claims, and comes back
-	// when others own its shards: what it writes then must not count.
-	It("and wakes again doubles nothing", func() {
+	// The process hangs until its leases have expired, and resumes when others own its
+	// shards: what it writes then must have no effect.
+	It("and resumes later duplicates nothing", func() {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
 		job := fleet.NewJob("prep", 80, -1)
 		f.MustPut(f.Daemons[0], job)
-		batchRuns(f, job, 10)
+		waitForItemCalls(f, job, 10)
 		paused := f.Owner(job.Name)
 		held := paused.Shards()
 		paused.Pause()
@@ -132,17 +132,17 @@
 		Expect(err).NotTo(HaveOccurred())
 		paused.Resume()
 		f.WaitOwned()
-		Eventually(func() (int64, error) { return f.Order(paused, key) }, bound, poll).Should(Equal(execution))
+		Eventually(func() (int64, error) { return f.Order(paused, key) }, timeout, pollInterval).Should(Equal(execution))
 		Expect(f.Executions(key)).To(Equal(1))
 		Expect(held).NotTo(BeEmpty())
-		Eventually(func() int { return doublyHeld(f) }, bound, poll).Should(BeZero())
+		Eventually(func() int { return doublyHeld(f) }, timeout, pollInterval).Should(BeZero())
 		f.WaitJob(paused, job)
 		f.CheckJob(job)
 	})
 })
 
-// running counts the calls that run at the engines.
-func running(f *fleet.Fleet) int {
+// runningCalls counts the calls that run at the engines.
+func runningCalls(f *fleet.Fleet) int {
 	n := 0
 	for _, e := range f.Engines {
 		n += e.Stats().Running
@@ -150,7 +150,7 @@
 	return n
 }
 
-// doublyHeld counts the shards that two daemons believe to hold.
+// doublyHeld counts the shards that more than one running daemon reports as held.
 func doublyHeld(f *fleet.Fleet) int {
 	holders := map[int]int{}
 	twice := 0
@@ -164,8 +164,9 @@
 	return twice
 }
 
-// finished counts the job's calls that the engines finished, by prompt.
-func finished(f *fleet.Fleet, j fleet.Job) map[string]int {
+// finishedRuns counts the job's calls that the engines finished, by the fingerprint of
+// the prompt.
+func finishedRuns(f *fleet.Fleet, j fleet.Job) map[string]int {
 	out := map[string]int{}
 	for _, r := range f.ItemCalls(j) {
 		if r.Ended == engine.EndedFinished {
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -11,10 +11,9 @@
 )
 
 var _ = Describe("An order that may not run twice", func() {
-	// The kitchen prints the ticket and the line drops before its answer. The
-	// guest must hear at once that the order may have been placed, and every
-	// further tap must hear the same.
-	It("whose answer is lost runs once, and every arrival is told that it may have run", func() {
+	// The service executes the order and the connection drops before its answer. The
+	// caller must be answered may_have_run at once, and so must every resend.
+	It("whose answer is lost runs once, and every resend is answered may_have_run", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"answer_lost":1}`)
 		_, err := f.Order(f.Daemons[0], "tray")
@@ -29,8 +28,8 @@
 		Expect(f.Executions("tray")).To(Equal(1))
 	})
 
-	// The entry host dies while the kitchen works on its order. The tablet asks
-	// another daemon; the kitchen prints the ticket later all the same.
+	// The host that received the order dies while the service runs it. The caller
+	// resends it to another daemon, and the service completes it later.
 	It("whose entry host dies after the start is never run again", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"frozen":true}`)
@@ -42,23 +41,23 @@
 			_, err := f.Order(entry, key)
 			dead <- err
 		}()
-		Eventually(f.Held, bound, poll).Should(Equal(1))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(1))
 		entry.Kill()
-		Eventually(dead, bound, poll).Should(Receive(HaveOccurred()))
+		Eventually(dead, timeout, pollInterval).Should(Receive(HaveOccurred()))
 		resend := func() outcome.RunState {
 			_, err := f.Order(third, key)
 			run, _ := fleet.Run(err)
 			return run
 		}
-		Eventually(resend, bound, poll).Should(Equal(outcome.MayHaveRun))
+		Eventually(resend, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
 		f.ControlServices(`{"frozen":false}`)
-		Eventually(func() int { return f.Executions(key) }, bound, poll).Should(Equal(1))
+		Eventually(func() int { return f.Executions(key) }, timeout, pollInterval).Should(Equal(1))
 		Expect(resend()).To(Equal(outcome.MayHaveRun))
 		Expect(f.Executions(key)).To(Equal(1))
 	})
 
-	// Entry host and shard owner die together after the start, so that the
-	// successor knows the order from the log alone.
+	// The entry host and the shard's owner die together after the start, so that the
+	// next owner knows the order only from the log.
 	It("whose owner dies with its entry host is never run again", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"frozen":true}`)
@@ -66,21 +65,21 @@
 		owner := f.Owner(key)
 		entry, third := f.Others(owner)[0], f.Others(owner)[1]
 		go func() { _, _ = f.Order(entry, key) }()
-		Eventually(f.Held, bound, poll).Should(Equal(1))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(1))
 		owner.Kill()
 		entry.Kill()
 		Eventually(func() outcome.RunState {
 			_, err := f.Order(third, key)
 			run, _ := fleet.Run(err)
 			return run
-		}, bound, poll).Should(Equal(outcome.MayHaveRun))
+		}, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
 		f.ControlServices(`{"frozen":false}`)
-		Eventually(func() int { return f.Executions(key) }, bound, poll).Should(Equal(1))
+		Eventually(func() int { return f.Executions(key) }, timeout, pollInterval).Should(Equal(1))
 	})
 
-	// Only the shard's owner dies: the entry host lives and gets the kitchen's
-	// answer, which settles the order under the next owner.
-	It("whose owner dies after the start is settled by the late answer", func() {
+	// Only the shard's owner dies. The entry host receives the service's answer, which
+	// resolves the order at the next owner.
+	It("whose owner dies after the start is resolved by the late answer", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"frozen":true}`)
 		const key = "tray"
@@ -91,23 +90,23 @@
 			_, err := f.Order(entry, key)
 			answered <- err
 		}()
-		Eventually(f.Held, bound, poll).Should(Equal(1))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(1))
 		owner.Kill()
 		f.WaitOwned()
 		f.ControlServices(`{"frozen":false}`)
-		Eventually(answered, bound, poll).Should(Receive(BeNil()))
+		Eventually(answered, timeout, pollInterval).Should(Receive(BeNil()))
 		for _, d := range f.Running() {
 			Eventually(func() (string, error) {
 				kept, err := f.Kept(d, key)
 				return kept.State, err
-			}, bound, poll).Should(Equal("completed"))
+			}, timeout, pollInterval).Should(Equal("completed"))
 		}
 		Expect(f.Executions(key)).To(Equal(1))
 	})
 
-	// The entry host hangs while the kitchen works, far beyond its claims, and
-	// then goes on with the kitchen's answer in its hands.
-	It("whose entry host wakes again is settled by its late answer", func() {
+	// The entry host hangs while the service runs the order, until long after its
+	// leases have expired, and then resumes and reads the service's answer.
+	It("whose entry host resumes is resolved by its late answer", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"frozen":true}`)
 		const key = "tray"
@@ -118,38 +117,38 @@
 			_, err := f.Order(entry, key)
 			answered <- err
 		}()
-		Eventually(f.Held, bound, poll).Should(Equal(1))
+		Eventually(f.Held, timeout, pollInterval).Should(Equal(1))
 		entry.Pause()
 		f.WaitOwned()
 		Eventually(func() outcome.RunState {
 			_, err := f.Order(other, key)
 			run, _ := fleet.Run(err)
 			return run
-		}, bound, poll).Should(Equal(outcome.MayHaveRun))
+		}, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
 		f.ControlServices(`{"frozen":false}`)
-		Eventually(func() int { return f.Executions(key) }, bound, poll).Should(Equal(1))
+		Eventually(func() int { return f.Executions(key) }, timeout, pollInterval).Should(Equal(1))
 		entry.Resume()
-		Eventually(answered, bound, poll).Should(Receive())
+		Eventually(answered, timeout, pollInterval).Should(Receive())
 		for _, d := range f.Daemons {
 			Eventually(func() (string, error) {
 				kept, err := f.Kept(d, key)
 				return kept.State, err
-			}, bound, poll).Should(Equal("completed"))
+			}, timeout, pollInterval).Should(Equal("completed"))
 		}
 		Expect(f.Executions(key)).To(Equal(1))
 	})
 
-	// The guest taps again and again, on every tablet, while one daemon dies.
+	// The same orders are sent repeatedly to every daemon while one of them dies.
 	It("that is resent everywhere at once while a daemon dies runs at most once", func() {
 		f := fleet.Start(fleet.Options{})
 		f.ControlServices(`{"slow_ms":2000}`)
 		const orders = 12
 		go func() {
 			defer GinkgoRecover()
-			Eventually(func() int { return executed(f, orders) }, bound, poll).Should(BeNumerically(">", 2))
+			Eventually(func() int { return executed(f, orders) }, timeout, pollInterval).Should(BeNumerically(">", 2))
 			f.Daemons[1].Kill()
 		}()
-		all(3*orders, func(i int) {
+		concurrently(3*orders, func(i int) {
 			_, err := f.Order(f.Daemons[i%3], fmt.Sprintf("tray-%d", i/3))
 			if run, _ := fleet.Run(err); run == outcome.NotRun {
 				_, _ = f.Order(f.Daemons[2], fmt.Sprintf("tray-%d", i/3))
@@ -164,7 +163,7 @@
 					return nil
 				}
 				return err
-			}, bound, poll).Should(Succeed(), key)
+			}, timeout, pollInterval).Should(Succeed(), key)
 			Expect(f.Executions(key)).To(BeNumerically("<=", 1), key)
 		}
 	})
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -15,10 +15,10 @@
 )
 
 var _ = Describe("A planned stop", func() {
-	// A host is taken down while guests read streams and orders are at the
-	// kitchen. The balancer in front sees it unready and sends no more. Every
-	// request that it was sent must end whole, also those that outlast the grace
-	// and the listener; its shards and batch go to others.
+	// A host is stopped while it serves streams and orders. The load balancer sends no
+	// more requests once the daemon is not ready. Every request that it was sent must
+	// complete, also those that outlast the grace period and the listener; its shards
+	// and batch work move to other daemons.
 	It("interrupts no request", func() {
 		f := fleet.Start(fleet.Options{
 			Shape: func(s *deployment.Shape) {
@@ -32,16 +32,16 @@
 		f.MustPut(leaving, job)
 		var answered atomic.Int32
 		var unready atomic.Bool
-		go balance(leaving, &unready)
+		go watchReadiness(leaving, &unready)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(answered.Load, bound, poll).Should(BeNumerically(">", 20))
+			Eventually(answered.Load, timeout, pollInterval).Should(BeNumerically(">", 20))
 			leaving.Terminate()
 		}()
-		all(20, func(i int) {
+		concurrently(20, func(i int) {
 			for n := 0; !unready.Load(); n++ {
 				name := fmt.Sprintf("room %d-%d", i, n)
-				Expect(askOnce(f, leaving, i, name)).To(Succeed(), name)
+				Expect(sendOne(f, leaving, i, name)).To(Succeed(), name)
 				answered.Add(1)
 			}
 		})
@@ -54,24 +54,24 @@
 	})
 })
 
-// balance sets the flag once the daemon says that it is not ready, as a
-// balancer's health check does.
-func balance(d *fleet.Daemon, unready *atomic.Bool) {
+// watchReadiness sets the flag once the daemon reports that it is not ready, like the
+// health check of a load balancer.
+func watchReadiness(d *fleet.Daemon, unready *atomic.Bool) {
 	for {
-		ctx, stop := callTime()
+		ctx, stop := callContext()
 		err := d.Client.Ready(ctx)
 		stop()
 		if err != nil {
 			unready.Store(true)
 			return
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// askOnce sends an order, a whole chat or a stream, by the caller's number, and
+// sendOne sends an order, a stream or an unstreamed chat, for kind%3 = 0, 1 and 2, and
 // checks the answer.
-func askOnce(f *fleet.Fleet, d *fleet.Daemon, kind int, name string) error {
+func sendOne(f *fleet.Fleet, d *fleet.Daemon, kind int, name string) error {
 	var answer string
 	var err error
 	switch kind % 3 {
@@ -90,13 +90,13 @@
 }
 
 var _ = Describe("A target that leaves", func() {
-	// The platform marks an engine as leaving while guests chat and a job runs.
-	// A few seconds later nothing new may reach it, and what runs there ends.
-	It("gets no new work a few seconds after the host list's word", func() {
+	// The platform marks an engine as leaving while chats and a job run. A few seconds
+	// later no new call may reach it, and running calls must complete.
+	It("gets no new work a few seconds after the host list marks it as leaving", func() {
 		f := fleet.Start(fleet.Options{})
 		job := fleet.NewJob("prep", 1500, -1)
 		f.MustPut(f.Daemons[0], job)
-		batchRuns(f, job, 50)
+		waitForItemCalls(f, job, 50)
 		calls := func() int { return len(f.Engines[0].Records()) }
 		Expect(calls()).To(BeNumerically(">", 0))
 		Expect(f.Hosts.Put(extern.Host{
@@ -107,27 +107,27 @@
 		load := func() {
 			round++
 			before := len(f.ItemCalls(job))
-			all(24, func(i int) {
+			concurrently(24, func(i int) {
 				text := fmt.Sprintf("round %d room %d", round, i)
 				Expect(f.Chat(f.Daemons[i%3], "", text)).To(Equal(f.Expected(text)))
 			})
-			Eventually(func() int { return len(f.ItemCalls(job)) }, bound, poll).Should(BeNumerically(">", before))
+			Eventually(func() int { return len(f.ItemCalls(job)) }, timeout, pollInterval).Should(BeNumerically(">", before))
 		}
 		Eventually(func() int {
 			before := calls()
 			load()
 			return calls() - before
-		}, bound, poll).Should(BeZero(), "new calls during a round of load")
-		settled := calls()
+		}, timeout, pollInterval).Should(BeZero(), "new calls during a round of load")
+		finalCalls := calls()
 		for range 5 {
 			load()
 		}
-		Expect(calls()).To(Equal(settled))
+		Expect(calls()).To(Equal(finalCalls))
 		for _, r := range f.Engines[0].Records() {
 			Expect(r.Urgency == "online" && r.Ended != "finished").To(BeFalse(), "%+v", r)
 		}
 		f.WaitJob(f.Daemons[1], job)
 		f.CheckJob(job)
-		Expect(calls()).To(Equal(settled))
+		Expect(calls()).To(Equal(finalCalls))
 	})
 })
--- a/test/suite_test.go
+++ b/test/suite_test.go
@@ -1,6 +1,6 @@
-// Package test proves the fleet's promises with real daemon processes: each
-// spec brings one failure about and then asks callers' answers and targets'
-// records, never the system's own word, what became of the work.
+// Package test checks the fleet's guarantees with real daemon processes. Each spec
+// causes one failure and then verifies the outcome from callers' responses and targets'
+// records, not from what the system reports about itself.
 package test
 
 import (
@@ -21,14 +21,14 @@
 
 var _ = AfterSuite(fleet.RemoveBinary)
 
-// bound and poll are those of every wait.
+// timeout and pollInterval apply to every wait.
 const (
-	bound = fleet.Bound
-	poll  = fleet.Poll
+	timeout      = fleet.Bound
+	pollInterval = fleet.Poll
 )
 
-// all runs work(0..n-1) at once and returns when all have ended.
-func all(n int, work func(i int)) {
+// concurrently runs work(0) to work(n-1) concurrently and returns when all have ended.
+func concurrently(n int, work func(i int)) {
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Add(1)
@@ -41,7 +41,7 @@
 	wg.Wait()
 }
 
-// beRun matches an error that is a refusal with the run state.
+// expectRun expects that the error is a refusal with the given run state.
 func expectRun(err error, want outcome.RunState) {
 	GinkgoHelper()
 	run, code := fleet.Run(err)
--- a/test/whole_path_test.go
+++ b/test/whole_path_test.go
@@ -14,9 +14,9 @@
 )
 
 var _ = Describe("A fleet without failures", func() {
-	// A guest chats and orders, taps twice, and the second tap reaches another
-	// daemon; the kitchen sends a batch of which one sheet can never be done.
-	It("answers every request, orders once and ends the job, seen alike from every daemon", func() {
+	// Each order is resent to every daemon, and one item of the job fails on every
+	// engine.
+	It("answers every request, orders once and ends the job, with the same view at every daemon", func() {
 		f := fleet.Start(fleet.Options{})
 		for i, d := range f.Daemons {
 			text := "room " + d.Name
@@ -51,7 +51,7 @@
 		Expect(caller.IsRefused(err).Status).To(Equal(400))
 	})
 
-	It("is worked by the command line", func() {
+	It("is operated from the command line", func() {
 		f := fleet.Start(fleet.Options{Daemons: 2})
 		daemon := "--daemon=" + f.Daemons[0].Client.Base
 		write := func(name, text string) string {
@@ -78,7 +78,7 @@
 		lines := write("job.jsonl", `{"custom_id":"a","url":"/v1/chat/completions","body":{"model":"ordering","max_tokens":4,"messages":[{"role":"user","content":"x"}]}}`+"\n")
 		Expect(run(0, "job", "submit", "by-hand", lines, "--profile", f.Shape.BatchProfile, daemon)).To(ContainSubstring("by-hand"))
 		Expect(run(0, "job", "submit", "by-hand", lines, "--profile", f.Shape.BatchProfile, daemon)).To(ContainSubstring("already accepted"))
-		Eventually(func() string { return run(0, "job", "results", "by-hand", daemon) }, bound, poll).Should(ContainSubstring(`"completed"`))
+		Eventually(func() string { return run(0, "job", "results", "by-hand", daemon) }, timeout, pollInterval).Should(ContainSubstring(`"completed"`))
 		Expect(run(0, "job", "status", "by-hand", daemon)).To(MatchRegexp(`items\s+1`))
 		run(0, "job", "cancel", "by-hand", daemon)
 		run(1, "job", "status", "never-sent", daemon)
