--- a/core/admission/admission_test.go
+++ b/core/admission/admission_test.go
@@ -34,13 +34,13 @@
 
 func (m *model) online(now time.Time) int {
 	last := map[string]signal{}
-	for _, w := range m.signals {
-		last[w.entry] = w
+	for _, s := range m.signals {
+		last[s.entry] = s
 	}
 	n := 0
-	for _, w := range last {
-		if now.Sub(w.at) <= SignalExpiry {
-			n += w.online
+	for _, s := range last {
+		if now.Sub(s.at) <= SignalExpiry {
+			n += s.online
 		}
 	}
 	return n
@@ -65,9 +65,9 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "event") {
 			case 0:
 				seq++
-				w := signal{now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "entry"), rapid.IntRange(0, 3).Draw(rt, "online")}
-				m.signals = append(m.signals, w)
-				target.Signal(now, w.entry, seq, w.online, seq)
+				sent := signal{now, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "entry"), rapid.IntRange(0, 3).Draw(rt, "online")}
+				m.signals = append(m.signals, sent)
+				target.Signal(now, sent.entry, seq, sent.online, seq)
 			case 1:
 				now = now.Add(time.Duration(rapid.IntRange(0, 2500).Draw(rt, "pause")) * time.Millisecond)
 			case 2:
--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -129,7 +129,7 @@
 	if ramp := p.ramp(s.SinceOnline - p.CoolDown); ramp < limit {
 		limit, why = ramp, ReasonRamp
 	}
-	return admitUpTo(s, p.quota(limit, s.Silent, &why), why)
+	return admitUpTo(s, p.halveIfSilent(limit, s.Silent, &why), why)
 }
 
 // headroom leaves batch at least one slot on an idle target; otherwise a target with one
@@ -161,7 +161,7 @@
 // admitOnePrefill admits at most one stream, and only if no batch prefill runs.
 func (p Preemptive) admitOnePrefill(s Snapshot, a Action) Action {
 	why := a.Reason
-	limit := p.quota(p.Limit(s), s.Silent, &why)
+	limit := p.halveIfSilent(p.Limit(s), s.Silent, &why)
 	if s.Waiting == 0 || len(s.Running) >= limit {
 		a.Reason = why
 		return a
@@ -172,7 +172,7 @@
 			return a
 		}
 	}
-	small := len(s.Running) >= p.quota(weightedShare(s.Weight, p.freeSlots(s)), s.Silent, &why)
+	small := len(s.Running) >= p.halveIfSilent(weightedShare(s.Weight, p.freeSlots(s)), s.Silent, &why)
 	if small && s.SmallPrefill == 0 {
 		a.Reason = ReasonLongPrefill
 		return a
@@ -184,7 +184,7 @@
 // quota halves the limit while signals from entry hosts are missing: their online load is
 // unknown, which must mean less batch. One stream remains allowed on an otherwise free
 // target, or a host that is live but partitioned would stop all batch permanently.
-func (p Preemptive) quota(limit int, silent bool, why *Reason) int {
+func (p Preemptive) halveIfSilent(limit int, silent bool, why *Reason) int {
 	if !silent || limit <= 1 {
 		return limit
 	}
--- a/core/admission/signals.go
+++ b/core/admission/signals.go
@@ -70,7 +70,7 @@
 		return false
 	}
 	for id := range e.live {
-		if _, heard := e.count[id]; !heard {
+		if _, known := e.count[id]; !known {
 			return true
 		}
 	}
--- a/core/board/board.go
+++ b/core/board/board.go
@@ -41,8 +41,8 @@
 
 // Empty reports whether the report contains nothing that others wait for. A daemon that
 // only holds partitions sends no reports.
-func (w *LoadReport) Empty() bool {
-	return len(w.Counts) == 0 && len(w.Held) == 0 && len(w.Doubts) == 0
+func (r *LoadReport) Empty() bool {
+	return len(r.Counts) == 0 && len(r.Held) == 0 && len(r.Doubts) == 0
 }
 
 type receivedReport struct {
@@ -144,11 +144,11 @@
 		return
 	}
 	b.oldest = now
-	for _, h := range b.peers {
-		if now.Sub(h.receivedAt) > LoadReportTTL {
-			b.drop(h.report)
-		} else if h.receivedAt.Before(b.oldest) {
-			b.oldest = h.receivedAt
+	for _, received := range b.peers {
+		if now.Sub(received.receivedAt) > LoadReportTTL {
+			b.drop(received.report)
+		} else if received.receivedAt.Before(b.oldest) {
+			b.oldest = received.receivedAt
 		}
 	}
 }
@@ -168,11 +168,11 @@
 		return b.degraded
 	}
 	b.degraded = map[string]int{}
-	for _, h := range b.peers {
-		if h.report.Zone != b.zone {
+	for _, received := range b.peers {
+		if received.report.Zone != b.zone {
 			continue
 		}
-		for target, failures := range h.report.Doubts {
+		for target, failures := range received.report.Doubts {
 			b.degraded[target] = max(b.degraded[target], failures)
 		}
 	}
@@ -193,8 +193,8 @@
 func collect[T comparable](b *LoadTable, now time.Time, list func(*LoadReport) []T) map[T]bool {
 	b.expire(now)
 	all := map[T]bool{}
-	for _, h := range b.peers {
-		for _, one := range list(&h.report) {
+	for _, received := range b.peers {
+		for _, one := range list(&received.report) {
 			all[one] = true
 		}
 	}
--- a/core/board/board_test.go
+++ b/core/board/board_test.go
@@ -81,7 +81,7 @@
 			at, reports, receivedAt := now, map[string]board.LoadReport{}, map[string]time.Time{}
 			for range rapid.IntRange(1, 40).Draw(t, "steps") {
 				at = at.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
-				w := board.LoadReport{
+				r := board.LoadReport{
 					From: rapid.SampledFrom([]string{"x", "y", "v"}).Draw(t, "from"), Number: rapid.Uint64Range(1, 9).Draw(t, "number"),
 					Zone: rapid.SampledFrom([]string{"z", "far"}).Draw(t, "zone"),
 					Counts: rapid.MapOf(rapid.SampledFrom([]string{"a", "b"}), rapid.Custom(func(t *rapid.T) board.Count {
@@ -95,13 +95,13 @@
 						delete(receivedAt, from)
 					}
 				}
-				b.ApplyReport(at, w)
-				if last, known := reports[w.From]; known && w.Number < last.Number {
+				b.ApplyReport(at, r)
+				if last, known := reports[r.From]; known && r.Number < last.Number {
 					continue
 				}
-				reports[w.From], receivedAt[w.From] = w, at
-				if w.Empty() {
-					delete(reports, w.From)
+				reports[r.From], receivedAt[r.From] = r, at
+				if r.Empty() {
+					delete(reports, r.From)
 				}
 				for _, target := range []string{"a", "b"} {
 					var sum board.Count
@@ -159,10 +159,10 @@
 			b := board.New("self", "z")
 			all := map[string]board.Count{}
 			for _, target := range []string{"a", "b", "c"} {
-				own := board.Count{Online: rapid.IntRange(0, 3).Draw(t, "online"), Batch: rapid.IntRange(0, 3).Draw(t, "batch")}
-				others := board.Count{Online: rapid.IntRange(0, 3).Draw(t, "others"), Batch: rapid.IntRange(0, 3).Draw(t, "others' batch")}
-				b.Add(target, own.Online, own.Batch)
-				all[target] = board.Count{Online: own.Online + others.Online, Batch: own.Batch + others.Batch}
+				local := board.Count{Online: rapid.IntRange(0, 3).Draw(t, "online"), Batch: rapid.IntRange(0, 3).Draw(t, "batch")}
+				peers := board.Count{Online: rapid.IntRange(0, 3).Draw(t, "others"), Batch: rapid.IntRange(0, 3).Draw(t, "others' batch")}
+				b.Add(target, local.Online, local.Batch)
+				all[target] = board.Count{Online: local.Online + peers.Online, Batch: local.Batch + peers.Batch}
 			}
 			b.ApplyReport(now, board.LoadReport{From: "zone z", Number: 1, Counts: b.WithoutLocal(all)})
 			for target, want := range all {
@@ -173,7 +173,7 @@
 			// Work that began since the report is not in it.
 			b.Add("a", 1, 0)
 			if got := b.WithoutLocal(all)["a"].Online; got != max(0, all["a"].Online-b.LocalCounts()["a"].Online) {
-				t.Fatalf("%d others at a", got)
+				t.Fatalf("%d without the local count at a", got)
 			}
 		})
 	})
--- a/core/board/yield.go
+++ b/core/board/yield.go
@@ -55,8 +55,8 @@
 // holders returns the daemons with batch items at the target, sorted by rank.
 func (b *LoadTable) holders(target string) []holder {
 	all := []holder{{b.self, rank(target, b.self), b.local[target].Batch}}
-	for name, h := range b.peers {
-		if n := h.report.Counts[target].Batch; n > 0 {
+	for name, received := range b.peers {
+		if n := received.report.Counts[target].Batch; n > 0 {
 			all = append(all, holder{name, rank(target, name), n})
 		}
 	}
@@ -66,8 +66,8 @@
 	return all
 }
 
-// rank orders the daemons for a target: equally at all daemons, and differently for each
-// target.
+// rank determines the order of the daemons for a target: the same at all daemons, and a
+// different one for each target.
 func rank(target, name string) uint64 {
 	return xxhash.Sum64String(name + "\x00" + target)
 }
--- a/core/election/election.go
+++ b/core/election/election.go
@@ -1,9 +1,9 @@
 // Package election chooses the leader of an availability zone among its daemons, from
-// heartbeats alone. It is pure.
+// heartbeats alone. It does no I/O and reads no clock.
 //
 // All daemons sort the zone's members in the same order, hosts with the most capacity
-// first. The first live member in this order leads and sends heartbeats; every other
-// daemon stands back while it receives the heartbeats of a member before itself. Nothing
+// first. The first live member in this order leads and sends heartbeats; a daemon does not
+// lead while it receives the heartbeats of a member before itself in this order. Nothing
 // is stored and no consensus is reached, so callers must tolerate two leaders at once, or
 // none for a moment: what a leader sends is advisory.
 package election
--- a/core/election/election_test.go
+++ b/core/election/election_test.go
@@ -89,11 +89,11 @@
 func members(n int) []election.Member {
 	var list []election.Member
 	for i := range n {
-		room := 0.2
+		capacity := 0.2
 		if i < n/5 {
-			room = 0.8
+			capacity = 0.8
 		}
-		list = append(list, election.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Capacity: room})
+		list = append(list, election.Member{Address: fmt.Sprint("10.0.0.", i, ":1"), Capacity: capacity})
 	}
 	return list
 }
@@ -181,19 +181,19 @@
 			address, _ := view.Leader(z.now)
 			return address
 		}
-		deaf := leader()
-		Expect(deaf).NotTo(BeEmpty())
-		view.CallFailed(z.now, deaf, false)
-		Expect(leader()).To(Equal(deaf))
-		view.CallAnswered(deaf)
-		view.CallFailed(z.now, deaf, false)
-		Expect(leader()).To(Equal(deaf))
-		view.CallFailed(z.now, deaf, false)
+		unresponsive := leader()
+		Expect(unresponsive).NotTo(BeEmpty())
+		view.CallFailed(z.now, unresponsive, false)
+		Expect(leader()).To(Equal(unresponsive))
+		view.CallAnswered(unresponsive)
+		view.CallFailed(z.now, unresponsive, false)
+		Expect(leader()).To(Equal(unresponsive))
+		view.CallFailed(z.now, unresponsive, false)
 		z.advance(election.HeartbeatInterval * 2)
 		_, found := view.Leader(z.now)
 		Expect(found).To(BeFalse())
 		z.advance(election.ExclusionPeriod)
-		Expect(leader()).To(Equal(deaf))
+		Expect(leader()).To(Equal(unresponsive))
 	})
 
 	It("drops a leader immediately if nothing listens at its address, or if it resigns", func() {
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -1,5 +1,5 @@
 // Package feed decides which daemons of an availability zone read the platform's log
-// themselves, and which targets the other daemons hold. It is pure.
+// themselves, and which targets the other daemons hold. It does no I/O and reads no clock.
 //
 // In a large zone the leader reads the log; while it does not reach the log, some daemons
 // that it appoints read it. The other daemons subscribe to a reader, which forwards the
--- a/core/feed/feed_test.go
+++ b/core/feed/feed_test.go
@@ -85,15 +85,15 @@
 
 	// The log is unavailable to all daemons: the whole fleet must not query it.
 	It("has few daemons query a log that answers nobody, and rotates through them", func() {
-		asked := map[string]bool{}
+		queried := map[string]bool{}
 		for range 40 {
 			list := run(time.Second, feed.Never, func(string) (time.Duration, bool) { return feed.Never, true })
 			Expect(len(list)).To(BeNumerically("<=", 5))
 			for _, r := range list {
-				asked[r.Address] = true
+				queried[r.Address] = true
 			}
 		}
-		Expect(len(asked)).To(BeNumerically(">", 8))
+		Expect(len(queried)).To(BeNumerically(">", 8))
 	})
 
 	It("excludes daemons that are dead", func() {
--- a/core/routing/admit.go
+++ b/core/routing/admit.go
@@ -6,7 +6,7 @@
 	"tarragonhollow.example/tarragonhollow/core/outcome"
 )
 
-// speedWeight is the weight of a new measurement in the running average.
+// serviceTimeWeight is the weight of a new measurement in the running average.
 const serviceTimeWeight = 0.1
 
 // ServiceTime is the running average of the total time of a group's finished requests.
--- a/core/routing/health.go
+++ b/core/routing/health.go
@@ -157,8 +157,9 @@
 	return time.Time{}
 }
 
-// Probes returns the ejected targets that are due for a health probe. A real request
-// makes a poor probe, above all one that may not be repeated.
+// Probes returns the targets that are due for a health probe: half-open ones, and ejected
+// ones whose ejection ends within BaseEjectionTime. A real request makes a poor probe,
+// above all one that may not be repeated.
 func (t *Table) Probes(now time.Time) []string {
 	var due []string
 	for _, address := range t.order {
--- a/core/routing/least.go
+++ b/core/routing/least.go
@@ -40,8 +40,9 @@
 // Load pattern: bursts that fill the zone with the most callers first. If its daemons
 // chose the lowest load in the outdated reports, all of them would choose the same few
 // remote targets, and waiting for a local slot would be late while other zones have free
-// ones. The last local slots are for as many requests as there are slots: of the requests
-// that the zone's daemons start at the same time, the rest go to other zones at once.
+// ones. The daemons of the zone also start requests at the same time, unseen by each
+// other: only about as many of these as there are free local slots should take a local
+// slot, so the others go to other zones at once.
 func (t *Table) localZoneFirst(now time.Time, usable []*entry, r Request, unreported float64, random *splitmix.Generator) *entry {
 	local, remote := t.byZone(now, usable, r.Zone)
 	withFree, free := t.withFreeSlots(now, local, r)
--- a/core/routing/load.go
+++ b/core/routing/load.go
@@ -51,8 +51,8 @@
 	return float64(max(corrected, e.localRequests))
 }
 
-func (h receivedReport) fresh(now time.Time) bool {
-	return h.valid && now.Sub(h.receivedAt) <= LoadReportTTL
+func (r receivedReport) fresh(now time.Time) bool {
+	return r.valid && now.Sub(r.receivedAt) <= LoadReportTTL
 }
 
 // history holds the most recent times of an event, oldest first.
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -29,7 +29,7 @@
 
 // Request describes the request for which a target is chosen.
 type Request struct {
-	// Affinity identifies requests that should go to the same target, such as by the
+	// Affinity is a key shared by requests that should go to the same target, such as the
 	// beginning of a conversation; empty for none.
 	Affinity string
 	// Prefixes are the hashes of the prompt's prefixes by cache block, shortest first;
@@ -146,9 +146,9 @@
 	}
 }
 
-// lastResort prefers a healthy target that was tried before to an ejected one, and among
-// ejected targets the one that returns first. Trying is better than refusing: the circuit
-// breaker may be wrong, and the retry budget bounds the cost.
+// lastResort prefers a target that was tried before to an ejected one, and among ejected
+// targets an untried one, then the one whose ejection ends first. Trying is better than
+// refusing: the circuit breaker may be wrong, and the retry budget bounds the cost.
 func (t *Table) lastResort(now time.Time, r Request) (Choice, bool) {
 	if tried := t.usableTargets(now, r, false); len(tried) > 0 {
 		return Choice{byLoad(now, tried, r).Address, ByLastResort}, true
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -32,8 +32,8 @@
 }
 
 // A caller must never be sent to a target that is leaving. It must not be sent to one
-// that was tried already, is ejected or is half-open while a better one is left. The
-// reference model tracks each target's state independently.
+// that was tried already or is ejected while a better one is left. The reference model
+// tracks each target's state independently.
 func TestPickAvoidsUnusableTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "targets")
--- a/core/slots/ledger.go
+++ b/core/slots/ledger.go
@@ -6,7 +6,7 @@
 // whatever the size of the fleet, at a cost of two short messages per request. If instead
 // every daemon chose from the load reports of the others, the number of messages would
 // grow with the square of the zone's size, and requests started between two reports would
-// meet at the same targets.
+// go to the same targets.
 //
 // A slot is assigned as a lease under an ID that its holder chose. Holders report all
 // their leases periodically: a new ledger is complete after one such report of each
@@ -84,7 +84,6 @@
 	remote  map[string]*remoteFree
 }
 
-// group is one target group.
 type group struct {
 	targets []Target
 	// serviceTime is that of online requests.
--- a/core/slots/slots_test.go
+++ b/core/slots/slots_test.go
@@ -40,22 +40,22 @@
 // given options.
 func request(change ...func(*slots.Request)) slots.Request {
 	numbers++
-	a := slots.Request{ID: slots.ID{Holder: "h", Number: numbers}, Group: "g", Patience: time.Second}
+	r := slots.Request{ID: slots.ID{Holder: "h", Number: numbers}, Group: "g", Patience: time.Second}
 	for _, c := range change {
-		c(&a)
+		c(&r)
 	}
-	return a
+	return r
 }
 
-func batch(a *slots.Request)      { a.Batch = true }
-func visiting(a *slots.Request)   { a.Visiting = true }
-func staying(a *slots.Request)    { a.Stay = true }
-func lastChance(a *slots.Request) { a.LastChance = true }
+func batch(r *slots.Request)      { r.Batch = true }
+func visiting(r *slots.Request)   { r.Visiting = true }
+func staying(r *slots.Request)    { r.Stay = true }
+func lastChance(r *slots.Request) { r.LastChance = true }
 
-func holder(name string) func(*slots.Request) { return func(a *slots.Request) { a.ID.Holder = name } }
+func holder(name string) func(*slots.Request) { return func(r *slots.Request) { r.ID.Holder = name } }
 
 func without(targets ...string) func(*slots.Request) {
-	return func(a *slots.Request) { a.Exclude = targets }
+	return func(r *slots.Request) { r.Exclude = targets }
 }
 
 var _ = Describe("The ledger of a zone's slots", func() {
@@ -83,9 +83,9 @@
 	It("preempts as many batch items as online work needs, the last ones first", func() {
 		var items []slots.Request
 		for range 2 * perTarget {
-			a := request(batch, holder(fmt.Sprint("h", len(items))))
-			Expect(l.Grant(now, a, numbers).Verdict).To(Equal(slots.Granted))
-			items = append(items, a)
+			r := request(batch, holder(fmt.Sprint("h", len(items))))
+			Expect(l.Grant(now, r, numbers).Verdict).To(Equal(slots.Granted))
+			items = append(items, r)
 			now = now.Add(time.Millisecond)
 		}
 		preempted := map[slots.ID]bool{}
@@ -143,22 +143,22 @@
 	It("grants batch only the slots beyond the headroom", func() {
 		l = ledger(1)
 		for range perTarget - 1 {
-			a := request(batch)
-			a.Headroom = 1
-			Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.Granted))
+			r := request(batch)
+			r.Headroom = 1
+			Expect(l.Grant(now, r, 0).Verdict).To(Equal(slots.Granted))
 		}
-		a := request(batch)
-		a.Headroom = 1
-		Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.None))
+		r := request(batch)
+		r.Headroom = 1
+		Expect(l.Grant(now, r, 0).Verdict).To(Equal(slots.None))
 		Expect(l.Grant(now, request(), 0).Verdict).To(Equal(slots.Granted))
 	})
 
 	// A target accepts every connection and fails each request at once. It always looks
 	// like the emptiest one, and would attract the requests of the whole zone.
 	It("avoids a target that fails, and tries it again with one request at a time", func() {
-		a := request(without("t1"))
-		Expect(l.Grant(now, a, 0).Target).To(Equal("t0"))
-		l.Report(now, "h", nil, []slots.Ended{{Number: a.ID.Number, Target: "t0", Outcome: routing.HardFailed}})
+		r := request(without("t1"))
+		Expect(l.Grant(now, r, 0).Target).To(Equal("t0"))
+		l.Report(now, "h", nil, []slots.Ended{{Number: r.ID.Number, Target: "t0", Outcome: routing.HardFailed}})
 		for range perTarget {
 			Expect(granted().Target).To(Equal("t1"))
 		}
@@ -214,9 +214,9 @@
 	It("refuses a request that would queue for too long, based on the service time", func() {
 		l = ledger(1)
 		for range 10 {
-			a := request()
-			Expect(l.Grant(now, a, 0).Verdict).To(Equal(slots.Granted))
-			l.Report(now, "h", nil, []slots.Ended{{Number: a.ID.Number, Target: "t0", Outcome: routing.Succeeded, Took: time.Second}})
+			r := request()
+			Expect(l.Grant(now, r, 0).Verdict).To(Equal(slots.Granted))
+			l.Report(now, "h", nil, []slots.Ended{{Number: r.ID.Number, Target: "t0", Outcome: routing.Succeeded, Took: time.Second}})
 		}
 		for range perTarget {
 			granted()
@@ -235,7 +235,7 @@
 	It("uses a target that the request excludes only if there is no other", func() {
 		Expect(granted(without("t0")).Target).To(Equal("t1"))
 		Expect(granted(without("t0", "t1")).Target).NotTo(BeEmpty())
-		Expect(l.Grant(now, request(func(a *slots.Request) { a.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
+		Expect(l.Grant(now, request(func(r *slots.Request) { r.Group = "unknown" }), 0).Verdict).To(Equal(slots.None))
 	})
 
 	// A leader's host loses power. The next leader does not know what runs, and must not
@@ -243,9 +243,9 @@
 	It("is complete after one report of each holder", func() {
 		var running []slots.Running
 		for range 2 * perTarget {
-			a := request()
-			got := l.Grant(now, a, 0)
-			running = append(running, slots.Running{Number: a.ID.Number, Target: got.Target})
+			r := request()
+			got := l.Grant(now, r, 0)
+			running = append(running, slots.Running{Number: r.ID.Number, Target: got.Target})
 		}
 		next := ledger(2)
 		next.Report(now, "h", running, nil)
@@ -289,9 +289,9 @@
 				switch rapid.IntRange(0, 2).Draw(t, "step") {
 				case 0:
 					last++
-					a := slots.Request{ID: slots.ID{Holder: h, Number: last}, Group: "g", Patience: time.Second, Batch: rapid.Bool().Draw(t, "batch")}
-					if got := l.Grant(now, a, last); got.Verdict == slots.Granted {
-						held[key{h, last}] = slots.Running{Number: last, Target: got.Target, Batch: a.Batch}
+					r := slots.Request{ID: slots.ID{Holder: h, Number: last}, Group: "g", Patience: time.Second, Batch: rapid.Bool().Draw(t, "batch")}
+					if got := l.Grant(now, r, last); got.Verdict == slots.Granted {
+						held[key{h, last}] = slots.Running{Number: last, Target: got.Target, Batch: r.Batch}
 					}
 				case 1:
 					for number := range last {
