--- a/core/accounts/accounts.go
+++ b/core/accounts/accounts.go
@@ -1,5 +1,6 @@
 // Package accounts holds the client accounts of one version of the configuration: their
-// keys, priorities and quotas. It finds the account of a request. It is pure.
+// keys, priorities and quotas. It finds the account of a request. It does no I/O
+// and reads no clock.
 package accounts
 
 import (
--- a/core/quota/quota.go
+++ b/core/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota limits the requests of each client account over the whole fleet. It is
-// pure.
+// Package quota limits the requests of each client account over the whole fleet. It does
+// no I/O and reads no clock.
 //
 // Every participant keeps its own token bucket for each account. In a fleet the leaders
 // of the availability zones are the participants, and a daemon that reaches no leader is
@@ -280,8 +280,8 @@
 
 // retryAfter spreads refused callers over the upcoming tokens.
 //
-// Load pattern answered: an account sends several times its quota. With the same retry
-// delay, all its callers would compete for the one token that is free then.
+// Load pattern: an account sends several times its quota. With the same retry delay, all
+// its callers would compete for the one token that is free then.
 func (l *Limiter) retryAfter(now time.Time, c *bucket) time.Duration {
 	rate := l.weight * c.quota.Rate
 	if rate <= 0 {
--- a/core/quota/quota_test.go
+++ b/core/quota/quota_test.go
@@ -199,13 +199,13 @@
 	d.follows = i
 }
 
-func (f *fleet) lives(i int) bool {
+func (f *fleet) alive(i int) bool {
 	d := f.daemons[i]
 	return !f.now.Before(d.downUntil) && !f.now.Before(d.frozenUntil)
 }
 
 func (f *fleet) reaches(i, j int) bool {
-	return f.lives(i) && f.lives(j) && f.daemons[i].side == f.daemons[j].side
+	return f.alive(i) && f.alive(j) && f.daemons[i].side == f.daemons[j].side
 }
 
 // elect makes a daemon follow the first daemon of its zone that it reaches.
@@ -221,7 +221,7 @@
 // step simulates 50 ms of the fleet. A change of leader is noticed late.
 func (f *fleet) step() {
 	for i, d := range f.daemons {
-		if !f.lives(i) {
+		if !f.alive(i) {
 			continue
 		}
 		if f.random.IntN(10) == 0 {
@@ -272,7 +272,7 @@
 	for f.oneZone && f.daemons[i].zone != 0 {
 		i = f.random.IntN(len(f.daemons))
 	}
-	if !f.lives(i) {
+	if !f.alive(i) {
 		return
 	}
 	at, leads := f.daemons[i].follows, false
@@ -321,8 +321,8 @@
 	return worst
 }
 
-// play sends the account's requests at a rate for some seconds.
-func (f *fleet) play(a *accounts.Account, perSecond float64, seconds int, faults bool) {
+// run sends the account's requests at a rate for some seconds.
+func (f *fleet) run(a *accounts.Account, perSecond float64, seconds int, faults bool) {
 	due := 0.0
 	for range seconds * 20 {
 		if faults {
@@ -339,13 +339,13 @@
 // each other, a third of the daemons is isolated, leaders die, freeze and resume, and for
 // a while two daemons of a zone give out tokens. In no window may more requests get
 // through than the quota and its tolerance allow.
-func TestTheBoundHoldsUnderTrouble(t *testing.T) {
+func TestTheBoundHoldsUnderFaults(t *testing.T) {
 	for _, n := range []int{13, 79, 300} {
 		for _, rate := range []float64{1.6, 9, 64} {
 			for seed := range uint64(6) {
 				f := newFleet(seed, n, 4)
 				a := account(rate, rate)
-				f.play(a, 8*rate, 40, true)
+				f.run(a, 8*rate, 40, true)
 				if over := f.worst(a); over > 0 {
 					t.Errorf("%d daemons, rate %g, seed %d: %g over the bound", n, rate, seed, over)
 				}
@@ -360,7 +360,7 @@
 		f := newFleet(seed, 79, 4)
 		a := account(9, 9)
 		for range 5 {
-			f.play(a, 70, 6, false)
+			f.run(a, 70, 6, false)
 			for i := range f.daemons {
 				f.restart(i, 1)
 			}
@@ -373,11 +373,11 @@
 
 // The check above must be able to fail: weights that add up to more than one exceed the
 // bound.
-func TestTheCheckSeesWeightsThatAddUpToMore(t *testing.T) {
+func TestTheCheckDetectsWeightsThatAddUpToMore(t *testing.T) {
 	f := newFleet(1, 79, 4)
 	f.weightFactor = 3
 	a := account(64, 64)
-	f.play(a, 8*64, 40, true)
+	f.run(a, 8*64, 40, true)
 	if f.worst(a) <= 0 {
 		t.Fatal("weights that add up to three are not detected")
 	}
@@ -392,10 +392,10 @@
 			f := newFleet(7, n, 4)
 			f.oneZone = true
 			a := account(rate, rate)
-			f.play(a, 0, 10, false)
+			f.run(a, 0, 10, false)
 			for range 10 {
-				f.play(a, 0.39*rate/1.6, 3, false)
-				f.play(a, 1.91*rate/1.6, 2, false)
+				f.run(a, 0.39*rate/1.6, 3, false)
+				f.run(a, 1.91*rate/1.6, 2, false)
 			}
 			if f.refused*1000 > len(f.passed) {
 				t.Errorf("%d daemons, rate %g: %d of %d refused", n, rate, f.refused, len(f.passed))
--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -1,6 +1,6 @@
 // Package retry decides whether a failed attempt is followed by another one: the retry
 // budget of a target group, the decision itself, and the tracker of requests that crash
-// targets. It is pure.
+// targets. It does no I/O and reads no clock.
 package retry
 
 import "time"
--- a/core/retry/delays_test.go
+++ b/core/retry/delays_test.go
@@ -75,17 +75,17 @@
 // true one. It returns when every host has the report of the crasher's host.
 func (h *hosts) crash(target string, crasherAt int, seen map[int][]string) int64 {
 	total := 0
-	for _, own := range seen {
-		total += len(own)
+	for _, requests := range seen {
+		total += len(requests)
 	}
 	reportedMs := h.nowMs
 	for host := range h.trackers {
-		own := seen[host]
-		if len(own) == 0 {
+		requests := seen[host]
+		if len(requests) == 0 {
 			continue
 		}
 		noticed := h.nowMs + rapid.Int64Range(0, noticeMs).Draw(h.t, "notice")
-		c := Crash{Target: target, AtMs: noticed, Running: own, Total: rapid.IntRange(len(own), total).Draw(h.t, "total")}
+		c := Crash{Target: target, AtMs: noticed, Running: requests, Total: rapid.IntRange(len(requests), total).Draw(h.t, "total")}
 		if last := h.broadcast(host, noticed, c); host == crasherAt {
 			reportedMs = last
 		}
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -80,9 +80,9 @@
 }
 
 // One request crashes every target that runs it; it is sent again and again, to any
-// daemon, beside harmless requests. Suspects run alone. The crasher must be refused after
-// a few targets, and no harmless request ever. Each daemon sees its own requests only,
-// and reports its part of a crash before the next round.
+// daemon, together with harmless requests. Suspects run alone. The crasher must be
+// refused after a few targets, and no harmless request ever. Each daemon sees its own
+// requests only, and reports its part of a crash before the next round.
 func TestCrasherIsQuarantinedAndHarmlessRequestsAreNot(t *testing.T) {
 	const crasher, most = "crasher", 3
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/retry/silence.go
+++ b/core/retry/silence.go
@@ -25,9 +25,9 @@
 // WaitEstimator learns how long targets take to the first sign of an answer, and returns
 // the wait after which a request with a slot of its own is better retried elsewhere.
 //
-// Load pattern answered: targets stop answering with connections open, a sixth of them at
-// once. Each is sent a request for each of its slots, and all of these wait for the
-// longest maximum wait before they are retried, several times the objective.
+// Load pattern: targets stop answering with connections open, a sixth of them at once.
+// Each is sent a request for each of its slots, and without an estimate all of these would
+// wait for LongestWait, several times the objective, before they are retried.
 //
 // Failure guarded against: all targets become slow together. A maximum wait that only
 // followed the answers that came in time would give up every request and double the load.
--- a/core/retry/silence_test.go
+++ b/core/retry/silence_test.go
@@ -50,10 +50,10 @@
 			const requests = 200
 			gaveUp := 0
 			for range requests {
-				patience, took := s.MaxWait(), around(r, slow)
-				if took > patience && patience < retry.LongestWait {
+				wait, took := s.MaxWait(), around(r, slow)
+				if took > wait && wait < retry.LongestWait {
 					gaveUp++
-					s.TimedOut(patience)
+					s.TimedOut(wait)
 					continue
 				}
 				s.Answered(took)
--- a/core/roster/roster.go
+++ b/core/roster/roster.go
@@ -1,5 +1,6 @@
 // Package roster decides which targets may get new work, from the entries that targets
-// keep about themselves in a store that is unavailable at times. It is pure.
+// keep about themselves in a store that is unavailable at times. It does no I/O and
+// reads no clock.
 package roster
 
 import (
@@ -182,7 +183,7 @@
 
 // Adopt replaces the entries by targets that another daemon uses, as of the moment at:
 // all that matter here if complete is set, otherwise a sample of them. That daemon has
-// already handled expired entries, so nothing is kept beside the list.
+// already handled expired entries, so nothing else is kept.
 func (r *Roster) Adopt(at time.Time, list []Target, complete bool) {
 	r.entries = make(map[string]Target, len(list))
 	for _, t := range list {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -1,5 +1,6 @@
 // Package route finds the target group that serves a request: routes by host and path
-// prefix, with the requirements of each class of requests. It is pure.
+// prefix, with the requirements of each class of requests. It does no I/O and reads no
+// clock.
 package route
 
 import (
