--- a/core/batch/batch_test.go
+++ b/core/batch/batch_test.go
@@ -30,16 +30,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := batch.NewStore()
+	store := batch.NewStore()
 	for id, value := range map[string][]byte{"old": old, "own": own} {
-		if _, err := book.ApplyJob(batch.AcceptedKey(id), value); err != nil {
+		if _, err := store.ApplyJob(batch.AcceptedKey(id), value); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if j := book.Job("old"); !j.BelongsTo("hotel") || !j.BelongsTo("") || book.WaitingTokens("h/b/") != 3 {
+	if j := store.Job("old"); !j.BelongsTo("hotel") || !j.BelongsTo("") || store.WaitingTokens("h/b/") != 3 {
 		t.Fatalf("the old job reads %+v", j.JobRecord)
 	}
-	if j := book.Job("own"); !j.BelongsTo("hotel") || j.BelongsTo("") || j.BelongsTo("inn") {
+	if j := store.Job("own"); !j.BelongsTo("hotel") || j.BelongsTo("") || j.BelongsTo("inn") {
 		t.Fatalf("the account's job reads %+v", j.JobRecord)
 	}
 }
@@ -150,17 +150,17 @@
 					return err
 				})
 			}
-			book := batch.NewStore()
+			store := batch.NewStore()
 			for _, step := range rapid.Permutation(steps).Draw(t, "order") {
-				if err := step(book); err != nil {
+				if err := step(store); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if got := book.WaitingTokens(quota); got != want {
+			if got := store.WaitingTokens(quota); got != want {
 				t.Fatalf("%d tokens wait, want %d", got, want)
 			}
-			if _, err := book.ApplyJob(batch.EndedKey("j"), []byte{1}); err != nil || book.WaitingTokens(quota) != 0 {
-				t.Fatalf("%d tokens wait after the end: %v", book.WaitingTokens(quota), err)
+			if _, err := store.ApplyJob(batch.EndedKey("j"), []byte{1}); err != nil || store.WaitingTokens(quota) != 0 {
+				t.Fatalf("%d tokens wait after the end: %v", store.WaitingTokens(quota), err)
 			}
 		})
 	})
--- a/core/batch/fuzz_test.go
+++ b/core/batch/fuzz_test.go
@@ -30,11 +30,11 @@
 	f.Add("j/00001/999999999", []byte{1})
 	f.Add("\xff", []byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		book := batch.NewStore()
-		apply(t, book.ApplyResult, batch.ResultKey("k", 0), encode(result))
-		apply(t, book.ApplyJob, batch.AcceptedKey("j"), encode(good))
-		_, _ = book.ApplyJob(key, value)
-		_, _ = book.ApplyResult(key, value)
+		store := batch.NewStore()
+		apply(t, store.ApplyResult, batch.ResultKey("k", 0), encode(result))
+		apply(t, store.ApplyJob, batch.AcceptedKey("j"), encode(good))
+		_, _ = store.ApplyJob(key, value)
+		_, _ = store.ApplyResult(key, value)
 		if _, p, ok, err := batch.DecodeProgress(key, value); ok && (err != nil || p.Item < 0 || p.LastEvent < 0) {
 			t.Fatalf("%q is the progress %+v", key, p)
 		}
@@ -44,7 +44,7 @@
 		if key == "job/j" || key == "end/j" {
 			return // the job's own records may end or remove it
 		}
-		j := book.Job("j")
+		j := store.Job("j")
 		if j == nil || !j.Accepted || len(j.Items) != 2 || len(j.Results) > 2 {
 			t.Fatalf("%q left %+v", key, j)
 		}
@@ -53,7 +53,7 @@
 				t.Fatalf("%q brought the result %+v", key, r)
 			}
 		}
-		if got, want := book.WaitingTokens("q"), waitingTokens(j); got < want {
+		if got, want := store.WaitingTokens("q"), waitingTokens(j); got < want {
 			t.Fatalf("%q left %d tokens waiting, the job has %d", key, got, want)
 		}
 	})
--- a/core/batch/order_test.go
+++ b/core/batch/order_test.go
@@ -81,7 +81,7 @@
 func TestOnTimeKeepsWhatFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 20).Draw(t, "items")
-		slots := rapid.Float64Range(1, 8).Draw(t, "places")
+		slots := rapid.Float64Range(1, 8).Draw(t, "slots")
 		works := make([]batch.Work, n)
 		for i := range works {
 			works[i] = batch.Work{
@@ -106,33 +106,33 @@
 			}
 			return true
 		}
-		first := batch.OnTime(works, slots)
-		if !fits(func(i int) bool { return first[i] }) {
-			t.Fatalf("%v do not fit %v slots: %v", works, slots, first)
+		onTime := batch.OnTime(works, slots)
+		if !fits(func(i int) bool { return onTime[i] }) {
+			t.Fatalf("%v do not fit %v slots: %v", works, slots, onTime)
 		}
-		if fits(func(int) bool { return true }) && slices.Contains(first, false) {
-			t.Fatalf("%v fit %v slots, kept %v", works, slots, first)
+		if fits(func(int) bool { return true }) && slices.Contains(onTime, false) {
+			t.Fatalf("%v fit %v slots, selected %v", works, slots, onTime)
 		}
 	})
 }
 
 func TestEstimatorLearns(t *testing.T) {
-	var s batch.Estimator
-	if s.Remaining(1000, 0) != 0 {
+	var e batch.Estimator
+	if e.Remaining(1000, 0) != 0 {
 		t.Fatal("estimate is not 0 before the first observation")
 	}
 	for range 50 {
-		s.ObserveRun(100, 3*time.Second)
-		s.ObserveFinished(200, 1000)
+		e.ObserveRun(100, 3*time.Second)
+		e.ObserveFinished(200, 1000)
 	}
-	if got := s.Remaining(1000, 150); got < 1400*time.Millisecond || got > 1600*time.Millisecond {
+	if got := e.Remaining(1000, 150); got < 1400*time.Millisecond || got > 1600*time.Millisecond {
 		t.Fatalf("50 events of 30 ms are %v", got)
 	}
 	now := time.Unix(1000, 0)
 	for i := range 200 {
-		s.ObserveSlots(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
+		e.ObserveSlots(now.Add(time.Duration(i)*100*time.Millisecond), 10*(i%2))
 	}
-	if slots, known := s.Slots(); !known || slots < 4 || slots > 6 {
+	if slots, known := e.Slots(); !known || slots < 4 || slots > 6 {
 		t.Fatalf("%v slots, known: %v", slots, known)
 	}
 }
--- a/core/batch/progress_test.go
+++ b/core/batch/progress_test.go
@@ -13,15 +13,15 @@
 // to at most five times the item.
 func TestProgressIsSavedOftenInFewBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		events, kept, written := int64(0), int64(0), int64(0)
-		for range rapid.IntRange(1, 100).Draw(t, "looks") {
+		events, saved, written := int64(0), int64(0), int64(0)
+		for range rapid.IntRange(1, 100).Draw(t, "checks") {
 			events += rapid.Int64Range(0, 40).Draw(t, "more")
-			if batch.ShouldSave(events, kept, 0) {
-				kept = events
+			if batch.ShouldSave(events, saved, 0) {
+				saved = events
 				written += events
 			}
-			if lost := events - kept; lost >= 8 && lost > events/5 {
-				t.Fatalf("%d of %d events are not kept", lost, events)
+			if lost := events - saved; lost >= 8 && lost > events/5 {
+				t.Fatalf("%d of %d events are not saved", lost, events)
 			}
 		}
 		if written > 5*events {
@@ -45,7 +45,7 @@
 	}
 	for key, value := range map[string][]byte{batch.ResultKey("j", 4): value, "j": value, batch.ResultKey("j", 3): {0xff}} {
 		if _, _, ok, err := batch.DecodeProgress(key, value); ok || err == nil {
-			t.Fatalf("%q was taken", key)
+			t.Fatalf("%q was accepted", key)
 		}
 	}
 }
--- a/core/batch/ways_test.go
+++ b/core/batch/ways_test.go
@@ -19,31 +19,31 @@
 		outcome.Refuse(outcome.CallerLimit, "full"),
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		var w batch.Attempts
+		var a batch.Attempts
 		accepted, mayHaveRun, limit := false, false, false
-		n := rapid.IntRange(1, 4).Draw(t, "ways")
+		n := rapid.IntRange(1, 4).Draw(t, "attempts")
 		for range n {
-			w.Begin()
+			a.Begin()
 		}
 		for i := range n {
-			if !w.Open() {
-				t.Fatalf("%d of %d ways have ended, and none is open", i, n)
+			if !a.Open() {
+				t.Fatalf("%d of %d attempts have ended, and none is open", i, n)
 			}
 			refusal := rapid.SampledFrom(refusals).Draw(t, "end")
-			w.End(refusal)
+			a.End(refusal)
 			accepted = accepted || refusal == nil
 			mayHaveRun = mayHaveRun || refusal != nil && refusal.Run != outcome.NotRun
 			limit = limit || refusal != nil && refusal.Code == outcome.CallerLimit
 		}
-		got := w.Refusal()
+		got := a.Refusal()
 		switch {
-		case w.Open() || w.Accepted() != accepted || accepted != (got == nil):
-			t.Fatalf("accepted %v, told %v", accepted, got)
+		case a.Open() || a.Accepted() != accepted || accepted != (got == nil):
+			t.Fatalf("accepted %v, got %v", accepted, got)
 		case accepted:
 		case mayHaveRun != (got.Run == outcome.MayHaveRun):
-			t.Fatalf("may have run: %v, told %v", mayHaveRun, got)
-		case limit != (got.Code == outcome.CallerLimit) || limit != w.Final():
-			t.Fatalf("refused by the quota: %v, told %v", limit, got)
+			t.Fatalf("may have run: %v, got %v", mayHaveRun, got)
+		case limit != (got.Code == outcome.CallerLimit) || limit != a.Final():
+			t.Fatalf("refused by the quota: %v, got %v", limit, got)
 		}
 	})
 }
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -125,7 +125,7 @@
 func (m *Machine) Self() Member { return m.self }
 
 // DeclaredDead returns how often this daemon learned that peers had declared it dead. After
-// that, peers may have taken over the shards that it held.
+// that, peers may have taken over its shards and its other roles.
 func (m *Machine) DeclaredDead() uint64 { return m.declaredDead }
 
 // Superseded reports whether a later incarnation of this host is known: this process has
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -138,21 +138,21 @@
 	It("does not declare a member dead on a peer's report alone", func() {
 		m := membership.New(membership.Options{Self: membership.Member{Host: "self", Incarnation: 1}})
 		now := time.UnixMilli(0)
-		deaf := membership.Member{Host: "deaf", PeerAddress: "d", Incarnation: 1, FactsVersion: 1}
-		told := membership.Member{Host: "told", PeerAddress: "t", Incarnation: 1, FactsVersion: 1}
-		hear := func(s membership.State) {
-			told.State = s
-			m.AnswerProbe(now, membership.ProbeRequest{From: deaf, Gossip: membership.Gossip{Members: []membership.Member{told}}})
+		isolated := membership.Member{Host: "deaf", PeerAddress: "d", Incarnation: 1, FactsVersion: 1}
+		reported := membership.Member{Host: "told", PeerAddress: "t", Incarnation: 1, FactsVersion: 1}
+		report := func(s membership.State) {
+			reported.State = s
+			m.AnswerProbe(now, membership.ProbeRequest{From: isolated, Gossip: membership.Gossip{Members: []membership.Member{reported}}})
 		}
 		tick := func() (probes []membership.Probe) {
 			now = now.Add(membership.DefaultProbeEvery)
 			return m.Tick(now)
 		}
-		hear(membership.Live)
-		hear(membership.Suspect)
+		report(membership.Live)
+		report(membership.Suspect)
 		var direct membership.Probe
 		for range 10 {
-			hear(membership.Dead)
+			report(membership.Dead)
 			for _, p := range tick() {
 				if p.Host == "told" && p.Kind == membership.ProbeDirect {
 					direct = p
@@ -161,12 +161,12 @@
 			Expect(m.Snapshot().LiveID("told#1")).To(BeTrue())
 		}
 		// The member's own requests still arrive, but that does not prove it reachable.
-		told.State = membership.Live
-		m.AnswerProbe(now, membership.ProbeRequest{From: told})
+		reported.State = membership.Live
+		m.AnswerProbe(now, membership.ProbeRequest{From: reported})
 		for _, p := range m.Missed(now, direct) {
 			Expect(m.Missed(now, p)).To(BeEmpty())
 		}
-		hear(membership.Dead)
+		report(membership.Dead)
 		Expect(m.Snapshot().LiveID("told#1")).To(BeFalse())
 	})
 
@@ -176,18 +176,18 @@
 	// outgoing link may be blocked.
 	It("declares a member that refuses connections dead at once when another daemon confirms it", func() {
 		now := time.UnixMilli(0)
-		ask := func(deny func(*membership.Machine, membership.Probe) []membership.Probe, witness bool) bool {
+		staysLive := func(fail func(*membership.Machine, membership.Probe) []membership.Probe, confirm bool) bool {
 			m := membership.New(membership.Options{Self: membership.Member{Host: "self", Incarnation: 1}})
-			m.Tick(now) // before it knows anybody to probe in turn
+			m.Tick(now) // before it has a member for the regular probe
 			for _, host := range []string{"killed", "w1", "w2"} {
 				m.AnswerProbe(now, membership.ProbeRequest{From: membership.Member{Host: host, PeerAddress: host, Incarnation: 1}})
 			}
 			probes := m.CallFailed(now, "killed")
 			Expect(probes).To(HaveLen(1))
 			for _, direct := range probes {
-				Expect(m.CallFailed(now, "killed")).To(BeEmpty(), "one probe a tick")
-				for _, via := range deny(m, direct) {
-					if witness {
+				Expect(m.CallFailed(now, "killed")).To(BeEmpty(), "one probe per tick")
+				for _, via := range fail(m, direct) {
+					if confirm {
 						m.AnsweredVia(now, via, membership.ViaReply{})
 						continue
 					}
@@ -199,9 +199,9 @@
 		}
 		refused := func(m *membership.Machine, p membership.Probe) []membership.Probe { return m.Refused(now, p) }
 		silent := func(m *membership.Machine, p membership.Probe) []membership.Probe { return m.Missed(now, p) }
-		Expect(ask(refused, true)).To(BeFalse())
-		Expect(ask(refused, false)).To(BeTrue(), "nobody else was heard")
-		Expect(ask(silent, true)).To(BeTrue(), "it may be paused")
+		Expect(staysLive(refused, true)).To(BeFalse())
+		Expect(staysLive(refused, false)).To(BeTrue(), "no other daemon confirmed it")
+		Expect(staysLive(silent, true)).To(BeTrue(), "it may be paused")
 	})
 
 	// The link between one pair of hosts is cut, and one host can send but receives
--- a/core/orders/planner.go
+++ b/core/orders/planner.go
@@ -219,7 +219,8 @@
 }
 
 // minServing returns the minimum number of targets that must keep serving. It is 0 for a
-// group of one: a new version could not be loaded there without an interruption.
+// group of one: its operators accept the interruption, because otherwise a new version could
+// never be loaded.
 func (p *Planner) minServing(usable int) int {
 	if usable <= 1 {
 		return 0
