--- a/core/burn/burn.go
+++ b/core/burn/burn.go
@@ -43,7 +43,7 @@
 }
 
 // callerCaused holds the codes of refusals that the fleet could not have avoided.
-// outcome.Condemned is not among them: the request's first runs crashed targets, which
+// outcome.Quarantined is not among them: the request's first runs crashed targets, which
 // counts as a failure of the fleet.
 var callerCaused = map[outcome.Code]bool{
 	outcome.BadRequest:      true,
--- a/core/burn/report.go
+++ b/core/burn/report.go
@@ -17,9 +17,9 @@
 	Scale Scale
 }
 
-// The windows of the two alerts, each of which combines a long and a short window. With a
-// long window alone, an alert would continue long after the problem has ended; the short
-// window ends it.
+// The windows of the two alerts, each of which combines a long and a short window. A long
+// window alone would raise an alert long after the problem began and keep it long after the
+// problem ended; the short window ends it.
 var (
 	window5m  = Window{Name: "5m", SpanMs: 5 * minuteMs, Scale: Fine}
 	window30m = Window{Name: "30m", SpanMs: 30 * minuteMs, Scale: Minute}
--- a/core/config/group.go
+++ b/core/config/group.go
@@ -46,8 +46,8 @@
 	g := &TargetGroup{Name: s.Label}
 	g.Kind = Kind(s.Enum("kind", string(KindEngine), string(KindEngine), string(KindService)))
 	g.Model = s.Ident("model", "")
-	// By default, targets are assumed not to check orders: a new order is then sent only
-	// after the old holder's lease has expired.
+	// By default, targets are assumed not to check orders: a new issuer then sends orders
+	// only after the previous issuer's tenure has certainly expired.
 	g.ChecksOrders = s.Bool("checks_orders", false)
 	g.Slots = s.Int("slots", defaultSlots(g.Kind), 1, maxSlots)
 	g.Batch = parseBatchAdmission(s, defaultFill(g))
--- a/core/config/profile.go
+++ b/core/config/profile.go
@@ -8,9 +8,10 @@
 
 // Defaults and bounds of a profile.
 const (
-	// DefaultOnlineDeadline is the deadline of an online profile that sets none.
+	// DefaultOnlineDeadline is the deadline of an online request, for profiles that set none.
 	DefaultOnlineDeadline = 30 * time.Second
-	// DefaultBatchDeadline is the deadline of a batch profile that sets none.
+	// DefaultBatchDeadline is the deadline of one attempt at a batch item, for profiles that
+	// set none.
 	DefaultBatchDeadline = 10 * time.Minute
 	// DefaultRetries is the number of attempts after the first.
 	DefaultRetries = 2
--- a/core/configlog/configlog_test.go
+++ b/core/configlog/configlog_test.go
@@ -58,16 +58,16 @@
 }
 
 // read passes at most n records that have not expired to a reader.
-func (w *world) read(t *rapid.T, f *configlog.Replayer, n int) {
+func (w *world) read(t *rapid.T, reader *configlog.Replayer, n int) {
 	var page []configlog.Input
-	for offset := max(f.Next(), w.first); offset < int64(len(w.records)) && len(page) < n; offset++ {
+	for offset := max(reader.Next(), w.first); offset < int64(len(w.records)) && len(page) < n; offset++ {
 		page = append(page, configlog.Input{Offset: offset, AtMs: offset, Data: encode(t, w.records[offset])})
 	}
-	f.Apply(w.first, page)
+	reader.Apply(w.first, page)
 }
 
-func (w *world) check(t *rapid.T, f *configlog.Replayer) {
-	got := f.State()
+func (w *world) check(t *rapid.T, reader *configlog.Replayer) {
+	got := reader.State()
 	if got.Through < 0 {
 		return
 	}
@@ -75,8 +75,8 @@
 	if len(got.History) == 0 {
 		got.History = want.History
 	}
-	if !reflect.DeepEqual(got, want) || f.Regressed() > 0 {
-		t.Fatalf("reader has %+v, the naive fold %+v, regressed %d", got, want, f.Regressed())
+	if !reflect.DeepEqual(got, want) || reader.Regressed() > 0 {
+		t.Fatalf("reader has %+v, the naive model %+v, regressed %d", got, want, reader.Regressed())
 	}
 }
 
@@ -133,26 +133,26 @@
 // checkEnd reads the whole stream: a reader's state must be complete exactly if the
 // remaining records allow it.
 func (w *world) checkEnd(t *rapid.T) {
-	for _, f := range w.readers {
-		before := f.State().Version
-		w.read(t, f, len(w.records)+1)
-		w.check(t, f)
-		if f.State().Version < before {
-			t.Fatalf("version fell from %d to %d", before, f.State().Version)
+	for _, reader := range w.readers {
+		before := reader.State().Version
+		w.read(t, reader, len(w.records)+1)
+		w.check(t, reader)
+		if reader.State().Version < before {
+			t.Fatalf("version fell from %d to %d", before, reader.State().Version)
 		}
-		if f.Complete() && f.State().Through != int64(len(w.records))-1 {
-			t.Fatalf("anchored at %d of %d", f.State().Through, len(w.records))
+		if reader.Complete() && reader.State().Through != int64(len(w.records))-1 {
+			t.Fatalf("complete at %d of %d", reader.State().Through, len(w.records))
 		}
 	}
 	fresh := configlog.NewReplayer()
 	w.read(t, fresh, len(w.records)+1)
-	anchor := w.first == 0
+	complete := w.first == 0
 	for offset := w.first; offset < int64(len(w.records)); offset++ {
 		r := w.records[offset]
-		anchor = anchor || (r.Restate != nil && r.Restate.Through >= w.first-1) || (r.Change != nil && r.Change.Forced)
+		complete = complete || (r.Restate != nil && r.Restate.Through >= w.first-1) || (r.Change != nil && r.Change.Forced)
 	}
-	if fresh.Complete() != anchor {
-		t.Fatalf("fresh reader anchored %v, want %v", fresh.Complete(), anchor)
+	if fresh.Complete() != complete {
+		t.Fatalf("fresh reader complete %v, want %v", fresh.Complete(), complete)
 	}
 	w.check(t, fresh)
 }
@@ -163,17 +163,17 @@
 	a := configlog.Change{ID: "a", Base: 0, Text: "A", Author: "thu"}
 	b := configlog.Change{ID: "b", Base: 0, Text: "B", Author: "minh"}
 	late := configlog.Change{ID: "late", Base: 1, Text: "L"}
-	f := configlog.NewReplayer()
+	reader := configlog.NewReplayer()
 	step := func(r configlog.Record) {
 		data, err := r.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(0, []configlog.Input{{Offset: f.Next(), Data: data}})
+		reader.Apply(0, []configlog.Input{{Offset: reader.Next(), Data: data}})
 	}
 	judged := func(c configlog.Change, want configlog.Verdict, winner string) {
 		t.Helper()
-		if got, entry := configlog.Judge(f.State(), c); got != want || entry.ID != winner {
+		if got, entry := configlog.Judge(reader.State(), c); got != want || entry.ID != winner {
 			t.Fatalf("change %s: verdict %v by %q, want %v by %q", c.ID, got, entry.ID, want, winner)
 		}
 	}
@@ -187,7 +187,7 @@
 	judged(late, configlog.Void, "")
 	step(configlog.Record{Change: &late})
 	judged(late, configlog.Void, "")
-	if s := f.State(); s.Version != 1 || s.Text != "A" {
+	if s := reader.State(); s.Version != 1 || s.Text != "A" {
 		t.Fatalf("state is %+v", s)
 	}
 }
--- a/core/configlog/folder.go
+++ b/core/configlog/folder.go
@@ -43,138 +43,138 @@
 func NewReplayer() *Replayer { return &Replayer{state: State{Through: -1}} }
 
 // State returns the newest known state; the caller must not modify its history.
-func (f *Replayer) State() State { return f.state }
+func (r *Replayer) State() State { return r.state }
 
 // Next returns the offset to read next.
-func (f *Replayer) Next() int64 { return f.next }
+func (r *Replayer) Next() int64 { return r.next }
 
 // Complete reports whether the state includes every record read, that is, there is no gap.
-func (f *Replayer) Complete() bool { return f.pendingFrom == f.state.Through+1 }
+func (r *Replayer) Complete() bool { return r.pendingFrom == r.state.Through+1 }
 
 // RestatedMs returns when the newest record from which a new reader can start was written,
 // by the log's clock in Unix milliseconds; 0 if none is known.
-func (f *Replayer) RestatedMs() int64 { return f.restatedMs }
+func (r *Replayer) RestatedMs() int64 { return r.restatedMs }
 
 // Malformed returns the number of records that could not be decoded; they have no effect.
-func (f *Replayer) Malformed() uint64 { return f.malformed }
+func (r *Replayer) Malformed() uint64 { return r.malformed }
 
 // Regressed returns the number of states that were rejected because they have a higher
 // Through and a lower version. By the rules above, only corrupted states do.
-func (f *Replayer) Regressed() uint64 { return f.regressed }
+func (r *Replayer) Regressed() uint64 { return r.regressed }
 
 // Apply applies a page of the stream: first is the earliest kept offset, and inputs continue
 // at max(Next, first).
-func (f *Replayer) Apply(first int64, inputs []Input) {
-	if first > f.next {
-		f.openGap(first)
+func (r *Replayer) Apply(first int64, inputs []Input) {
+	if first > r.next {
+		r.openGap(first)
 	}
 	for _, in := range inputs {
-		if in.Offset != f.next {
+		if in.Offset != r.next {
 			continue // already part of an adopted state
 		}
-		f.next++
-		f.applyInput(in)
+		r.next++
+		r.applyInput(in)
 	}
 }
 
 // openGap records that the records from next up to first have expired before this reader
 // read them.
-func (f *Replayer) openGap(first int64) {
-	f.pendingFrom, f.next = first, first
-	f.pending = nil
-	f.restatedMs = 0
+func (r *Replayer) openGap(first int64) {
+	r.pendingFrom, r.next = first, first
+	r.pending = nil
+	r.restatedMs = 0
 }
 
-func (f *Replayer) applyInput(in Input) {
+func (r *Replayer) applyInput(in Input) {
 	record, err := Decode(in.Data)
 	if err != nil {
-		f.malformed++
+		r.malformed++
 	}
 	if record.Restate != nil {
-		f.restatedMs = max(f.restatedMs, in.AtMs)
+		r.restatedMs = max(r.restatedMs, in.AtMs)
 	}
 	if in.Offset == 0 {
-		f.restatedMs = in.AtMs
+		r.restatedMs = in.AtMs
 	}
-	if f.Complete() {
-		f.applyRecord(in, record)
+	if r.Complete() {
+		r.applyRecord(in, record)
 		return
 	}
 	if record.Change != nil && record.Change.Forced {
 		// A forced change defines the whole state.
-		f.pending = nil
-		f.pendingFrom = in.Offset
-		f.state.Through = in.Offset - 1
-		f.applyRecord(in, record)
+		r.pending = nil
+		r.pendingFrom = in.Offset
+		r.state.Through = in.Offset - 1
+		r.applyRecord(in, record)
 		return
 	}
-	f.pending = append(f.pending, in)
+	r.pending = append(r.pending, in)
 	if record.Restate != nil {
-		f.Adopt(*record.Restate)
+		r.Adopt(*record.Restate)
 	}
 }
 
 // Adopt replaces the state with one from another daemon or a Restate if that is newer. It
 // reports whether it replaced the state.
-func (f *Replayer) Adopt(s State) bool {
-	if s.Through <= f.state.Through {
+func (r *Replayer) Adopt(s State) bool {
+	if s.Through <= r.state.Through {
 		return false
 	}
-	if s.Version < f.state.Version {
-		f.regressed++
+	if s.Version < r.state.Version {
+		r.regressed++
 		return false
 	}
-	f.state = s
-	f.state.History = slices.Clone(s.History)
-	f.applyPending()
+	r.state = s
+	r.state.History = slices.Clone(s.History)
+	r.applyPending()
 	return true
 }
 
 // applyPending applies the buffered records if the state includes every record before them.
-func (f *Replayer) applyPending() {
-	if f.state.Through+1 < f.pendingFrom {
+func (r *Replayer) applyPending() {
+	if r.state.Through+1 < r.pendingFrom {
 		return
 	}
-	f.pendingFrom = f.state.Through + 1
-	f.next = max(f.next, f.pendingFrom)
-	pending := f.pending
-	f.pending = nil
+	r.pendingFrom = r.state.Through + 1
+	r.next = max(r.next, r.pendingFrom)
+	pending := r.pending
+	r.pending = nil
 	for _, in := range pending {
-		if in.Offset > f.state.Through {
+		if in.Offset > r.state.Through {
 			record, _ := Decode(in.Data)
-			f.applyRecord(in, record)
+			r.applyRecord(in, record)
 		}
 	}
 }
 
 // applyRecord applies the record that follows the state. A Restate has no effect here: it
 // repeats a state that this reader already includes.
-func (f *Replayer) applyRecord(in Input, r Record) {
-	f.state.Through = in.Offset
-	f.pendingFrom = in.Offset + 1
+func (r *Replayer) applyRecord(in Input, record Record) {
+	r.state.Through = in.Offset
+	r.pendingFrom = in.Offset + 1
 	switch {
-	case r.Change != nil:
-		f.applyChange(in, r.Change)
-	case r.Withdraw != nil && r.Withdraw.Epoch == f.state.Epoch:
-		f.state.Epoch++
+	case record.Change != nil:
+		r.applyChange(in, record.Change)
+	case record.Withdraw != nil && record.Withdraw.Epoch == r.state.Epoch:
+		r.state.Epoch++
 	}
 }
 
-func (f *Replayer) applyChange(in Input, c *Change) {
+func (r *Replayer) applyChange(in Input, c *Change) {
 	switch {
 	case c.Forced:
 		// The epoch is derived from the offset too, so that readers with and without the
 		// earlier records agree on it, and changes proposed before are void.
-		f.state.Version = uint64(in.Offset) + 1
-		f.state.Epoch = uint64(in.Offset) + 1
-		f.state.History = nil
-	case c.Base == f.state.Version && c.Epoch == f.state.Epoch:
-		f.state.Version++
+		r.state.Version = uint64(in.Offset) + 1
+		r.state.Epoch = uint64(in.Offset) + 1
+		r.state.History = nil
+	case c.Base == r.state.Version && c.Epoch == r.state.Epoch:
+		r.state.Version++
 	default:
 		return
 	}
-	f.state.Text = c.Text
-	entry := Entry{Version: f.state.Version, Author: c.Author, AtMs: in.AtMs, ID: c.ID}
-	history := append(slices.Clone(f.state.History), entry)
-	f.state.History = history[max(0, len(history)-HistoryLimit):]
+	r.state.Text = c.Text
+	entry := Entry{Version: r.state.Version, Author: c.Author, AtMs: in.AtMs, ID: c.ID}
+	history := append(slices.Clone(r.state.History), entry)
+	r.state.History = history[max(0, len(history)-HistoryLimit):]
 }
--- a/core/ledger/owner.go
+++ b/core/ledger/owner.go
@@ -144,15 +144,15 @@
 	VoidRecords uint64
 }
 
-// Add adds g to f.
-func (f *Stats) Add(g Stats) {
-	f.Appends += g.Appends
-	f.ItemsHandedOut += g.ItemsHandedOut
-	f.Rewritten += g.Rewritten
-	f.QueueRefused += g.QueueRefused
-	f.QueuedProposals += g.QueuedProposals
-	f.QueuedBytes += g.QueuedBytes
-	f.VoidRecords += g.VoidRecords
+// Add adds other to s.
+func (s *Stats) Add(other Stats) {
+	s.Appends += other.Appends
+	s.ItemsHandedOut += other.ItemsHandedOut
+	s.Rewritten += other.Rewritten
+	s.QueueRefused += other.QueueRefused
+	s.QueuedProposals += other.QueuedProposals
+	s.QueuedBytes += other.QueuedBytes
+	s.VoidRecords += other.VoidRecords
 }
 
 // NewOwner returns an owner that will claim the shard with the given state. The owner
@@ -190,14 +190,14 @@
 
 // Stats returns the owner's counters.
 func (o *Owner) Stats() Stats {
-	f := o.stats
-	f.QueuedProposals = len(o.urgent) + len(o.normal)
+	s := o.stats
+	s.QueuedProposals = len(o.urgent) + len(o.normal)
 	if o.inFlight != nil {
-		f.QueuedProposals += len(o.inFlight.props)
+		s.QueuedProposals += len(o.inFlight.props)
 	}
-	f.QueuedBytes = o.queuedBytes
-	f.VoidRecords = o.st.voidRecords
-	return f
+	s.QueuedBytes = o.queuedBytes
+	s.VoidRecords = o.st.voidRecords
+	return s
 }
 
 // LogOK reports whether the log is considered available for appends and reads; see
--- a/core/ledger/owner_request.go
+++ b/core/ledger/owner_request.go
@@ -67,8 +67,8 @@
 	return r
 }
 
-// retryable reports whether a new arrival may retry a failed request: the request is
-// repeatable, and its failure may be temporary.
+// retryable reports whether a new arrival may retry a failed request: its caller has been
+// told of the failure, the request is repeatable, and the failure may be temporary.
 func (r *request) retryable() bool {
 	if r.State != RequestFailed || !r.Repeatable {
 		return false
--- a/core/limits/arbiter.go
+++ b/core/limits/arbiter.go
@@ -42,7 +42,7 @@
 	return alloc.grant
 }
 
-// Expire removes the shares of daemons that have not asked for GrantLife. Call it
+// Expire removes the shares of daemons that have not asked within GrantTTL. Call it
 // periodically: keys that no daemon asks for any more are removed only here.
 func (a *Arbiter) Expire(now time.Time) {
 	for key, allocations := range a.keys {
--- a/core/limits/limits_test.go
+++ b/core/limits/limits_test.go
@@ -60,7 +60,7 @@
 // A caller sends requests to all daemons at arbitrary times while asks and their answers
 // are lost. The total number of running requests must stay within the stated bound: L plus
 // each daemon's base, as long as the arbiter receives an ask of each daemon within
-// GrantLife.
+// GrantTTL.
 func TestInFlightStaysInTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "daemons")
--- a/core/limits/local.go
+++ b/core/limits/local.go
@@ -52,9 +52,9 @@
 	}
 	inFlight, rate := s.allowed(now, max(1, daemons))
 	s.refill(now, rate)
-	over := limit.InFlight > 0 && s.inFlight >= inFlight
-	fast := limit.Rate > 0 && s.tokens < 1
-	if !over && !fast {
+	overInFlight := limit.InFlight > 0 && s.inFlight >= inFlight
+	overRate := limit.Rate > 0 && s.tokens < 1
+	if !overInFlight && !overRate {
 		s.inFlight++
 		s.peak = max(s.peak, s.inFlight)
 		if limit.Rate > 0 {
--- a/core/limits/types.go
+++ b/core/limits/types.go
@@ -14,7 +14,7 @@
 //
 // So at most L + n*max(1, L/2n) requests are in flight, plus those still running that a
 // daemon had admitted before it lost its connection to the arbiter for longer than
-// GrantLife. While daemons disagree on which daemon is the arbiter (briefly after a daemon
+// GrantTTL. While daemons disagree on which daemon is the arbiter (briefly after a daemon
 // joined or left), each of the two arbiters grants L. Conversely, a caller may be refused
 // below its limit for about two ask periods while its demand moves from one daemon to
 // another. For rates, each daemon's bucket adds BurstSeconds of its share and one request,
@@ -24,7 +24,7 @@
 import "time"
 
 const (
-	// GrantLife is how long a share is valid. A daemon measures it from when it sent the
+	// GrantTTL is how long a share is valid. A daemon measures it from when it sent the
 	// ask, the arbiter from when it received the ask, so it ends at the daemon first.
 	GrantTTL = 2 * time.Second
 	// FreshGrant is the maximum age of a share for refusing a request; an older share is
--- a/core/shard/shard.go
+++ b/core/shard/shard.go
@@ -43,8 +43,8 @@
 // Each successor waits one step longer than the one ranked before it, so that usually one
 // daemon and not all of them claims each shard of a dead host. The log decides between
 // concurrent claims in any case; waiting only saves appends and replays. A daemon that
-// already holds its fair share waits longer, so that at a cold start the first daemon
-// doesn't claim every shard; it still claims the shard if no other daemon does.
+// already holds more than its fair share waits longer, so that at a cold start the first
+// daemon doesn't claim every shard; it still claims the shard if no other daemon does.
 func ClaimAfter(f Facts) (ms int64, ok bool) {
 	if f.ReleasedToSelf {
 		return 0, true
