--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -54,7 +54,7 @@
 	Leader() (address string, found bool)
 	// OtherLeaders returns the peer addresses of the known leaders of the other zones.
 	OtherLeaders() []string
-	// NoteCall records the result of a call to a leader; late reports that it timed out.
+	// RecordCall records the result of a call to a leader; late reports that it timed out.
 	RecordCall(leader string, err error, late bool)
 }
 
@@ -134,9 +134,9 @@
 // takeLocally takes a token from this daemon's own share, where no leader answers.
 func (q *Quotas) takeLocally(account *accounts.Account) (Token, *outcome.Refusal) {
 	q.mu.Lock()
-	answer := q.buckets.Take(time.Now(), account)
+	decision := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
-	if answer.Verdict == quota.Taken {
+	if decision.Verdict == quota.Taken {
 		q.meter.takenLocally.Inc()
 		return Token{account.Name, q.Self}, nil
 	}
@@ -164,8 +164,8 @@
 // startup wait has passed. from is the leader that answered last.
 func (q *Quotas) requestToken(ctx context.Context, account *accounts.Account) (reply TakeReply, from string, answered bool) {
 	waitUntil := time.Now().Add(maxLeaderWait)
-	if started := q.started.Add(maxStartupWait); started.After(waitUntil) {
-		waitUntil = started
+	if startupEnd := q.started.Add(maxStartupWait); startupEnd.After(waitUntil) {
+		waitUntil = startupEnd
 	}
 	for {
 		reply, from, answered = q.requestTokenOnce(ctx, account)
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -81,12 +81,12 @@
 	return nil
 }
 
-func (w *fakeNetwork) setCut(daemons ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut = map[string]bool{}
+func (f *fakeNetwork) setCut(daemons ...string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.cut = map[string]bool{}
 	for _, d := range daemons {
-		w.cut[d] = true
+		f.cut[d] = true
 	}
 }
 
@@ -119,11 +119,11 @@
 
 var _ = Describe("Quotas of a fleet", func() {
 	var (
-		w     *fakeNetwork
-		views []*fakeLeaders
-		fleet []*Quotas
-		sets  []*metrics.Set
-		set   atomic.Pointer[accounts.Set]
+		network *fakeNetwork
+		views   []*fakeLeaders
+		fleet   []*Quotas
+		sets    []*metrics.Set
+		set     atomic.Pointer[accounts.Set]
 		// count is the fleet size as the daemons know it.
 		count atomic.Int64
 	)
@@ -137,7 +137,7 @@
 	}
 	// Daemons 0 to 2 are in one zone, 3 to 5 in another; 0 and 3 lead.
 	BeforeEach(func() {
-		w = &fakeNetwork{daemons: map[string]any{}}
+		network = &fakeNetwork{daemons: map[string]any{}}
 		views, fleet, sets = nil, nil, nil
 		setRate(0.01)
 		count.Store(6)
@@ -147,8 +147,8 @@
 			v := &fakeLeaders{}
 			v.set(fmt.Sprint("d", i/3*3), fmt.Sprint("d", 3-i/3*3))
 			q := New(Options{Self: self, Leaders: v, FleetSize: func() int { return int(count.Load()) }, Accounts: set.Load,
-				Peers: endpoint{w, self}, Terms: quota.Tolerance{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
-			Expect(q.Register(endpoint{w, self})).To(Succeed())
+				Peers: endpoint{network, self}, Terms: quota.Tolerance{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
+			Expect(q.Register(endpoint{network, self})).To(Succeed())
 			views, fleet = append(views, v), append(fleet, q)
 		}
 	})
@@ -229,16 +229,16 @@
 	// leader, and no request of the hotel is refused because of that.
 	It("are counted by another zone's leader where the local one is lost", func() {
 		awaitVotes()
-		w.setCut("d0")
+		network.setCut("d0")
 		Expect(take(1, "hotel")).To(BeNil())
 	})
 
 	// A daemon is partitioned from all others. Without them it may admit only its share of
 	// the allowed overshoot. Further callers are told to try another daemon, and not that the
 	// account is over its quota, which this daemon can't know.
-	It("do not report an account as over its quota where no leader is reached", func() {
+	It("refuse truly where nobody is reached", func() {
 		awaitVotes()
-		w.setCut("d5")
+		network.setCut("d5")
 		views[5].set("")
 		refusal := (*outcome.Refusal)(nil)
 		Eventually(func() *outcome.Refusal { refusal = take(5, "hotel"); return refusal }).WithTimeout(timeout).ShouldNot(BeNil())
@@ -250,7 +250,7 @@
 	// All daemons start at once. None knows a leader or the others yet. One that assumed that
 	// it is the leader, or the whole fleet, would give out more than its share, or bind its
 	// vote, which the elected leader would then lack.
-	It("wait for a leader before a daemon counts on its own", func() {
+	It("wait for a leader before a daemon counts by itself", func() {
 		known := [6]string{}
 		for i, v := range views {
 			known[i], _ = v.Leader()
--- a/daemon/quotas/tokens.go
+++ b/daemon/quotas/tokens.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Back takes back a token that was not used.
+// Back returns an unused token to this daemon's buckets.
 func (s *rpcService) Back(args BackArgs, _ *Ack) error {
 	s.quotas.refundLocally(args.Account)
 	return nil
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Return takes back this daemon's vote from a leader that stops.
+// Return records that a leader that stops has released this daemon's vote.
 func (s *rpcService) Return(args ReturnArgs, _ *Ack) error {
 	q := s.quotas
 	q.mu.Lock()
@@ -150,17 +150,17 @@
 // some from the other leaders.
 func (q *Quotas) decide(ctx context.Context, account *accounts.Account) TakeReply {
 	q.mu.Lock()
-	answer := q.buckets.Take(time.Now(), account)
+	decision := q.buckets.Take(time.Now(), account)
 	q.mu.Unlock()
-	if answer.Verdict == quota.Insufficient {
-		got := q.collectTokens(ctx, account.Name, answer.Want)
+	if decision.Verdict == quota.Insufficient {
+		got := q.collectTokens(ctx, account.Name, decision.Want)
 		q.mu.Lock()
-		answer = q.buckets.TakeWith(time.Now(), account, got)
+		decision = q.buckets.TakeWith(time.Now(), account, got)
 		q.mu.Unlock()
 	}
-	q.meter.countDecision(answer.Verdict)
-	taken := answer.Verdict == quota.Taken
-	return TakeReply{Taken: taken, RetryAfterMs: answer.RetryAfter.Milliseconds(), Unsure: !taken && q.unsure(time.Now())}
+	q.meter.countDecision(decision.Verdict)
+	taken := decision.Verdict == quota.Taken
+	return TakeReply{Taken: taken, RetryAfterMs: decision.RetryAfter.Milliseconds(), Unsure: !taken && q.unsure(time.Now())}
 }
 
 // unsure reports whether an account that gets no token here may still be within its quota:
--- a/daemon/quotas/votes.go
+++ b/daemon/quotas/votes.go
@@ -14,7 +14,8 @@
 	tickInterval        = 100 * time.Millisecond
 	startupTickInterval = 20 * time.Millisecond
 	// selfVoteAfter is how long after a leader was last known a daemon votes for itself. It
-	// does not do so earlier, since its vote is bound then and the next leader would lack it.
+	// does not do so earlier, since its vote is then bound to itself and the next leader would
+	// lack it.
 	selfVoteAfter = 700 * time.Millisecond
 	// suspendThreshold is the difference by which the wall clock must have advanced more than
 	// the monotonic clock for the host to count as suspended meanwhile: the monotonic clock
@@ -25,13 +26,13 @@
 // Run keeps this daemon's weight up to date, and its vote renewed with the leader, until ctx
 // is done.
 func (q *Quotas) Run(ctx context.Context) {
-	pace := startupTickInterval
-	for duty.Pause(ctx, pace) {
+	interval := startupTickInterval
+	for duty.Pause(ctx, interval) {
 		if q.Accounts().Len() > 0 {
 			q.tick(time.Now())
 		}
 		if time.Since(q.started) > maxStartupWait {
-			pace = tickInterval
+			interval = tickInterval
 		}
 	}
 }
--- a/daemon/relay/relay_test.go
+++ b/daemon/relay/relay_test.go
@@ -59,7 +59,7 @@
 
 // fakeQuotas counts the tokens that requests take and return.
 type fakeQuotas struct {
-	taken, returned int
+	taken, refunded int
 	refusal         *outcome.Refusal
 }
 
@@ -71,7 +71,7 @@
 	return quotas.Token{}, nil
 }
 
-func (f *fakeQuotas) Refund(quotas.Token) { f.returned++ }
+func (f *fakeQuotas) Refund(quotas.Token) { f.refunded++ }
 
 var _ = Describe("The relay", func() {
 	var (
@@ -139,7 +139,7 @@
 	// A request counts once against its account's quota, however many targets it is sent to,
 	// and not at all if none of them ran it.
 	DescribeTable("counts a request once if it ran, and not at all if it did not",
-		func(answers []string, back int) {
+		func(answers []string, refunded int) {
 			startTargets(2, func(turn int, _ *rawtarget.Request, c net.Conn) {
 				answer := answers[min(turn, len(answers)-1)]
 				if answer == "" {
@@ -150,7 +150,7 @@
 			})
 			r.Serve(context.Background(), request, httptest.NewRecorder())
 			Expect(tokens.taken).To(Equal(1))
-			Expect(tokens.returned).To(Equal(back))
+			Expect(tokens.refunded).To(Equal(refunded))
 		},
 		Entry("answered", []string{rawtarget.Whole(200, "x", idHeader)}, 0),
 		Entry("answered by the second", []string{rawtarget.Whole(503, "", idHeader, "Not-Run: 1"), rawtarget.Whole(200, "x", idHeader)}, 0),
@@ -198,9 +198,9 @@
 		Expect(fields).To(HaveKeyWithValue("running_there", BeEquivalentTo(0)))
 	})
 
-	// An order is sent and its answer is lost. A retry would place it twice; if it were
-	// reported as not run, the guest would place it again by hand.
-	DescribeTable("runs a non-repeatable request at most once",
+	// A non-repeatable request is sent and its answer is lost. A retry would run it twice; if
+	// it were reported as not run, the caller would send it again.
+	DescribeTable("runs what may not be repeated at most once",
 		func(breakAnswer func(c net.Conn)) {
 			request.Route.Kind = route.NonIdempotent
 			startTargets(3, func(_ int, _ *rawtarget.Request, c net.Conn) { breakAnswer(c) })
@@ -220,9 +220,9 @@
 	)
 
 	// A target silently drops connections that were idle for a moment. The next request on
-	// one is reset; an order lost this way can't be retried, and the guest is told that it
-	// may have been placed.
-	It("sends a non-repeatable request on no connection that its target may have dropped", func() {
+	// one is reset; a non-repeatable request lost this way can't be retried, and the caller
+	// gets the answer that it may have run.
+	It("sends what may not be repeated on no connection that its target may have forgotten", func() {
 		request.Route.Kind = route.NonIdempotent
 		startTargets(1, func(_ int, r *rawtarget.Request, c net.Conn) {
 			if r.Index > 0 {
@@ -323,7 +323,7 @@
 		})
 	}
 
-	// Engines stop answering while their connections stay open. A guest's question that was
+	// Engines stop answering while their connections stay open. A repeatable request that was
 	// sent to one must be answered by another within its objective, and non-repeatable
 	// requests must not be sent to the silent one.
 	It("gives up a silent target long before the longest timeout, and marks it degraded", func() {
@@ -341,14 +341,14 @@
 		}
 		name := "t0"
 		silentTarget.Store(&name)
-		const guests = 30
-		for range guests {
+		const requests = 30
+		for range requests {
 			w, _ := serve()
 			Expect(w.Body.String()).To(Equal("answer"))
 		}
 		ended := lines.FilterMessage("request").All()
 		silences := 0
-		for _, line := range ended[len(ended)-guests:] {
+		for _, line := range ended[len(ended)-requests:] {
 			cause, _ := line.ContextMap()["cause"].(string)
 			if strings.Contains(cause, targets[0].Address) {
 				Expect(cause).To(ContainSubstring("silent"))
@@ -453,7 +453,7 @@
 		Expect(result.Refusal.Run).To(Equal(outcome.MayHaveRun))
 	})
 
-	It("closes the connection to the target when the caller disconnects", func() {
+	It("ends the target's work when the caller leaves", func() {
 		startTargets(1, func(int, *rawtarget.Request, net.Conn) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan relay.Result, 1)
@@ -489,7 +489,7 @@
 			Expect(w.Body.String()).To(Equal(all(0, 4)))
 		})
 
-		// An engine crashes in the middle of an event. The guest must get each event once and
+		// An engine crashes in the middle of an event. The caller must get each event once and
 		// complete: the truncated one is dropped and fetched from another engine.
 		It("resumes at another target after the last complete event", func() {
 			startTargets(2, func(turn int, got *rawtarget.Request, c net.Conn) {
