--- a/daemon/configsync/loops.go
+++ b/daemon/configsync/loops.go
@@ -59,7 +59,7 @@
 // follow reads one page of the stream and applies its records to the state.
 func (s *Sync) follow(ctx context.Context) error {
 	s.mu.Lock()
-	next, wait := s.folder.Next(), s.opt.PollWait
+	next, wait := s.replayer.Next(), s.opt.PollWait
 	if !s.atEnd {
 		// No long poll until the stream was read to its end once: on an empty stream it would
 		// delay the first publication.
@@ -74,10 +74,10 @@
 		return err
 	}
 	stuck := false
-	s.update(func(f *configlog.Replayer) {
-		f.Apply(page.First, inputs(page))
-		s.atEnd = f.Next() >= page.Next
-		s.caughtUp = s.caughtUp || (f.Complete() && s.atEnd)
+	s.update(func(r *configlog.Replayer) {
+		r.Apply(page.First, inputs(page))
+		s.atEnd = r.Next() >= page.Next
+		s.caughtUp = s.caughtUp || (r.Complete() && s.atEnd)
 		stuck = !s.atEnd && len(page.Records) == 0
 	})
 	if stuck {
@@ -138,7 +138,7 @@
 		s.opt.Logger.Warn("config_fetch_failed", zap.String("peer", address), zap.Error(err))
 		return
 	}
-	s.update(func(f *configlog.Replayer) { s.fetched = f.Adopt(state) || s.fetched })
+	s.update(func(r *configlog.Replayer) { s.fetched = r.Adopt(state) || s.fetched })
 }
 
 // rewriteLoop rewrites the state forward on the stream before the records that hold it
@@ -167,10 +167,10 @@
 	now := s.opt.Clock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.caughtUp || !s.folder.Complete() || s.folder.State().Version == 0 {
+	if !s.caughtUp || !s.replayer.Complete() || s.replayer.State().Version == 0 {
 		return false
 	}
-	if ms := s.folder.RestatedMs(); ms > 0 {
+	if ms := s.replayer.RestatedMs(); ms > 0 {
 		s.noStateSince = time.Time{}
 		return now.Sub(time.UnixMilli(ms)) >= min(s.opt.Retention/rewriteDivisor+delay, limit)
 	}
--- a/daemon/configsync/publish.go
+++ b/daemon/configsync/publish.go
@@ -83,8 +83,8 @@
 // accepted.
 func (s *Sync) newChange(text string, base uint64, author string) (configlog.Change, error) {
 	s.mu.Lock()
-	state, anchored := s.folder.State(), s.folder.Complete()
-	expired := !anchored && s.atEnd && state.Version == 0
+	state, complete := s.replayer.State(), s.replayer.Complete()
+	expired := !complete && s.atEnd && state.Version == 0
 	unread := !s.atEnd && state.Through < 0
 	s.mu.Unlock()
 	change := configlog.Change{
@@ -103,7 +103,7 @@
 		// times in the retention, and no member knows it: the whole fleet was down for longer
 		// than the retention. The operators start over, with a version above all earlier ones.
 		change.Forced = true
-	case !anchored || unread:
+	case !complete || unread:
 		return change, changeRefused("this daemon has not read the configuration stream yet")
 	}
 	return change, nil
@@ -242,7 +242,7 @@
 func (s *Sync) awaitState(ctx context.Context, done func(configlog.State) bool) (configlog.State, bool) {
 	for {
 		s.mu.Lock()
-		state, stepped := s.folder.State(), s.changed
+		state, changed := s.replayer.State(), s.changed
 		ok := done(state)
 		s.mu.Unlock()
 		if ok {
@@ -251,7 +251,7 @@
 		select {
 		case <-ctx.Done():
 			return state, false
-		case <-stepped:
+		case <-changed:
 		}
 	}
 }
--- a/daemon/configsync/sync.go
+++ b/daemon/configsync/sync.go
@@ -32,8 +32,8 @@
 	// have been made.
 	unresolved chan configlog.Change
 
-	mu     sync.Mutex
-	folder *configlog.Replayer
+	mu       sync.Mutex
+	replayer *configlog.Replayer
 	// seenVersion is the highest known version, whether in force or not.
 	seenVersion uint64
 	// caughtUp reports that the stream was once read to its end without a gap.
@@ -47,7 +47,7 @@
 	fetched bool
 	// loggedRegressions is the count that was last logged.
 	loggedRegressions uint64
-	// changed is closed and replaced after each update of the folder.
+	// changed is closed and replaced after each update of the replayer.
 	changed chan struct{}
 }
 
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	s := &Sync{
-		opt: o, folder: configlog.NewReplayer(), changed: make(chan struct{}),
+		opt: o, replayer: configlog.NewReplayer(), changed: make(chan struct{}),
 		unresolved: make(chan configlog.Change, maxUnresolved),
 	}
 	s.current.Store(emptyConfig())
@@ -181,17 +181,17 @@
 func (s *Sync) state() configlog.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.folder.State()
+	return s.replayer.State()
 }
 
-// update runs f on the folder, brings a newer version into force, and wakes those who wait
+// update runs f on the replayer, brings a newer version into force, and wakes those who wait
 // for a state.
 func (s *Sync) update(f func(*configlog.Replayer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(s.folder)
-	s.apply(s.folder.State())
-	if n := s.folder.Regressed(); n != s.loggedRegressions {
+	f(s.replayer)
+	s.apply(s.replayer.State())
+	if n := s.replayer.Regressed(); n != s.loggedRegressions {
 		s.loggedRegressions = n
 		s.opt.Logger.Error("config_state_of_lower_version_refused", zap.Uint64("times", n), zap.Uint64("version", s.seenVersion))
 	}
