--- a/daemon/shards/bench_test.go
+++ b/daemon/shards/bench_test.go
@@ -16,7 +16,7 @@
 // default append intervals and 32 shards on three daemons over loopback.
 func BenchmarkOrder(b *testing.B) {
 	RegisterTestingT(b)
-	f := &fleet{log: fakelog.New(fakelog.Options{}), nodes: map[string]*node{}, tune: defaultPaces}
+	f := &fleet{log: fakelog.New(fakelog.Options{}), nodes: map[string]*node{}, tune: defaultIntervals}
 	for _, host := range []string{"a", "b", "c"} {
 		f.start(host)
 	}
@@ -29,7 +29,7 @@
 	}
 }
 
-func defaultPaces(o *Options) {
+func defaultIntervals(o *Options) {
 	o.Shards, o.AppendInterval, o.UrgentInterval, o.AppendBudget = 0, 0, 0, 0
 	o.Lease, o.ClaimStep, o.ColdStart = 0, 0, 0
 }
--- a/daemon/shards/claim.go
+++ b/daemon/shards/claim.go
@@ -197,7 +197,7 @@
 	defer ticker.Stop()
 	lastOK := time.Now()
 	for s.busySlots() > 0 {
-		if s.LogOK() || s.figures().QueuedProposals > 0 {
+		if s.LogOK() || s.stats().QueuedProposals > 0 {
 			lastOK = time.Now()
 		}
 		// A hand-off needs a record on the log. During an outage of the log a stopping
--- a/daemon/shards/claim_test.go
+++ b/daemon/shards/claim_test.go
@@ -21,14 +21,14 @@
 	// of them, which delays these. Claims must be spread out, and complete soon.
 	It("stay within half of the fleet's append budget", func() {
 		began := time.Now()
-		var passed atomic.Int64
+		var elapsed atomic.Int64
 		self := membership.Member{Host: "a", Incarnation: 1, LogOK: true, Ready: true}
 		n := &node{self: self, fleet: &fleet{nodes: map[string]*node{}}}
 		n.fleet.nodes["a"] = n
 		s, err := New(Options{
 			Log: fakelog.New(fakelog.Options{}), View: n, Peer: peer.NewClient(peer.ClientOptions{}),
 			Registrar: peer.NewServer(peer.ServerOptions{}), Config: func() *config.Config { return nil },
-			Clock: func() time.Time { return began.Add(time.Duration(passed.Load())) },
+			Clock: func() time.Time { return began.Add(time.Duration(elapsed.Load())) },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +38,7 @@
 		// The log accepts a burst of 20 appends; half of that is left to other records.
 		const round, burst = 10 * time.Millisecond, 10
 		before := 0
-		for s.busySlots() < DefaultShards && passed.Load() < int64(time.Second) {
+		for s.busySlots() < DefaultShards && elapsed.Load() < int64(time.Second) {
 			s.claimRound(ctx)
 			budget := int(DefaultAppendBudget / 2 * round.Seconds())
 			if before == 0 {
@@ -46,10 +46,10 @@
 			}
 			Expect(s.busySlots() - before).To(BeNumerically("<=", budget))
 			before = s.busySlots()
-			passed.Add(int64(round))
+			elapsed.Add(int64(round))
 		}
 		Expect(s.busySlots()).To(Equal(DefaultShards))
-		Expect(time.Duration(passed.Load())).To(BeNumerically("<=", 200*time.Millisecond))
+		Expect(time.Duration(elapsed.Load())).To(BeNumerically("<=", 200*time.Millisecond))
 	})
 })
 
@@ -81,11 +81,11 @@
 		for _, passed := range []time.Duration{-24 * time.Hour, 24 * time.Hour} {
 			sl.mu.Lock()
 			term := sl.knownTerm + 1
-			stands := s.startGrace(sl, term, passed)
+			inGrace := s.startGrace(sl, term, passed)
 			until := sl.graceUntil
 			again := s.startGrace(sl, term, passed)
 			sl.mu.Unlock()
-			Expect(stands).To(Equal(passed < 0))
+			Expect(inGrace).To(Equal(passed < 0))
 			Expect(until).To(BeTemporally("<=", time.Now().Add(claimGrace)))
 			Expect(again).To(BeFalse(), "a second time")
 		}
--- a/daemon/shards/fleet_test.go
+++ b/daemon/shards/fleet_test.go
@@ -32,10 +32,10 @@
 
 // fleet is a few daemons' Shards in this process, over one fake log.
 type fleet struct {
-	mu    sync.Mutex
-	log   *fakelog.Log
-	nodes map[string]*node
-	next  uint64
+	mu              sync.Mutex
+	log             *fakelog.Log
+	nodes           map[string]*node
+	lastIncarnation uint64
 	// tune changes a node's options, for benchmarks.
 	tune func(*Options)
 }
@@ -68,14 +68,14 @@
 }
 
 func (f *fleet) start(host string) *node {
-	f.next++
+	f.lastIncarnation++
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	n := &node{
 		fleet: f, client: f.log.NewClient(),
 		server: peer.NewServer(peer.ServerOptions{}), caller: peer.NewClient(peer.ClientOptions{}),
 		self: membership.Member{
-			Host: host, PeerAddress: listener.Addr().String(), Incarnation: f.next, LogOK: true, Ready: true,
+			Host: host, PeerAddress: listener.Addr().String(), Incarnation: f.lastIncarnation, LogOK: true, Ready: true,
 		},
 	}
 	Expect(n.server.Register("Steward", &fakeSteward{n})).To(Succeed())
@@ -233,8 +233,8 @@
 
 func (n *node) Successors(key string) []membership.Member {
 	all := n.Members()
-	turn := len(key) % max(1, len(all))
-	return append(all[turn:], all[:turn]...)
+	start := len(key) % max(1, len(all))
+	return append(all[start:], all[:start]...)
 }
 
 func (n *node) TargetLeaving(string) bool { return false }
@@ -293,7 +293,7 @@
 	for _, it := range items {
 		req.Ends = append(req.Ends, ledger.ItemEnd{Ref: it.Ref, Answer: &ledger.Answer{Status: 200, Body: []byte(it.Item.CustomID)}})
 	}
-	left, err := n.shards.FinishItems(context.Background(), req)
+	undelivered, err := n.shards.FinishItems(context.Background(), req)
 	Expect(err).NotTo(HaveOccurred())
-	return left
+	return undelivered
 }
--- a/daemon/shards/hold.go
+++ b/daemon/shards/hold.go
@@ -77,7 +77,7 @@
 		sl.mu.Unlock()
 		return
 	}
-	sl.figures.Add(owner.Stats())
+	sl.pastStats.Add(owner.Stats())
 	term, holder := owner.State().Term()
 	if holder != "" && holder != s.opt.View.Self().ID() {
 		s.startGrace(sl, term, 0)
--- a/daemon/shards/meter.go
+++ b/daemon/shards/meter.go
@@ -19,7 +19,7 @@
 func newMeter(s *Shards) *meter {
 	set := s.opt.Metrics
 	gauge := func(name string, value func(ledger.Stats) float64) {
-		set.GetOrCreateGauge(name, func() float64 { return value(s.figures()) })
+		set.GetOrCreateGauge(name, func() float64 { return value(s.stats()) })
 	}
 	gauge("tarragonhollow_ledger_proposals_waiting", func(f ledger.Stats) float64 { return float64(f.QueuedProposals) })
 	gauge("tarragonhollow_ledger_ring_bytes", func(f ledger.Stats) float64 { return float64(f.QueuedBytes) })
@@ -43,12 +43,12 @@
 	}
 }
 
-// figures returns the sums of the counters of all owners, past and present.
-func (s *Shards) figures() ledger.Stats {
+// stats returns the sums of the counters of all owners, past and present.
+func (s *Shards) stats() ledger.Stats {
 	var sum ledger.Stats
 	for _, sl := range s.slots {
 		sl.mu.Lock()
-		sum.Add(sl.figures)
+		sum.Add(sl.pastStats)
 		if sl.owner != nil {
 			sum.Add(sl.owner.Stats())
 		}
--- a/daemon/shards/onlog.go
+++ b/daemon/shards/onlog.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// maxLogReads is the number of streams that OnLog reads concurrently, and
+	// maxLogReads is the number of streams that LookupOnLog reads concurrently, and
 	// maxLogReadBytes how much of each. They limit the reads of a daemon that reaches no
 	// owner while it is under load, and would read a whole stream for every
-	// non-repeatable request. OnLog fails for a shard with more live state than that,
-	// and requests with the shard's keys may have run.
+	// non-repeatable request. LookupOnLog fails for a shard with more live state than
+	// that, and it is then unknown whether requests with the shard's keys have run.
 	maxLogReads     = 2
 	maxLogReadBytes = 64 << 20
-	// logReadTimeout limits OnLog to the time of a call to an owner.
+	// logReadTimeout limits LookupOnLog to the time of a call to an owner.
 	logReadTimeout = queryTimeout
 )
 
-// OnLog implements ledger.Client. It reads the shard's stream up to an end that it queries
+// LookupOnLog implements ledger.Client. It reads the shard's stream up to an end that it queries
 // after the call began. A request with the same key that was granted and answered before
 // the call has its start record before that end, since a non-repeatable request is granted
 // only after its start record was read back. Calls for one shard share a read that has not
--- a/daemon/shards/onlog_test.go
+++ b/daemon/shards/onlog_test.go
@@ -15,25 +15,25 @@
 	It("reads the outcome of a key from the log", func() {
 		f := newFleet("a", "b")
 		owner := f.ownerOf("c/k")
-		apart := f.other(owner)
-		look := func(key, nonce, content string) ledger.BeginReply {
+		other := f.other(owner)
+		lookUp := func(key, nonce, content string) ledger.BeginReply {
 			GinkgoHelper()
-			reply, err := apart.shards.LookupOnLog(context.Background(), ledger.BeginRequest{Key: key, Nonce: nonce, Fingerprint: content})
+			reply, err := other.shards.LookupOnLog(context.Background(), ledger.BeginRequest{Key: key, Nonce: nonce, Fingerprint: content})
 			Expect(err).NotTo(HaveOccurred())
 			return reply
 		}
-		Expect(look("c/k", "n2", "fp").Verdict).To(Equal(ledger.Free))
+		Expect(lookUp("c/k", "n2", "fp").Verdict).To(Equal(ledger.Free))
 		granted, err := begin(owner, "c/k", "n1", false)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(look("c/k", "n2", "fp").Verdict).To(Equal(ledger.StillRunning))
-		Expect(look("c/k", "n1", "fp").Verdict).To(Equal(ledger.Free), "its own start, granted to nobody else")
+		Expect(lookUp("c/k", "n2", "fp").Verdict).To(Equal(ledger.StillRunning))
+		Expect(lookUp("c/k", "n1", "fp").Verdict).To(Equal(ledger.Free), "its own start, granted to nobody else")
 		_, err = owner.shards.Finish(context.Background(), ledger.FinishRequest{
 			Key: "c/k", Nonce: "n1", Attempt: granted.Attempt, Answer: &ledger.Answer{Status: 200, Body: []byte("tray")},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(look("c/k", "n2", "fp").Answer.Body)).To(Equal("tray"))
-		Expect(look("c/k", "n2", "other").Refusal).NotTo(BeNil(), "another request's answer")
-		_, err = apart.shards.replay(context.Background(), apart.shards.slotOf("c/k"), 10)
+		Expect(string(lookUp("c/k", "n2", "fp").Answer.Body)).To(Equal("tray"))
+		Expect(lookUp("c/k", "n2", "other").Refusal).NotTo(BeNil(), "another request's answer")
+		_, err = other.shards.replay(context.Background(), other.shards.slotOf("c/k"), 10)
 		Expect(err).To(HaveOccurred(), "more to read than is allowed")
 	})
 })
--- a/daemon/shards/options.go
+++ b/daemon/shards/options.go
@@ -92,7 +92,7 @@
 	case o.Log == nil, o.View == nil, o.Peer == nil, o.Registrar == nil, o.Config == nil:
 		return BadOptions.New("Log, View, Peer, Registrar and Config are required")
 	case o.Shards < 0 || o.AppendInterval < 0 || o.UrgentInterval < 0 || o.AppendBudget < 0:
-		return BadOptions.New("Shards, AppendPace, UrgentPace and AppendBudget must not be negative")
+		return BadOptions.New("Shards, AppendInterval, UrgentInterval and AppendBudget must not be negative")
 	}
 	o.setDefaults()
 	return nil
--- a/daemon/shards/relay_test.go
+++ b/daemon/shards/relay_test.go
@@ -87,11 +87,11 @@
 	// targets can't reach their owner.
 	It("delivers pulls and ends of items to an owner that can't be reached directly", func() {
 		f := newFleet()
-		lines := map[string]*failingCaller{}
+		callers := map[string]*failingCaller{}
 		for _, host := range []string{"a", "b", "c"} {
 			f.tune = func(o *Options) {
-				lines[host] = &failingCaller{Caller: o.Peer}
-				o.Peer = lines[host]
+				callers[host] = &failingCaller{Caller: o.Peer}
+				o.Peer = callers[host]
 			}
 			f.start(host)
 		}
@@ -99,8 +99,8 @@
 		steward := f.other(owner)
 		_, err := submit(owner, "job", "upload", 2)
 		Expect(err).NotTo(HaveOccurred())
-		line := lines[steward.self.Host]
-		line.failCallsTo(owner.self.PeerAddress)
+		caller := callers[steward.self.Host]
+		caller.failCallsTo(owner.self.PeerAddress)
 
 		var items []ledger.LeasedItem
 		Eventually(func() []ledger.LeasedItem {
@@ -110,9 +110,9 @@
 			}
 			return items
 		}).WithTimeout(10 * time.Second).Should(HaveLen(2))
-		Expect(line.called()).To(ContainElement(methodRelayPull))
+		Expect(caller.called()).To(ContainElement(methodRelayPull))
 		Expect(finish(steward, items)).To(BeEmpty())
-		Expect(line.called()).To(ContainElement(methodRelayFinishItems))
+		Expect(caller.called()).To(ContainElement(methodRelayFinishItems))
 	})
 
 	It("calls members only", func() {
--- a/daemon/shards/shards.go
+++ b/daemon/shards/shards.go
@@ -25,9 +25,9 @@
 	// claimBudget is the rate, in appends per second, at which a daemon without shards can
 	// append its claims.
 	claimBudget = 1
-	// grantedKept is the number of granted runs that are kept until their end. A daemon
+	// maxGranted bounds the granted runs that are kept until their end. A daemon
 	// has at most half as many requests in flight.
-	grantedKept = 1 << 13
+	maxGranted = 1 << 13
 )
 
 // Shards is this daemon's part of the ledger.
@@ -43,7 +43,7 @@
 	pulls    atomic.Uint64
 	// granted holds, by nonce, the requests on which runs of this daemon were granted.
 	granted *lru.Cache[string, ledger.BeginRequest]
-	// logReads merges concurrent calls of OnLog for one shard, logReadSlots limits the
+	// logReads merges concurrent calls of LookupOnLog for one shard, logReadSlots limits the
 	// number of concurrent reads.
 	logReads     singleflight.Group
 	logReadSlots chan struct{}
@@ -76,7 +76,7 @@
 	graceUntil time.Time
 	calls      map[ledger.CallID]chan ledger.Reply
 	lastCall   ledger.CallID
-	figures    ledger.Stats // of earlier owners
+	pastStats  ledger.Stats // of earlier owners
 }
 
 // New validates the options and registers the rpc service.
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	s := &Shards{opt: opt, budget: rate.NewLimiter(rate.Limit(opt.AppendBudget), budgetBurst)}
-	s.granted, _ = lru.New[string, ledger.BeginRequest](grantedKept) // fails for a size below 1 only
+	s.granted, _ = lru.New[string, ledger.BeginRequest](maxGranted) // fails for a size below 1 only
 	s.logReadSlots = make(chan struct{}, maxLogReads)
 	s.logOK.Store(true)
 	for i := 0; i < opt.Shards; i++ {
--- a/daemon/shards/shards_test.go
+++ b/daemon/shards/shards_test.go
@@ -143,11 +143,11 @@
 		n := newFleet("a").nodes["a"]
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		gone := listener.Addr().String()
+		closedAddress := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		_, err = n.shards.Pull(context.Background(), gone, ledger.PullRequest{Steward: n.self.ID(), Group: "g"})
+		_, err = n.shards.Pull(context.Background(), closedAddress, ledger.PullRequest{Steward: n.self.ID(), Group: "g"})
 		Expect(err).To(HaveOccurred())
-		Expect(n.probed).To(ConsistOf(gone))
+		Expect(n.probed).To(ConsistOf(closedAddress))
 	})
 
 	// A shard has just changed holders, and the announcement of the new holder has not
