--- a/daemon/burnlog/append.go
+++ b/daemon/burnlog/append.go
@@ -121,8 +121,8 @@
 		c.unsent.Merge(c.recorder.All().Coarse())
 	}
 	c.mu.Unlock()
-	first := c.opt.View.Successors(Stream)
-	if !due || len(first) == 0 || first[0].ID() != c.opt.View.Self().ID() {
+	successors := c.opt.View.Successors(Stream)
+	if !due || len(successors) == 0 || successors[0].ID() != c.opt.View.Self().ID() {
 		return
 	}
 	logged, _ := c.readLog(ctx)
--- a/daemon/burnlog/burnlog_test.go
+++ b/daemon/burnlog/burnlog_test.go
@@ -40,7 +40,7 @@
 // fleet is a set of daemons that call each other directly.
 type fleet struct {
 	log          *fakelog.Log
-	written      int64
+	trimmedTo    int64
 	now          time.Time
 	services     map[string]*service
 	notAnswering map[string]bool
@@ -110,8 +110,8 @@
 	}
 }
 
-// drainRing counts the queued events, as recordLoop does.
-func drainRing(c *Collector) {
+// drainQueue counts the queued events, as recordLoop does.
+func drainQueue(c *Collector) {
 	for c.events.Len() > 0 {
 		c.record(<-c.events.C())
 	}
@@ -218,12 +218,12 @@
 			expires := int64(len(f.log.Records(Stream)))
 			f.now = f.now.Add(20 * time.Hour)
 			Expect(d.Drain(ctx)).To(Succeed())
-			f.log.Trim(Stream, f.written+expires)
-			f.written += expires
+			f.log.Trim(Stream, f.trimmedTo+expires)
+			f.trimmedTo += expires
 			if i == 0 {
 				f.kill("b")
 			}
-			a.nextOffset, a.logSet = 0, burn.NewSet() // as a fresh daemon reads it
+			a.nextOffset, a.logSet = 0, burn.NewSet() // as a newly started daemon reads it
 		}
 		Expect(find(report(), "desk", "availability").BudgetLeft).To(BeNumerically("<", 0))
 	})
@@ -253,7 +253,7 @@
 			return api.ChatResult{}, outcome.Refuse(outcome.CallerLimit, "")
 		})
 		a.Refused("desk", outcome.Overloaded)
-		drainRing(a)
+		drainQueue(a)
 		r := report()
 		Expect(totals(r, "desk", "availability")).To(Equal([2]uint64{3, 1}))
 		Expect(totals(r, "desk", "first_token")).To(Equal([2]uint64{2, 1}))
@@ -279,7 +279,7 @@
 		}
 		owner.err = errors.New("no owner")
 		_, _ = client.FinishItems(ctx, ledger.FinishItemsRequest{Ends: ends})
-		Expect(a.leases.Len()).To(Equal(len(ends)), "an end that was not taken over does not count")
+		Expect(a.leases.Len()).To(Equal(len(ends)), "an end that its owner did not accept does not count")
 		owner.err = nil
 		for range 2 {
 			_, _ = client.FinishItems(ctx, ledger.FinishItemsRequest{Ends: ends})
--- a/daemon/burnlog/collector.go
+++ b/daemon/burnlog/collector.go
@@ -52,8 +52,8 @@
 	set := o.Metrics
 	c := &Collector{
 		opt:         o,
-		events:      duty.NewQueue[burn.Event](eventRingSize),
-		items:       duty.NewQueue[unresolvedEnd](itemRingSize),
+		events:      duty.NewQueue[burn.Event](eventQueueSize),
+		items:       duty.NewQueue[unresolvedEnd](itemQueueSize),
 		leases:      leases,
 		recorder:    burn.NewRecorder(o.View.Self().ID()),
 		unsent:      burn.NewSet(),
--- a/daemon/burnlog/items.go
+++ b/daemon/burnlog/items.go
@@ -58,19 +58,19 @@
 	if err != nil && len(undelivered) == 0 {
 		return undelivered, err
 	}
-	left := make(map[ledger.ItemRef]bool, len(undelivered))
+	unfinished := make(map[ledger.ItemRef]bool, len(undelivered))
 	for _, e := range undelivered {
-		left[e.Ref] = true
+		unfinished[e.Ref] = true
 	}
 	for n := range req.Ends {
-		if !left[req.Ends[n].Ref] {
-			i.ended(&req.Ends[n])
+		if !unfinished[req.Ends[n].Ref] {
+			i.countEnd(&req.Ends[n])
 		}
 	}
 	return undelivered, err
 }
 
-func (i *itemClient) ended(e *ledger.ItemEnd) {
+func (i *itemClient) countEnd(e *ledger.ItemEnd) {
 	key := itemKey{e.Ref.Job, e.Ref.Index}
 	l, ok := i.c.leases.Peek(key)
 	if !ok {
--- a/daemon/burnlog/options.go
+++ b/daemon/burnlog/options.go
@@ -32,8 +32,8 @@
 	// ServiceName is the net/rpc name of this package's service.
 	ServiceName      = "Burn"
 	summariesMethod  = ServiceName + ".Summaries"
-	eventRingSize    = 8192
-	itemRingSize     = 4096
+	eventQueueSize   = 8192
+	itemQueueSize    = 4096
 	itemTimeout      = 5 * time.Second
 	appendTimeout    = 3 * time.Second
 	pruneInterval    = 5 * time.Minute
--- a/daemon/burnlog/report.go
+++ b/daemon/burnlog/report.go
@@ -101,7 +101,7 @@
 
 // readLog continues reading the log where the last call stopped. It returns all counts read
 // so far, and whether the end of the log was reached. The log is read only for reports and
-// rewrites, so that other daemons spend nothing on it.
+// rewrites, so that a daemon that makes neither spends nothing on it.
 func (c *Collector) readLog(ctx context.Context) ([]burn.Summary, bool) {
 	ctx, cancel := context.WithTimeout(ctx, c.opt.LogWait)
 	defer cancel()
--- a/daemon/orders/leadership.go
+++ b/daemon/orders/leadership.go
@@ -123,8 +123,8 @@
 	return 0, false
 }
 
-// Tenure implements Leadership. It appends at most one record, and none while
-// more than half of the lease is left.
+// Tenure implements Leadership. It appends at most one record, and none while more than half
+// of the lease is left, unless renew is set or the term has changed.
 func (l *LogLeadership) Tenure(ctx context.Context, shard int, renew bool) (Tenure, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/daemon/orders/observe.go
+++ b/daemon/orders/observe.go
@@ -15,7 +15,7 @@
 const probeText = "ready?"
 
 // observe fetches the load report of every target of the group. While the group is changing,
-// it also probes whether the targets that report the model serve it.
+// it also probes whether the targets that report the model, or no model, serve it.
 func (s *Orders) observe(ctx context.Context, a assignment, r *rollout) orders.Goal {
 	goal := orders.Goal{Model: a.model.Name, Version: a.model.Version}
 	goal.Targets = make([]orders.Observation, len(a.group.Targets))
@@ -41,8 +41,8 @@
 	now := s.opt.Clock()
 	s.each(len(goal.Targets), func(i int) {
 		o := &goal.Targets[i]
-		servesIt := o.Model == a.model.Name || o.Model == ""
-		if o.Leaving || !o.Reported || !servesIt {
+		mayServe := o.Model == a.model.Name || o.Model == ""
+		if o.Leaving || !o.Reported || !mayServe {
 			return
 		}
 		known, ok := r.confirmation(o.Address)
