--- a/daemon/places/lead.go
+++ b/daemon/places/lead.go
@@ -33,8 +33,8 @@
 	// leader of their zone is not known; they forward it.
 	unknownLeaderFanout = 2
 	// membersPerBriefHeartbeat is the number of a zone's daemons for each of which one
-	// more heartbeat in a row omits the state of work, so that the volume that a daemon
-	// receives hardly grows with its zone.
+	// more heartbeat in a row is brief, so that the volume that a daemon receives hardly
+	// grows with its zone.
 	membersPerBriefHeartbeat = 64
 	// maxHeartbeatCounts bounds the targets whose counts a heartbeat carries.
 	maxHeartbeatCounts = 64
@@ -123,21 +123,21 @@
 
 // newHeartbeat returns the next heartbeat for the zone's daemons. s.mu is held.
 func (s *scheduler) newHeartbeat(now time.Time) *Heartbeat {
-	b := &Heartbeat{From: s.self, Leaders: s.otherLeaders(now), Roles: s.roles}
+	h := &Heartbeat{From: s.self, Leaders: s.otherLeaders(now), Roles: s.roles}
 	s.heartbeats++
-	if b.Brief = s.heartbeats%(1+len(s.election.Ordered())/membersPerBriefHeartbeat) != 0; b.Brief {
-		return b
+	if h.Brief = s.heartbeats%(1+len(s.election.Ordered())/membersPerBriefHeartbeat) != 0; h.Brief {
+		return h
 	}
-	b.Counts, b.Doubts, b.Held = s.ledger.Fullest(maxHeartbeatCounts), s.ledger.DegradedTargets(now), s.heldInZone(now)
+	h.Counts, h.Doubts, h.Held = s.ledger.Fullest(maxHeartbeatCounts), s.ledger.DegradedTargets(now), s.heldInZone(now)
 	for _, z := range s.zoneStates {
 		if now.Sub(z.at) > zoneReportTTL {
 			continue
 		}
 		for holder, work := range z.held {
-			b.Held[holder] = work
+			h.Held[holder] = work
 		}
 	}
-	return b
+	return h
 }
 
 // otherLeaders lists the leaders of the other zones whose reports this daemon, a leader,
@@ -193,10 +193,10 @@
 	return held
 }
 
-func (s *scheduler) notifyZone(b Heartbeat, peers []Peer) {
+func (s *scheduler) notifyZone(heartbeat Heartbeat, peers []Peer) {
 	for _, other := range peers {
 		if other.Zone == s.zone {
-			s.caller.Notify(other.Address, beatMethod, b)
+			s.caller.Notify(other.Address, heartbeatMethod, heartbeat)
 		}
 	}
 }
@@ -212,11 +212,11 @@
 	}
 	for zone, members := range zones {
 		if leader, known := s.leaderOf(now, zone); known {
-			s.caller.Notify(leader, roomMethod, r)
+			s.caller.Notify(leader, zoneReportMethod, r)
 			continue
 		}
 		for range unknownLeaderFanout {
-			s.caller.Notify(members[rand.IntN(len(members))], roomMethod, r)
+			s.caller.Notify(members[rand.IntN(len(members))], zoneReportMethod, r)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	}
 	if leader, found := s.election.Leader(now); found && !r.Forwarded {
 		r.Forwarded = true
-		s.caller.Notify(leader, roomMethod, r)
+		s.caller.Notify(leader, zoneReportMethod, r)
 	}
 }
 
@@ -269,25 +269,25 @@
 }
 
 // applyHeartbeat applies a leader's heartbeat.
-func (p *Places) applyHeartbeat(now time.Time, b Heartbeat) {
+func (p *Places) applyHeartbeat(now time.Time, heartbeat Heartbeat) {
 	s := p.scheduler
 	s.mu.Lock()
-	if b.Resigned {
-		s.election.Resigned(now, b.From)
+	if heartbeat.Resigned {
+		s.election.Resigned(now, heartbeat.From)
 		s.updateLeader(now, "resigned")
 		s.mu.Unlock()
 		return
 	}
-	s.election.ReceiveHeartbeat(now, b.From)
+	s.election.ReceiveHeartbeat(now, heartbeat.From)
 	s.updateLeader(now, "heartbeat")
-	follows := s.leader == b.From
+	follows := s.leader == heartbeat.From
 	if follows {
-		s.remoteLeaders, s.roles, s.rolesAt = b.Leaders, b.Roles, now
-		s.recordFleetSize(b.Daemons)
+		s.remoteLeaders, s.roles, s.rolesAt = heartbeat.Leaders, heartbeat.Roles, now
+		s.recordFleetSize(heartbeat.Daemons)
 	}
 	s.mu.Unlock()
 	if follows {
-		p.recordHeartbeat(now, b)
+		p.recordHeartbeat(now, heartbeat)
 	}
 }
 
@@ -383,15 +383,15 @@
 
 // recordHeartbeat keeps the state of work that the leader reports, for the time when the
 // leader can't be reached. In a small fleet the daemons report that to each other.
-func (p *Places) recordHeartbeat(now time.Time, b Heartbeat) {
-	if !p.Scheduled() || b.Brief {
+func (p *Places) recordHeartbeat(now time.Time, heartbeat Heartbeat) {
+	if !p.Scheduled() || heartbeat.Brief {
 		return
 	}
 	p.scheduler.mu.Lock()
-	p.scheduler.recordPartHolders(now, b.Held)
+	p.scheduler.recordPartHolders(now, heartbeat.Held)
 	p.scheduler.mu.Unlock()
-	report := board.LoadReport{From: "zone " + p.zone, Zone: p.zone, Doubts: b.Doubts}
-	for holder, work := range b.Held {
+	report := board.LoadReport{From: "zone " + p.zone, Zone: p.zone, Doubts: heartbeat.Doubts}
+	for holder, work := range heartbeat.Held {
 		if holder != p.self {
 			report.Held = append(report.Held, work.Items...)
 			report.Parts = append(report.Parts, work.Parts...)
@@ -400,7 +400,7 @@
 	p.mu.Lock()
 	p.heartbeats++
 	report.Number = p.heartbeats
-	report.Counts = p.board.WithoutLocal(b.Counts)
+	report.Counts = p.board.WithoutLocal(heartbeat.Counts)
 	p.board.ApplyReport(now, report)
 	p.mu.Unlock()
 	duty.Wake(p.changed)
--- a/daemon/places/leases.go
+++ b/daemon/places/leases.go
@@ -16,8 +16,8 @@
 // time that a request spends at a target, since the slot stays taken for that long.
 const reportLinger = 3 * time.Millisecond
 
-// noLease is the number that stands for no lease, in an end that reports only the
-// target's outcome.
+// noLease is the lease number of an end that reports only the target's outcome and ends no
+// lease.
 const noLease = 0
 
 // localLease is a slot that this daemon's work takes.
@@ -65,59 +65,59 @@
 		running: map[uint64]localLease{}, preemptions: map[roster.Start]int{}}
 }
 
-func (o *localLeases) wake() { duty.Wake(o.reportDue) }
+func (l *localLeases) wake() { duty.Wake(l.reportDue) }
 
 // next returns the number of a new lease.
-func (o *localLeases) next() uint64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.last++
-	return o.last
+func (l *localLeases) next() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.last++
+	return l.last
 }
 
 // begin counts a lease. One that no leader granted is reported soon.
-func (o *localLeases) begin(number uint64, lease localLease) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.running[number] = lease
-	if lease.grantedBy == "" && o.scheduled() {
-		o.wake()
+func (l *localLeases) begin(number uint64, lease localLease) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.running[number] = lease
+	if lease.grantedBy == "" && l.scheduled() {
+		l.wake()
 	}
 }
 
 // end ends a lease and queues its outcome for the next report.
-func (o *localLeases) end(number uint64, result routing.Outcome, took time.Duration) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	lease, known := o.running[number]
+func (l *localLeases) end(number uint64, result routing.Outcome, took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	lease, known := l.running[number]
 	if !known {
 		return
 	}
-	delete(o.running, number)
-	o.queueEnd(localEnd{
+	delete(l.running, number)
+	l.queueEnd(localEnd{
 		Ended: slots.Ended{Number: number, Target: string(lease.target.Start), Outcome: result, Took: took},
 		zone:  lease.target.Zone, grantedBy: lease.grantedBy,
 	})
 }
 
-// queueEnd keeps an ended lease for the next report. o.mu is held.
-func (o *localLeases) queueEnd(e localEnd) {
-	if !o.scheduled() {
+// queueEnd keeps an ended lease for the next report. l.mu is held.
+func (l *localLeases) queueEnd(e localEnd) {
+	if !l.scheduled() {
 		return
 	}
-	o.ended = append(o.ended, e)
-	o.wake()
+	l.ended = append(l.ended, e)
+	l.wake()
 }
 
 // reportDegraded reports the target of a running lease as degraded.
-func (o *localLeases) reportDegraded(number uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	lease, known := o.running[number]
+func (l *localLeases) reportDegraded(number uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	lease, known := l.running[number]
 	if !known {
 		return
 	}
-	o.queueEnd(localEnd{
+	l.queueEnd(localEnd{
 		Ended: slots.Ended{Number: noLease, Target: string(lease.target.Start), Outcome: routing.SoftFailed},
 		zone:  lease.target.Zone, grantedBy: lease.grantedBy,
 	})
@@ -125,75 +125,75 @@
 
 // abandon returns a slot that a leader may have granted although its answer did not
 // arrive.
-func (o *localLeases) abandon(number uint64, grantedBy string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.queueEnd(localEnd{Ended: slots.Ended{Number: number}, grantedBy: grantedBy})
+func (l *localLeases) abandon(number uint64, grantedBy string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.queueEnd(localEnd{Ended: slots.Ended{Number: number}, grantedBy: grantedBy})
 }
 
 // setHeldWork sets the work that others must not run; see Places.SetHeldWork.
-func (o *localLeases) setHeldWork(held HeldWork) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	changed := len(held.Items) > 0 || len(o.held.Items) > 0
-	o.held = held
-	if changed && o.scheduled() {
-		o.wake()
+func (l *localLeases) setHeldWork(held HeldWork) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	changed := len(held.Items) > 0 || len(l.held.Items) > 0
+	l.held = held
+	if changed && l.scheduled() {
+		l.wake()
 	}
 }
 
 // preempt records the leases that are preempted.
-func (o *localLeases) preempt(numbers []uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+func (l *localLeases) preempt(numbers []uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, number := range numbers {
-		if lease, runs := o.running[number]; runs {
-			o.preemptions[lease.target.Start]++
-			duty.Wake(o.preempting)
+		if lease, runs := l.running[number]; runs {
+			l.preemptions[lease.target.Start]++
+			duty.Wake(l.preempting)
 		}
 	}
 }
 
 // takePreemptions returns, once, how many batch items are preempted at each target.
-func (o *localLeases) takePreemptions() map[roster.Start]int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	preemptions := o.preemptions
-	o.preemptions = map[roster.Start]int{}
+func (l *localLeases) takePreemptions() map[roster.Start]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	preemptions := l.preemptions
+	l.preemptions = map[roster.Start]int{}
 	return preemptions
 }
 
 // reportsTo builds the reports that are due, by leader: the local zone's leader gets all
 // work in the zone, any other leader the leases that it granted.
-func (o *localLeases) reportsTo(zone, leader string) map[string]*LeaseReport {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.reports++
-	due := dueReports{zone: zone, leader: leader, number: o.reports, reports: map[string]*LeaseReport{}}
-	for number, lease := range o.running {
+func (l *localLeases) reportsTo(zone, leader string) map[string]*LeaseReport {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.reports++
+	due := dueReports{zone: zone, leader: leader, number: l.reports, reports: map[string]*LeaseReport{}}
+	for number, lease := range l.running {
 		r := due.reportFor(lease.target.Zone, lease.grantedBy)
 		r.Running = append(r.Running, slots.Running{Number: number, Target: string(lease.target.Start), Batch: lease.batch})
 	}
-	for _, e := range o.ended {
+	for _, e := range l.ended {
 		r := due.reportFor(e.zone, e.grantedBy)
 		r.Ended = append(r.Ended, e.Ended)
 	}
-	o.ended = nil
-	if !o.held.empty() {
-		due.reportFor(zone, leader).Held = o.held
+	l.ended = nil
+	if !l.held.empty() {
+		due.reportFor(zone, leader).Held = l.held
 	}
-	o.addFinalReport(&due)
+	l.addFinalReport(&due)
 	return due.reports
 }
 
 // addFinalReport adds one empty report to the local zone's leader once nothing runs or is
 // held any more.
-func (o *localLeases) addFinalReport(due *dueReports) {
+func (l *localLeases) addFinalReport(due *dueReports) {
 	hasWork := due.reports[due.leader] != nil
-	if !hasWork && o.reportedWork && due.leader != "" {
+	if !hasWork && l.reportedWork && due.leader != "" {
 		due.reportFor(due.zone, due.leader)
 	}
-	o.reportedWork = hasWork
+	l.reportedWork = hasWork
 }
 
 // dueReports collects reports by the leader that receives them.
--- a/daemon/places/messages.go
+++ b/daemon/places/messages.go
@@ -11,19 +11,19 @@
 
 // The calls between daemons.
 const (
-	boardService = "Board"
-	boardMethod  = boardService + ".Hear"
+	boardService     = "Board"
+	loadReportMethod = boardService + ".Hear"
 
 	slotsService = "Slots"
 	// grantMethod requests a slot from a leader; reportMethod reports the caller's leases
 	// to it.
 	grantMethod  = slotsService + ".Grant"
 	reportMethod = slotsService + ".Report"
-	// beatMethod is a leader's heartbeat, yieldMethod its notice that batch items are
-	// preempted, roomMethod its report to the leaders of other zones.
-	beatMethod  = slotsService + ".Beat"
-	yieldMethod = slotsService + ".Yield"
-	roomMethod  = slotsService + ".Room"
+	// heartbeatMethod is a leader's heartbeat, preemptionMethod its notice that batch items
+	// are preempted, zoneReportMethod its report to the leaders of other zones.
+	heartbeatMethod  = slotsService + ".Beat"
+	preemptionMethod = slotsService + ".Yield"
+	zoneReportMethod = slotsService + ".Room"
 )
 
 // Ack is the empty reply of a peer.
@@ -49,7 +49,7 @@
 	Doubts map[string]int
 	// Held is the held work of the whole fleet, by the holder's peer address.
 	Held map[string]HeldWork
-	// Brief reports that the heartbeat carries no state of work.
+	// Brief reports that the heartbeat omits Counts, Doubts and Held.
 	Brief bool
 	// Leaders are the leaders of the other zones.
 	Leaders []string
@@ -94,7 +94,7 @@
 	Forwarded bool
 }
 
-// PreemptionNotice tells a holder which of its batch leases are preempted.
+// PreemptionNotice notifies a holder which of its batch leases are preempted.
 type PreemptionNotice struct {
 	Numbers []uint64
 }
@@ -103,8 +103,8 @@
 type boardHandler struct{ places *Places }
 
 // Hear is called by peers.
-func (s *boardHandler) Hear(w board.LoadReport, _ *Ack) error {
-	s.places.applyLoadReport(w)
+func (s *boardHandler) Hear(report board.LoadReport, _ *Ack) error {
+	s.places.applyLoadReport(report)
 	return nil
 }
 
@@ -112,8 +112,8 @@
 type slotsHandler struct{ places *Places }
 
 // Grant is called by daemons that want a slot.
-func (s *slotsHandler) Grant(a slots.Request, reply *slots.Grant) error {
-	grant, err := s.places.scheduler.grantLocally(time.Now(), a)
+func (s *slotsHandler) Grant(request slots.Request, reply *slots.Grant) error {
+	grant, err := s.places.scheduler.grantLocally(time.Now(), request)
 	*reply = grant
 	return err
 }
@@ -125,14 +125,14 @@
 }
 
 // Beat is called by the zone's leader.
-func (s *slotsHandler) Beat(b Heartbeat, _ *Ack) error {
-	s.places.applyHeartbeat(time.Now(), b)
+func (s *slotsHandler) Beat(heartbeat Heartbeat, _ *Ack) error {
+	s.places.applyHeartbeat(time.Now(), heartbeat)
 	return nil
 }
 
 // Yield is called by the leader that granted the leases.
-func (s *slotsHandler) Yield(y PreemptionNotice, _ *Ack) error {
-	s.places.scheduler.leases.preempt(y.Numbers)
+func (s *slotsHandler) Yield(notice PreemptionNotice, _ *Ack) error {
+	s.places.scheduler.leases.preempt(notice.Numbers)
 	return nil
 }
 
--- a/daemon/places/places.go
+++ b/daemon/places/places.go
@@ -220,17 +220,17 @@
 	}
 	for name, targets := range byGroup {
 		list := make([]routing.Target, 0, len(targets))
-		slots := 0
+		slotsPerTarget := 0
 		for _, t := range targets {
 			list = append(list, routing.Target{Address: string(t.Start), Zone: t.Zone})
-			slots = t.Slots
+			slotsPerTarget = t.Slots
 		}
 		g := p.groups[name]
 		if g == nil {
-			g = &group{table: routing.NewTable(name, list, slots)}
+			g = &group{table: routing.NewTable(name, list, slotsPerTarget)}
 			p.groups[name] = g
 		} else {
-			g.table.SetTargets(list, slots)
+			g.table.SetTargets(list, slotsPerTarget)
 		}
 		g.targets = targets
 	}
--- a/daemon/places/places_test.go
+++ b/daemon/places/places_test.go
@@ -42,37 +42,37 @@
 }
 
 // Call implements peer.Caller.
-func (w *network) Call(ctx context.Context, address, method string, args, reply any) error {
-	w.mu.Lock()
-	w.calls[method]++
-	cut := w.cut[address]
-	w.mu.Unlock()
+func (n *network) Call(ctx context.Context, address, method string, args, reply any) error {
+	n.mu.Lock()
+	n.calls[method]++
+	cut := n.cut[address]
+	n.mu.Unlock()
 	if cut {
 		<-ctx.Done()
 		return peer.NoReply.Wrap(ctx.Err(), "%s", address)
 	}
-	return w.Invoke(address, method, args, reply)
+	return n.Invoke(address, method, args, reply)
 }
 
 // Notify implements peer.Caller.
-func (w *network) Notify(address, method string, args any) {
+func (n *network) Notify(address, method string, args any) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = w.Call(ctx, address, method, args, new(places.Ack)) // one way
+		_ = n.Call(ctx, address, method, args, new(places.Ack)) // one way
 	}()
 }
 
-func (w *network) setCut(address string, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cut[address] = cut
+func (n *network) setCut(address string, cut bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut[address] = cut
 }
 
-func (w *network) count(method string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.calls[method]
+func (n *network) count(method string) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.calls[method]
 }
 
 var _ = Describe("The view of the targets", func() {
@@ -95,24 +95,24 @@
 		t.Born, t.Start = at, roster.StartOf(t.ID, at)
 		return t
 	}
-	takePlace := func(p *places.Places) places.Slot {
+	acquire := func(p *places.Places) places.Slot {
 		t, refusal := p.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 		Expect(refusal).To(BeNil())
 		return t
 	}
-	take := func(p *places.Places) string { return takePlace(p).ID }
+	acquireID := func(p *places.Places) string { return acquire(p).ID }
 
 	It("spreads requests, the local zone first", func() {
 		p := view("d", "z1", target("a", "z1"), target("b", "z1"), target("far", "z2"))
 		got := map[string]int{}
 		for range 6 {
-			got[take(p)]++
+			got[acquireID(p)]++
 		}
 		Expect(got["a"]).To(BeNumerically("~", 2, 1))
 		Expect(got["b"]).To(BeNumerically("~", 2, 1))
 		Expect(got["far"]).To(BeNumerically("<=", 2))
 		first := view("d", "z1", target("a", "z1"), target("far", "z2"))
-		Expect(take(first)).To(Equal("a"))
+		Expect(acquireID(first)).To(Equal("a"))
 	})
 
 	It("refuses at once, as not run, without any target", func() {
@@ -129,10 +129,10 @@
 			Expect(t.ID).To(Equal("a"))
 		}
 		for range 4 {
-			Expect(take(p)).To(Equal("b"))
+			Expect(acquireID(p)).To(Equal("b"))
 		}
 		Expect(p.Preemptions()).To(BeEmpty())
-		Expect(take(p)).To(Equal("a"))
+		Expect(acquireID(p)).To(Equal("a"))
 		Expect(p.Preemptions()).To(Equal(map[roster.Start]int{roster.StartOf("a", 0): 1}))
 	})
 
@@ -160,23 +160,23 @@
 		p := view("d", "z1", first)
 		var work []places.Slot
 		for range 4 {
-			place, refusal := p.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
+			slot, refusal := p.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 			Expect(refusal).To(BeNil())
-			work = append(work, place)
+			work = append(work, slot)
 		}
 		p.Release(work[0], routing.HardFailed, 0)
 		Expect(p.FreeSlots("g", 0)).To(BeZero())
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, born(first, 100)) })
 		Expect(p.FreeSlots("g", 0)).To(Equal(4))
-		place, refusal := p.Acquire(context.Background(), places.Request{Group: "g", Exclude: map[string]bool{string(first.Start): true}})
+		slot, refusal := p.Acquire(context.Background(), places.Request{Group: "g", Exclude: map[string]bool{string(first.Start): true}})
 		Expect(refusal).To(BeNil())
-		Expect(place.Running).To(BeZero())
-		Expect(place.Born).To(BeEquivalentTo(100))
+		Expect(slot.Running).To(BeZero())
+		Expect(slot.Born).To(BeEquivalentTo(100))
 		for _, w := range work[1:] {
 			Expect(w.Alive.Err()).To(HaveOccurred())
 			p.Release(w, routing.HardFailed, 0)
 		}
-		Expect(place.Alive.Err()).NotTo(HaveOccurred())
+		Expect(slot.Alive.Err()).NotTo(HaveOccurred())
 		Expect(p.FreeSlots("g", 0)).To(Equal(3))
 	})
 
@@ -185,35 +185,35 @@
 	It("cancels the work at a target that drained and has restarted", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
-		place, ok := p.AcquireBatch(context.Background(), "g", nil, 0)
+		slot, ok := p.AcquireBatch(context.Background(), "g", nil, 0)
 		Expect(ok).To(BeTrue())
 		drains := first
 		drains.Draining = true
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, drains) })
-		Expect(place.Alive.Err()).NotTo(HaveOccurred())
+		Expect(slot.Alive.Err()).NotTo(HaveOccurred())
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, born(first, 100)) })
-		Expect(place.Alive.Err()).To(HaveOccurred())
+		Expect(slot.Alive.Err()).To(HaveOccurred())
 	})
 
 	// The crashed target's connections may look intact from this daemon.
 	It("reports the address of an earlier start as removed", func() {
 		first := target("a", "z1")
 		p := view("d", "z1", first)
-		var forgotten []string
-		p.OnRemoved(func(address string) { forgotten = append(forgotten, address) })
+		var removed []string
+		p.OnRemoved(func(address string) { removed = append(removed, address) })
 		p.Update(func(now time.Time, r *roster.Roster) { r.Set(now, born(first, 100)) })
-		Expect(forgotten).To(Equal([]string{first.Address}))
+		Expect(removed).To(Equal([]string{first.Address}))
 	})
 
 	It("counts what other daemons run", func() {
-		w := newNetwork()
+		n := newNetwork()
 		a, b := view("a", "z1", target("t", "z1")), view("b", "z1", target("t", "z1"))
-		Expect(a.Register(w.At("a"))).To(Succeed())
-		Expect(b.Register(w.At("b"))).To(Succeed())
+		Expect(a.Register(n.At("a"))).To(Succeed())
+		Expect(b.Register(n.At("b"))).To(Succeed())
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			a.BroadcastLoad(ctx, w, func() []places.Peer { return []places.Peer{{Address: "b", Zone: "z1"}} })
+			a.BroadcastLoad(ctx, n, func() []places.Peer { return []places.Peer{{Address: "b", Zone: "z1"}} })
 			close(done)
 		}()
 		DeferCleanup(func() {
@@ -221,7 +221,7 @@
 			<-done
 		})
 		for range 4 {
-			take(a)
+			acquireID(a)
 		}
 		Eventually(func() int { return b.FreeSlots("g", 0) }).WithTimeout(limit).Should(BeZero())
 		a.SetHeldWork([]uint64{7}, []int{3})
@@ -233,16 +233,16 @@
 	// that zone that have not used it yet would send their requests there; it serves
 	// those of the other zone.
 	It("reports failing targets to the local zone only", func() {
-		w := newNetwork()
+		n := newNetwork()
 		bad, good := target("bad", "z1"), target("good", "z1")
 		a, near, far := view("a", "z1", bad), view("near", "z1", bad, good), view("far", "z2", bad, good)
 		for name, p := range map[string]*places.Places{"a": a, "near": near, "far": far} {
-			Expect(p.Register(w.At(name))).To(Succeed())
+			Expect(p.Register(n.At(name))).To(Succeed())
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			a.BroadcastLoad(ctx, w, func() []places.Peer {
+			a.BroadcastLoad(ctx, n, func() []places.Peer {
 				return []places.Peer{{Address: "near", Zone: "z1"}, {Address: "far", Zone: "z2"}}
 			})
 			close(done)
@@ -254,16 +254,16 @@
 		chosen := func(p *places.Places) map[string]int {
 			got := map[string]int{}
 			for range 20 {
-				place := takePlace(p)
-				got[place.ID]++
-				p.Release(place, routing.Neutral, 0)
+				slot := acquire(p)
+				got[slot.ID]++
+				p.Release(slot, routing.Neutral, 0)
 			}
 			return got
 		}
 		Eventually(func() int {
-			place := takePlace(a)
-			Expect(place.ID).To(Equal("bad"))
-			a.Release(place, routing.SoftFailed, 0)
+			slot := acquire(a)
+			Expect(slot.ID).To(Equal("bad"))
+			a.Release(slot, routing.SoftFailed, 0)
 			return chosen(near)["bad"]
 		}).WithTimeout(limit).Should(BeZero())
 		// The last load report may count a request that has ended since; a degradation
--- a/daemon/places/scheduler.go
+++ b/daemon/places/scheduler.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// count counts the outcome of a call for a slot.
+// countOutcome counts the outcome of a call for a slot.
 func (s *scheduler) countOutcome(outcome string) {
 	s.set.GetOrCreateCounter(`tarragonhollow_slots_asked_total{outcome="` + outcome + `"}`).Inc()
 }
@@ -122,7 +122,7 @@
 }
 
 // grantLocally grants a slot from this daemon's ledger.
-func (s *scheduler) grantLocally(now time.Time, a slots.Request) (slots.Grant, error) {
+func (s *scheduler) grantLocally(now time.Time, request slots.Request) (slots.Grant, error) {
 	s.mu.Lock()
 	if !s.targetsKnown || s.stopping || s.cutOffFromLog {
 		s.mu.Unlock()
@@ -131,7 +131,7 @@
 	if !s.leads {
 		s.ledger.Expire(now) // not the leader, which does this at each heartbeat
 	}
-	grant := s.ledger.Grant(now, a, rand.Uint64())
+	grant := s.ledger.Grant(now, request, rand.Uint64())
 	s.mu.Unlock()
 	s.notifyPreempted(grant.Yield)
 	return grant, nil
@@ -148,46 +148,46 @@
 			s.leases.preempt(numbers)
 			continue
 		}
-		s.caller.Notify(holder, yieldMethod, PreemptionNotice{numbers})
+		s.caller.Notify(holder, preemptionMethod, PreemptionNotice{numbers})
 	}
 }
 
 // requestSlot requests a slot from the local zone's leader, from another zone's leader if
-// the first one refers to it, and from the local zone's leader again if there is none
+// the first one refers to it, and from the local zone's leader again if that one grants none
 // either. by is the leader that answered; answered is false if none did.
-func (s *scheduler) requestSlot(ctx context.Context, a slots.Request) (grant slots.Grant, by string, answered bool) {
+func (s *scheduler) requestSlot(ctx context.Context, request slots.Request) (grant slots.Grant, by string, answered bool) {
 	leader, found := s.currentLeader(time.Now())
 	if !found {
 		s.countOutcome("no_leader")
 		return slots.Grant{}, "", false
 	}
-	grant, answered = s.callLeader(ctx, leader, a)
+	grant, answered = s.callLeader(ctx, leader, request)
 	if !answered || grant.Verdict != slots.Elsewhere {
 		return grant, leader, answered
 	}
-	remoteRequest := a
+	remoteRequest := request
 	remoteRequest.Visiting = true
 	remote, ok := s.callLeader(ctx, grant.Leader, remoteRequest)
 	if ok && remote.Verdict == slots.Granted {
 		return remote, grant.Leader, true
 	}
-	if a.Batch {
+	if request.Batch {
 		return slots.Grant{}, leader, true
 	}
-	a.Stay = true
-	grant, answered = s.callLeader(ctx, leader, a)
+	request.Stay = true
+	grant, answered = s.callLeader(ctx, leader, request)
 	return grant, leader, answered
 }
 
 // callLeader requests a slot from one leader.
-func (s *scheduler) callLeader(ctx context.Context, leader string, a slots.Request) (slots.Grant, bool) {
+func (s *scheduler) callLeader(ctx context.Context, leader string, request slots.Request) (slots.Grant, bool) {
 	var grant slots.Grant
 	var err error
 	if leader == s.self {
-		grant, err = s.grantLocally(time.Now(), a)
+		grant, err = s.grantLocally(time.Now(), request)
 	} else {
 		callCtx, cancel := context.WithTimeout(ctx, s.slotTimeout)
-		err = s.caller.Call(callCtx, leader, grantMethod, a, &grant)
+		err = s.caller.Call(callCtx, leader, grantMethod, request, &grant)
 		late := errors.Is(callCtx.Err(), context.DeadlineExceeded)
 		cancel()
 		// A cancelled request says nothing about the leader.
@@ -197,9 +197,9 @@
 	}
 	if err != nil {
 		s.countOutcome("unanswered")
-		s.logger.Info("slot_not_answered", zap.String("leader", leader), zap.String("group", a.Group), zap.Error(err))
+		s.logger.Info("slot_not_answered", zap.String("leader", leader), zap.String("group", request.Group), zap.Error(err))
 		// The slot may have been granted all the same.
-		s.leases.abandon(a.ID.Number, leader)
+		s.leases.abandon(request.ID.Number, leader)
 		return slots.Grant{}, false
 	}
 	s.countOutcome(grant.Verdict.String())
--- a/daemon/places/scheduler_test.go
+++ b/daemon/places/scheduler_test.go
@@ -89,20 +89,20 @@
 	f.ended[i].Wait()
 }
 
-func (f *largeFleet) take(i int) places.Slot {
+func (f *largeFleet) acquire(i int) places.Slot {
 	GinkgoHelper()
-	place, refusal := f.views[i].Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
+	slot, refusal := f.views[i].Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 	Expect(refusal).To(BeNil())
-	return place
+	return slot
 }
 
 // awaitLeader waits until daemon i gets its slots from the leader.
 func (f *largeFleet) awaitLeader(i int, leader string) {
 	GinkgoHelper()
 	Eventually(func() string {
-		place := f.take(i)
-		f.views[i].Release(place, routing.Neutral, 0)
-		return place.GrantedBy
+		slot := f.acquire(i)
+		f.views[i].Release(slot, routing.Neutral, 0)
+		return slot.GrantedBy
 	}).WithTimeout(limit).Should(Equal(leader))
 }
 
@@ -114,23 +114,23 @@
 	got := map[string]int{}
 	Eventually(func() bool {
 		taken := make([]places.Slot, zoneTargets*targetSlots)
-		var asking sync.WaitGroup
+		var acquiring sync.WaitGroup
 		for n := range taken {
-			asking.Go(func() {
+			acquiring.Go(func() {
 				defer GinkgoRecover()
-				taken[n] = f.take(n * fleetZones % fleetSize)
+				taken[n] = f.acquire(n * fleetZones % fleetSize)
 			})
 		}
-		asking.Wait()
+		acquiring.Wait()
 		clear(got)
 		byLeader := true
-		for _, place := range taken {
-			got[place.ID]++
-			byLeader = byLeader && place.GrantedBy == "p4"
+		for _, slot := range taken {
+			got[slot.ID]++
+			byLeader = byLeader && slot.GrantedBy == "p4"
 		}
 		if !byLeader {
-			for n, place := range taken {
-				f.views[n*fleetZones%fleetSize].Release(place, routing.Neutral, 0)
+			for n, slot := range taken {
+				f.views[n*fleetZones%fleetSize].Release(slot, routing.Neutral, 0)
 			}
 			f.awaitReports()
 		}
@@ -142,8 +142,8 @@
 // awaitReports waits until the leaders have received the reports of all ended leases.
 func (f *largeFleet) awaitReports() {
 	GinkgoHelper()
-	beats := f.network.count("Slots.Beat")
-	Eventually(func() int { return f.network.count("Slots.Beat") }).WithTimeout(limit).Should(BeNumerically(">", beats+3*fleetSize))
+	heartbeats := f.network.count("Slots.Beat")
+	Eventually(func() int { return f.network.count("Slots.Beat") }).WithTimeout(limit).Should(BeNumerically(">", heartbeats+3*fleetSize))
 }
 
 var _ = Describe("The slots of a large fleet", func() {
@@ -163,9 +163,9 @@
 		Expect(got).To(Equal(map[string]int{"t0": targetSlots, "t4": targetSlots, "t8": targetSlots}))
 		// The next one gets a slot in another zone that has free ones.
 		Eventually(func() string {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
-			return place.Zone
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
+			return slot.Zone
 		}).WithTimeout(limit).ShouldNot(Equal("z0"))
 	})
 
@@ -179,9 +179,9 @@
 			})
 		}
 		Eventually(func() string {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
-			return place.GrantedBy
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
+			return slot.GrantedBy
 		}).WithTimeout(limit).Should(BeElementOf("p5", "p6", "p7"))
 	})
 
@@ -189,8 +189,8 @@
 		before := f.network.count("Slots.Grant") + f.network.count("Slots.Report")
 		const requests = 40
 		for range requests {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
 		}
 		Expect(f.network.count("Slots.Grant") + f.network.count("Slots.Report") - before).To(BeNumerically("<=", 2*requests+2*fleetSize))
 		Expect(f.network.count("Board.Hear")).To(BeZero())
@@ -200,43 +200,43 @@
 	// and later requests must still get their slots from it.
 	It("are still granted by a leader after callers disconnected during a call to it", func() {
 		for range 5 {
-			left, cancel := context.WithCancel(context.Background())
+			cancelled, cancel := context.WithCancel(context.Background())
 			cancel()
 			f.network.setCut("p4", true)
-			place, refusal := f.views[0].Acquire(left, places.Request{Group: "g", MaxWait: time.Second})
+			slot, refusal := f.views[0].Acquire(cancelled, places.Request{Group: "g", MaxWait: time.Second})
 			Expect(refusal).To(BeNil())
-			f.views[0].Release(place, routing.Neutral, 0)
+			f.views[0].Release(slot, routing.Neutral, 0)
 			f.network.setCut("p4", false)
 		}
-		Expect(f.take(0).GrantedBy).To(Equal("p4"))
+		Expect(f.acquire(0).GrantedBy).To(Equal("p4"))
 	})
 
 	// The leader's host is cut off or frozen: messages sent to it are lost.
 	It("are chosen from a daemon's own view while the leader answers nobody", func() {
 		f.network.setCut("p4", true)
 		began := time.Now()
-		place := f.take(0)
-		Expect(place.GrantedBy).To(BeEmpty())
-		Expect(place.Zone).To(Equal("z0"))
+		slot := f.acquire(0)
+		Expect(slot.GrantedBy).To(BeEmpty())
+		Expect(slot.Zone).To(Equal("z0"))
 		Expect(time.Since(began)).To(BeNumerically("<", limit))
 		f.network.setCut("p4", false)
 		f.awaitLeader(0, "p4")
 	})
 
 	It("are granted by another daemon, which counts what runs, once the leader has died", func() {
-		held := []places.Slot{f.take(0), f.take(8), f.take(12)}
+		held := []places.Slot{f.acquire(0), f.acquire(8), f.acquire(12)}
 		f.network.setCut("p4", true)
 		f.stop(1 * fleetZones)
 		Eventually(func() string {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
-			return place.GrantedBy
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
+			return slot.GrantedBy
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
 		// The new leader learns from the holders what runs: one slot at each target.
 		Eventually(func() int {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
-			return place.Running
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
+			return slot.Running
 		}).WithTimeout(limit).Should(Equal(1))
 		Expect(held).To(HaveLen(3))
 	})
@@ -244,9 +244,9 @@
 	It("are no longer granted by a leader once it steps down", func() {
 		f.views[4].StepDown()
 		Eventually(func() string {
-			place := f.take(0)
-			f.views[0].Release(place, routing.Neutral, 0)
-			return place.GrantedBy
+			slot := f.acquire(0)
+			f.views[0].Release(slot, routing.Neutral, 0)
+			return slot.GrantedBy
 		}).WithTimeout(limit).ShouldNot(Or(BeEmpty(), Equal("p4")))
 	})
 
@@ -254,34 +254,34 @@
 	It("are preempted from batch where online work needs them, at the holder of the item", func() {
 		var items []places.Slot
 		for {
-			place, ok := f.views[8].AcquireBatch(context.Background(), "g", nil, 0)
-			if !ok || place.Zone != "z0" {
+			slot, ok := f.views[8].AcquireBatch(context.Background(), "g", nil, 0)
+			if !ok || slot.Zone != "z0" {
 				break
 			}
-			items = append(items, place)
+			items = append(items, slot)
 		}
 		Expect(len(items)).To(Equal(zoneTargets * targetSlots))
-		f.take(0)
-		var told atomic.Int64
+		f.acquire(0)
+		var preempted atomic.Int64
 		Eventually(func() int64 {
 			for _, n := range f.views[8].Preemptions() {
-				told.Add(int64(n))
+				preempted.Add(int64(n))
 			}
-			return told.Load()
+			return preempted.Load()
 		}).WithTimeout(limit).Should(BeEquivalentTo(1))
 	})
 
 	// A target fails every request at once and always looks empty. Daemons that have not
 	// used it yet would send their requests there.
 	It("of a target that fails one daemon's request are not granted to the next daemon", func() {
-		bad := f.take(0)
+		bad := f.acquire(0)
 		f.views[0].Release(bad, routing.HardFailed, 0)
 		Eventually(func() bool {
 			seen := false
 			for range 2 * zoneTargets {
-				place := f.take(8)
-				seen = seen || place.ID == bad.ID
-				f.views[8].Release(place, routing.Neutral, 0)
+				slot := f.acquire(8)
+				seen = seen || slot.ID == bad.ID
+				f.views[8].Release(slot, routing.Neutral, 0)
 			}
 			return seen
 		}).WithTimeout(limit).Should(BeFalse())
--- a/daemon/places/spread.go
+++ b/daemon/places/spread.go
@@ -26,9 +26,9 @@
 	networkDelay = 10 * time.Millisecond
 )
 
-func (p *Places) applyLoadReport(w board.LoadReport) {
+func (p *Places) applyLoadReport(report board.LoadReport) {
 	p.mu.Lock()
-	p.board.ApplyReport(time.Now(), w)
+	p.board.ApplyReport(time.Now(), report)
 	p.mu.Unlock()
 	duty.Wake(p.changed)
 }
@@ -83,7 +83,7 @@
 
 func broadcast(caller peer.Caller, to []Peer, report board.LoadReport) {
 	for _, other := range to {
-		caller.Notify(other.Address, boardMethod, report)
+		caller.Notify(other.Address, loadReportMethod, report)
 	}
 }
 
--- a/daemon/places/starts.go
+++ b/daemon/places/starts.go
@@ -35,7 +35,7 @@
 	return active.alive
 }
 
-// done undoes one begin.
+// done counts the end of work that begin counted.
 func (s starts) done(t roster.Target) {
 	active := s[t.Start]
 	if active == nil {
--- a/daemon/places/take.go
+++ b/daemon/places/take.go
@@ -48,33 +48,33 @@
 
 // Acquire chooses a target for an online request and counts the request there; Release
 // must follow. A refusal means that nothing was sent to any target.
-func (p *Places) Acquire(ctx context.Context, a Request) (Slot, *outcome.Refusal) {
-	if p.Scheduled() && !a.Alone {
-		if place, refusal, decided := p.acquireGranted(ctx, a); decided {
-			return place, refusal
+func (p *Places) Acquire(ctx context.Context, r Request) (Slot, *outcome.Refusal) {
+	if p.Scheduled() && !r.Alone {
+		if slot, refusal, decided := p.acquireGranted(ctx, r); decided {
+			return slot, refusal
 		}
 	}
-	return p.acquireLocally(a)
+	return p.acquireLocally(r)
 }
 
 // acquireGranted requests a slot from the leaders. decided is false if none answers or
 // grants a usable one.
-func (p *Places) acquireGranted(ctx context.Context, a Request) (place Slot, refusal *outcome.Refusal, decided bool) {
-	ask := p.newAsk(a.Group, a.Exclude)
-	ask.LastChance, ask.Patience = a.LastChance, a.MaxWait
-	grant, by, answered := p.scheduler.requestSlot(ctx, ask)
+func (p *Places) acquireGranted(ctx context.Context, r Request) (slot Slot, refusal *outcome.Refusal, decided bool) {
+	request := p.newSlotRequest(r.Group, r.Exclude)
+	request.LastChance, request.Patience = r.LastChance, r.MaxWait
+	grant, by, answered := p.scheduler.requestSlot(ctx, request)
 	switch {
 	case !answered || grant.Verdict == slots.None:
 		return Slot{}, nil, false
 	case grant.Verdict == slots.Overloaded:
-		return Slot{}, routing.TooBusy(a.Group, grant.Wait, a.MaxWait), true
+		return Slot{}, routing.TooBusy(r.Group, grant.Wait, r.MaxWait), true
 	}
-	place, known := p.acceptGrant(ask, grant, by)
-	return place, nil, known
+	slot, known := p.acceptGrant(request, grant, by)
+	return slot, nil, known
 }
 
 // newAsk returns a request for a slot of the group.
-func (p *Places) newAsk(groupName string, tried map[string]bool) slots.Request {
+func (p *Places) newSlotRequest(groupName string, tried map[string]bool) slots.Request {
 	id := slots.ID{Holder: p.self, Number: p.scheduler.leases.next()}
 	return slots.Request{ID: id, Group: groupName, Exclude: p.excluded(groupName, tried)}
 }
@@ -101,26 +101,26 @@
 	return list
 }
 
-// accept counts a slot that a leader granted, unless this daemon knows that the target
+// acceptGrant counts a slot that a leader granted, unless this daemon knows that the target
 // must get no work: the leader may receive the target's removal later.
-func (p *Places) acceptGrant(ask slots.Request, grant slots.Grant, by string) (Slot, bool) {
+func (p *Places) acceptGrant(request slots.Request, grant slots.Grant, by string) (Slot, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t, known := p.eligible[roster.Start(grant.Target)]
 	if !known {
-		t, known = p.grantedTarget(ask.Group, grant)
+		t, known = p.grantedTarget(request.Group, grant)
 	}
 	if !known {
-		p.scheduler.leases.abandon(ask.ID.Number, by)
+		p.scheduler.leases.abandon(request.ID.Number, by)
 		return Slot{}, false
 	}
-	place := p.begin(t, ask.ID.Number, by, ask.Batch)
-	place.Running, place.GrantedBy = grant.Running, by
-	return place, true
+	slot := p.begin(t, request.ID.Number, by, request.Batch)
+	slot.Running, slot.GrantedBy = grant.Running, by
+	return slot, true
 }
 
 // grantedTarget returns a target outside the local sample as the leader described it.
-// What this daemon knows of the target takes precedence. p.mu is held.
+// What this daemon itself knows of the target takes precedence. p.mu is held.
 func (p *Places) grantedTarget(group string, grant slots.Grant) (roster.Target, bool) {
 	at := grant.At
 	entry, known := p.roster.Entry(at.ID)
@@ -152,24 +152,24 @@
 }
 
 // acquireLocally chooses a target from this daemon's view.
-func (p *Places) acquireLocally(a Request) (Slot, *outcome.Refusal) {
+func (p *Places) acquireLocally(r Request) (Slot, *outcome.Refusal) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g := p.groups[a.Group]
+	g := p.groups[r.Group]
 	if g == nil || len(g.targets) == 0 {
-		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s is known", a.Group).After(noTargetRetryMs)
+		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s is known", r.Group).After(noTargetRetryMs)
 	}
 	p.applyFleetCounts(now, g)
-	if refusal := g.table.Admit(now, now.Add(a.MaxWait)); refusal != nil {
+	if refusal := g.table.Admit(now, now.Add(r.MaxWait)); refusal != nil {
 		return Slot{}, refusal
 	}
-	request := routing.Request{Zone: p.zone, Exclude: a.Exclude, LastChance: a.LastChance, SeedValue: rand.Uint64()}
+	request := routing.Request{Zone: p.zone, Exclude: r.Exclude, LastChance: r.LastChance, SeedValue: rand.Uint64()}
 	request.RemoteStale = p.Scheduled()
 	request.LoadReportAge = time.Duration(p.loadReportAge.Load())
-	request.Alone = a.Alone
+	request.Alone = r.Alone
 	choice, ok := routing.Choice{}, false
-	if !a.Alone {
+	if !r.Alone {
 		choice, ok = g.table.PickLeastLoaded(now, request)
 	}
 	if !ok {
@@ -177,12 +177,12 @@
 	}
 	t, known := p.eligible[roster.Start(choice.Address)]
 	if !ok || !known {
-		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s takes requests", a.Group).After(noTargetRetryMs)
+		return Slot{}, outcome.Refuse(outcome.NoTarget, "no target of %s takes requests", r.Group).After(noTargetRetryMs)
 	}
 	running := p.board.Total(now, string(t.Start))
-	place := p.begin(t, p.scheduler.leases.next(), "", false)
-	place.Running, place.LoadReportAge = running.Online+running.Batch, request.LoadReportAge
-	return place, nil
+	slot := p.begin(t, p.scheduler.leases.next(), "", false)
+	slot.Running, slot.LoadReportAge = running.Online+running.Batch, request.LoadReportAge
+	return slot, nil
 }
 
 // applyFleetCounts applies the fleet's counts to the group's table.
@@ -198,9 +198,9 @@
 
 // Release ends what Acquire counted. took is the whole time of an answered request, 0 for
 // others.
-func (p *Places) Release(place Slot, result routing.Outcome, took time.Duration) {
+func (p *Places) Release(slot Slot, result routing.Outcome, took time.Duration) {
 	now := time.Now()
-	t := place.Target
+	t := slot.Target
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.board.Add(string(t.Start), -1, 0)
@@ -210,20 +210,20 @@
 	if g != nil && took > 0 {
 		g.table.ObserveServiceTime(took)
 	}
-	p.scheduler.leases.end(place.lease, p.reportedOutcome(now, g, result), took)
+	p.scheduler.leases.end(slot.lease, p.reportedOutcome(now, g, result), took)
 	p.notifyChange()
 }
 
 // MarkDegraded marks the target as degraded, here and in the zone, before the request
 // there ends.
-func (p *Places) MarkDegraded(place Slot) {
+func (p *Places) MarkDegraded(slot Slot) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if g := p.groups[place.Group]; g != nil {
-		g.table.MarkDegraded(now, string(place.Start))
+	if g := p.groups[slot.Group]; g != nil {
+		g.table.MarkDegraded(now, string(slot.Start))
 	}
-	p.scheduler.leases.reportDegraded(place.lease)
+	p.scheduler.leases.reportDegraded(slot.lease)
 	p.notifyChange()
 }
 
@@ -256,13 +256,13 @@
 	if !p.Scheduled() {
 		return p.acquireBatchLocally(groupName, exclude, headroom)
 	}
-	ask := p.newAsk(groupName, exclude)
-	ask.Batch, ask.Headroom = true, headroom
-	grant, by, answered := p.scheduler.requestSlot(ctx, ask)
+	request := p.newSlotRequest(groupName, exclude)
+	request.Batch, request.Headroom = true, headroom
+	grant, by, answered := p.scheduler.requestSlot(ctx, request)
 	if !answered || grant.Verdict != slots.Granted {
 		return Slot{}, false
 	}
-	return p.acceptGrant(ask, grant, by)
+	return p.acceptGrant(request, grant, by)
 }
 
 // acquireBatchLocally chooses a target from this daemon's view.
@@ -305,9 +305,9 @@
 }
 
 // ReleaseBatch ends what AcquireBatch counted.
-func (p *Places) ReleaseBatch(place Slot, result routing.Outcome) {
+func (p *Places) ReleaseBatch(slot Slot, result routing.Outcome) {
 	now := time.Now()
-	t := place.Target
+	t := slot.Target
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.board.Add(string(t.Start), 0, -1)
@@ -316,7 +316,7 @@
 	if g != nil {
 		g.table.RecordOutcome(now, string(t.Start), result)
 	}
-	p.scheduler.leases.end(place.lease, p.reportedOutcome(now, g, result), 0)
+	p.scheduler.leases.end(slot.lease, p.reportedOutcome(now, g, result), 0)
 	p.notifyChange()
 }
 
