--- a/daemon/feed/feed.go
+++ b/daemon/feed/feed.go
@@ -59,9 +59,9 @@
 	LocalZone() places.Zone
 	SetRoles(places.Roles)
 	SetCutOffFromLog(cutOff bool)
-	Sample(holder string, whole bool, about []string) (places.Sample, bool)
+	Sample(holder string, wholeZone bool, ids []string) (places.Sample, bool)
 	TargetsChanged() <-chan struct{}
-	Adopt(at time.Time, targets []roster.Target, whole bool)
+	Adopt(at time.Time, targets []roster.Target, wholeZone bool)
 	Confirm(at time.Time, started map[string]roster.Start)
 	BusyTargets() []string
 	TargetsAge(now time.Time) (age time.Duration, complete bool)
@@ -223,8 +223,8 @@
 		f.Logger.Info("readers_chosen_here", zap.Int("members", len(zone.Members)))
 	}
 	f.chosenAt = now
-	own := f.logAge(now)
-	list := f.readers.Select(now, own, zone.Members)
+	ownAge := f.logAge(now)
+	list := f.readers.Select(now, ownAge, zone.Members)
 	f.Targets.SetRoles(places.Roles{Readers: list, Standby: f.standby.Select(now, zone.Members), Daemons: f.FleetSize()})
 	f.source.SetReaders(list)
 	zone.Leader, zone.Readers, zone.ReceivedAt = f.Self, list, now
@@ -282,8 +282,8 @@
 
 // situation returns the input of the fallback's decision. f.mu is held.
 func (f *Feed) situation(now time.Time, zone places.Zone) feed.Situation {
-	turn := max(0, slices.Index(zone.Members, f.Self))
-	return feed.Situation{Position: turn, Members: len(zone.Members), Targets: f.targetCount,
+	position := max(0, slices.Index(zone.Members, f.Self))
+	return feed.Situation{Position: position, Members: len(zone.Members), Targets: f.targetCount,
 		ConfigurationAge: f.configurationReading.age(now), TargetsAge: f.targetReading.age(now)}
 }
 
--- a/daemon/feed/serve.go
+++ b/daemon/feed/serve.go
@@ -98,14 +98,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	for {
-		routed, listed := s.feed.Configuration.Changed(), s.feed.Targets.TargetsChanged()
+		configurationChanged, targetsChanged := s.feed.Configuration.Changed(), s.feed.Targets.TargetsChanged()
 		*reply = s.feed.view(args)
 		if !reply.Serves || reply.hasUpdates(args) || ctx.Err() != nil {
 			break
 		}
 		select {
-		case <-routed:
-		case <-listed:
+		case <-configurationChanged:
+		case <-targetsChanged:
 		case <-ctx.Done():
 		}
 	}
--- a/daemon/feed/subscribe.go
+++ b/daemon/feed/subscribe.go
@@ -93,7 +93,7 @@
 // applyReply applies a reader's reply to a request that was sent at sentAt. The reply's
 // content was valid when the reply was made, and so no earlier than after the time for
 // which the request was held open.
-func (f *Feed) applyReply(address string, sentAt time.Time, whole bool, reply *ViewReply) bool {
+func (f *Feed) applyReply(address string, sentAt time.Time, wholeZone bool, reply *ViewReply) bool {
 	if !reply.Serves {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -117,14 +117,14 @@
 	defer f.mu.Unlock()
 	if reply.Sampled {
 		f.fallback.ReaderAnswered(time.Now())
-		f.applyTargets(repliedAt, whole, reply)
+		f.applyTargets(repliedAt, wholeZone, reply)
 	}
 	return true
 }
 
 // applyTargets applies the targets of a reply, unless this daemon reads them from the log
 // by now. f.mu is held.
-func (f *Feed) applyTargets(repliedAt time.Time, whole bool, reply *ViewReply) {
+func (f *Feed) applyTargets(repliedAt time.Time, wholeZone bool, reply *ViewReply) {
 	if f.targetReading.Running() {
 		return
 	}
@@ -132,7 +132,7 @@
 	at := repliedAt.Add(-time.Duration(reply.TargetsAgeMs) * time.Millisecond)
 	if reply.Digest != f.adoptedDigest {
 		f.adoptedDigest = reply.Digest
-		f.Targets.Adopt(at, reply.Targets, whole)
+		f.Targets.Adopt(at, reply.Targets, wholeZone)
 	}
 	f.Targets.Confirm(at, reply.Started)
 }
--- a/daemon/front/borrow.go
+++ b/daemon/front/borrow.go
@@ -17,8 +17,8 @@
 	// second.
 	staleAfter = 1300 * time.Millisecond
 	// peerPollEvery is the interval at which they are polled, peersPerPoll how many are
-	// polled at once: in a fleet of which a third is cut off, a round reaches a daemon
-	// that is not in nine of ten cases.
+	// polled at once: in a fleet of which a third is cut off, nine rounds of ten
+	// reach a daemon that is not.
 	peerPollEvery = 250 * time.Millisecond
 	peersPerPoll  = 2
 	// statusTimeout bounds one call for the version.
@@ -58,13 +58,13 @@
 // answer, until ctx is done.
 func (c *Configuration) fetchFromPeers(ctx context.Context) {
 	outage := outageLog{configuration: c}
-	b := newPeerFetcher(c)
+	fetcher := newPeerFetcher(c)
 	duty.Every(ctx, peerPollEvery, func() {
 		now := time.Now()
 		age := c.Age(now)
 		outage.observe(now, age)
 		if age >= staleAfter {
-			b.pollPeers(ctx)
+			fetcher.pollPeers(ctx)
 		}
 	})
 }
@@ -74,19 +74,19 @@
 }
 
 // pollPeers polls a few daemons without waiting for them.
-func (b *peerFetcher) pollPeers(ctx context.Context) {
-	others := b.configuration.ListPeers()
+func (f *peerFetcher) pollPeers(ctx context.Context) {
+	others := f.configuration.ListPeers()
 	for range min(peersPerPoll, len(others)) {
-		go b.pollPeer(ctx, others[rand.IntN(len(others))].Address)
+		go f.pollPeer(ctx, others[rand.IntN(len(others))].Address)
 	}
 }
 
 // pollPeer requests the version that one daemon holds, and fetches a newer configuration.
-func (b *peerFetcher) pollPeer(ctx context.Context, address string) {
-	c := b.configuration
+func (f *peerFetcher) pollPeer(ctx context.Context, address string) {
+	c := f.configuration
 	sentAt := time.Now()
 	var reply StatusReply
-	if err := b.call(ctx, statusTimeout, address, statusMethod, StatusArgs{}, &reply); err != nil {
+	if err := f.call(ctx, statusTimeout, address, statusMethod, StatusArgs{}, &reply); err != nil {
 		return
 	}
 	held := c.Version()
@@ -95,21 +95,21 @@
 	case reply.Version == held:
 		c.Confirm(sentAt.Add(-time.Duration(reply.AgeMs) * time.Millisecond))
 	default:
-		b.fetch(ctx, address)
+		f.fetch(ctx, address)
 	}
 }
 
 // fetch fetches and applies one daemon's configuration, unless a fetch is under way.
-func (b *peerFetcher) fetch(ctx context.Context, address string) {
-	limit, free := b.beginFetch()
+func (f *peerFetcher) fetch(ctx context.Context, address string) {
+	limit, free := f.beginFetch()
 	if !free {
 		return
 	}
-	c := b.configuration
+	c := f.configuration
 	sentAt := time.Now()
 	var reply FetchReply
-	err := b.call(ctx, limit, address, fetchMethod, FetchArgs{Version: c.Version()}, &reply)
-	b.endFetch(err != nil && time.Since(sentAt) >= limit)
+	err := f.call(ctx, limit, address, fetchMethod, FetchArgs{Version: c.Version()}, &reply)
+	f.endFetch(err != nil && time.Since(sentAt) >= limit)
 	if err != nil || !reply.Known {
 		return
 	}
@@ -125,31 +125,31 @@
 
 // beginFetch reports whether no fetch is under way, and returns the time limit of the one
 // that begins.
-func (b *peerFetcher) beginFetch() (limit time.Duration, free bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.fetching {
+func (f *peerFetcher) beginFetch() (limit time.Duration, free bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.fetching {
 		return 0, false
 	}
-	b.fetching = true
-	return b.fetchTimeout, true
+	f.fetching = true
+	return f.fetchTimeout, true
 }
 
 // endFetch records that the fetch has ended, by its time limit or otherwise.
-func (b *peerFetcher) endFetch(timedOut bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.fetching = false
+func (f *peerFetcher) endFetch(timedOut bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.fetching = false
 	if !timedOut {
-		b.fetchTimeout = minFetchTimeout
+		f.fetchTimeout = minFetchTimeout
 		return
 	}
-	b.fetchTimeout = min(2*b.fetchTimeout, maxFetchTimeout)
+	f.fetchTimeout = min(2*f.fetchTimeout, maxFetchTimeout)
 }
 
 // call makes one counted call to another daemon.
-func (b *peerFetcher) call(ctx context.Context, limit time.Duration, address, method string, args, reply any) error {
-	c := b.configuration
+func (f *peerFetcher) call(ctx context.Context, limit time.Duration, address, method string, args, reply any) error {
+	c := f.configuration
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	c.peerCalls.Inc()
--- a/daemon/front/configuration.go
+++ b/daemon/front/configuration.go
@@ -182,20 +182,20 @@
 }
 
 // Await returns the active routes. A daemon that has just started waits for them; Await
-// returns nil if startupWait has passed since the start, or ctx is done.
+// returns nil if there are none startupWait after the start, or when ctx is done.
 func (c *Configuration) Await(ctx context.Context) *route.Table {
-	left := startupWait - time.Since(c.started)
-	if t := c.Routes(); t != nil || left <= 0 {
+	timeLeft := startupWait - time.Since(c.started)
+	if t := c.Routes(); t != nil || timeLeft <= 0 {
 		return t
 	}
-	ctx, cancel := context.WithTimeout(ctx, left)
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
-	routed := c.changed.Next()
+	changed := c.changed.Next()
 	if t := c.Routes(); t != nil {
 		return t
 	}
 	select {
-	case <-routed:
+	case <-changed:
 	case <-ctx.Done():
 	}
 	return c.Routes()
--- a/daemon/front/configuration_test.go
+++ b/daemon/front/configuration_test.go
@@ -65,7 +65,7 @@
 		others = &fakePeers{others: map[string]*Configuration{"other": other}}
 		cut.Peers, cut.ListPeers = others, others.list
 	})
-	borrow := func() { go cut.fetchFromPeers(GinkgoT().Context()) }
+	fetchInBackground := func() { go cut.fetchFromPeers(GinkgoT().Context()) }
 
 	// The platform rejects a host while the operator revokes a key. Callers still reach
 	// that host with the key. Without a configuration from another daemon it would serve
@@ -75,7 +75,7 @@
 		cut.Confirm(time.Now().Add(-time.Minute))
 		other.applyVersion(8)
 		other.Confirm(time.Now())
-		borrow()
+		fetchInBackground()
 		Eventually(func() int64 { return cut.Routes().Version }).WithTimeout(limit).Should(BeEquivalentTo(8))
 		Eventually(func() time.Duration { return cut.Age(time.Now()) }).WithTimeout(limit).Should(BeNumerically("<", time.Minute))
 	})
@@ -83,7 +83,7 @@
 	It("fetches its first configuration from another daemon", func() {
 		other.applyVersion(8)
 		other.Confirm(time.Now())
-		borrow()
+		fetchInBackground()
 		Eventually(cut.Routes).WithTimeout(limit).ShouldNot(BeNil())
 	})
 
@@ -130,7 +130,7 @@
 			}
 			return list
 		}
-		borrow()
+		fetchInBackground()
 		Eventually(func() int64 { return cut.Routes().Version }).WithTimeout(limit).Should(BeEquivalentTo(8))
 	})
 
@@ -139,28 +139,28 @@
 		cut.applyVersion(7)
 		other.applyVersion(8)
 		other.Confirm(time.Now())
-		b := newPeerFetcher(cut)
-		limit, free := b.beginFetch()
+		fetcher := newPeerFetcher(cut)
+		limit, free := fetcher.beginFetch()
 		Expect(free).To(BeTrue())
-		b.pollPeer(context.Background(), "other")
+		fetcher.pollPeer(context.Background(), "other")
 		Expect(cut.Version()).To(BeEquivalentTo(7))
-		b.endFetch(true)
-		longer, free := b.beginFetch()
+		fetcher.endFetch(true)
+		longer, free := fetcher.beginFetch()
 		Expect(free).To(BeTrue())
 		Expect(longer).To(Equal(2 * limit))
-		b.endFetch(true)
-		longer, _ = b.beginFetch()
+		fetcher.endFetch(true)
+		longer, _ = fetcher.beginFetch()
 		Expect(longer).To(Equal(4 * limit))
-		b.endFetch(false)
-		b.pollPeer(context.Background(), "other")
+		fetcher.endFetch(false)
+		fetcher.pollPeer(context.Background(), "other")
 		Expect(cut.Version()).To(BeEquivalentTo(8))
-		Expect(b.fetchTimeout).To(Equal(minFetchTimeout))
+		Expect(fetcher.fetchTimeout).To(Equal(minFetchTimeout))
 	})
 
 	It("polls nobody while its source answers", func() {
 		cut.applyVersion(7)
 		cut.Confirm(time.Now().Add(time.Hour))
-		borrow()
+		fetchInBackground()
 		Consistently(others.called, 2*peerPollEvery).Should(BeZero())
 	})
 })
--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -165,8 +165,8 @@
 // its first targets; Await returns nil if there are no routes by then, or ctx is done.
 func (n *Node) Await(ctx context.Context) *route.Table {
 	table := n.Configuration.Await(ctx)
-	if left := startupWait - time.Since(n.started); table != nil && left > 0 && !n.Places.TargetsKnown() {
-		ctx, cancel := context.WithTimeout(ctx, left)
+	if timeLeft := startupWait - time.Since(n.started); table != nil && timeLeft > 0 && !n.Places.TargetsKnown() {
+		ctx, cancel := context.WithTimeout(ctx, timeLeft)
 		defer cancel()
 		n.Places.AwaitTargets(ctx)
 	}
--- a/daemon/front/front_test.go
+++ b/daemon/front/front_test.go
@@ -106,14 +106,14 @@
 		c.started = time.Now().Add(-startupWait)
 		Expect(c.Await(context.Background())).To(BeNil())
 		c.started = time.Now()
-		left, cancel := context.WithCancel(context.Background())
+		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
-		Expect(c.Await(left)).To(BeNil())
+		Expect(c.Await(cancelled)).To(BeNil())
 	})
 
 	// The log was down and the targets' entries have expired when a daemon starts. It
 	// must not accept callers that other daemons could serve.
-	It("considers its targets reachable only once it knows some, or has waited for them", func() {
+	It("reaches its targets only once it knows some, or has waited for them", func() {
 		Expect(n.hasTargets(table(1), start)).To(BeFalse())
 		Expect(n.hasTargets(table(1), start.Add(startupTargetWait))).To(BeTrue())
 	})
--- a/daemon/front/hosts.go
+++ b/daemon/front/hosts.go
@@ -45,7 +45,8 @@
 	hostsPace = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 100 * time.Millisecond}
 	// largeZonePace is the pace of a large zone: every daemon there reads each change of
 	// its list, and a daemon that is missing from it for some seconds has no
-	// disadvantage. While the log is down, not all of them may call it all the time.
+	// disadvantage. MaxBackoff keeps the daemons of such a zone from calling a log that is
+	// down all the time.
 	largeZonePace = partlog.ReadOptions{Wait: 8 * time.Second, Linger: 2 * time.Second, MaxBackoff: 8 * time.Second}
 )
 
@@ -389,7 +390,7 @@
 	}
 }
 
-// Take implements partlog.Reader.
+// Apply implements partlog.Reader.
 func (l *hostList) Apply(page partlog.Page) {
 	l.hosts.mu.Lock()
 	defer l.hosts.mu.Unlock()
@@ -397,7 +398,7 @@
 	l.position = page.Next
 }
 
-// Heard implements partlog.Reader; package jobs logs outages of the log.
+// CallEnded implements partlog.Reader; package jobs logs outages of the log.
 func (l *hostList) CallEnded(time.Time, error) {}
 
 // apply applies records to the list. hosts.mu is held.
--- a/daemon/front/zone_test.go
+++ b/daemon/front/zone_test.go
@@ -250,15 +250,15 @@
 
 func (f *zoneFleet) newMember(i int) *member {
 	m := &member{name: fmt.Sprintf("%d:%d", i/largeZones+1, i%largeZones+1), log: &countingLog{Log: f.log}}
-	own := places.Peer{Address: m.name, Zone: fmt.Sprint("z", i%largeZones+1), Cores: 0.2}
+	self := places.Peer{Address: m.name, Zone: fmt.Sprint("z", i%largeZones+1), Cores: 0.2}
 	set := metrics.NewSet()
 	caller := endpoint{f.network, m.name}
-	o := hostsOf(m.log, m.name, m.name, own.Zone)
-	o.Local = own
+	o := hostsOf(m.log, m.name, m.name, self.Zone)
+	o.Local = self
 	m.hosts = newHosts(o)
 	m.configuration = newTestConfiguration()
 	m.configuration.Peers, m.configuration.ListPeers = caller, m.hosts.peers
-	m.places = places.New(places.Options{Host: m.name, Zone: own.Zone, PeerAddress: m.name, Cores: own.Cores, FleetSize: m.hosts.fleetSize,
+	m.places = places.New(places.Options{Host: m.name, Zone: self.Zone, PeerAddress: m.name, Cores: self.Cores, FleetSize: m.hosts.fleetSize,
 		LargeZone: m.hosts.isLarge, Peers: caller, SlotTimeout: zoneLimit, Logger: zap.NewNop()})
 	m.feed = feed.New(feed.Options{Host: m.name, Self: m.name, Large: m.hosts.large, FleetSize: m.hosts.knownFleetSize, Configuration: m.configuration,
 		Targets: m.places, Peers: caller, Logger: zap.NewNop(), Metrics: set})
@@ -335,12 +335,12 @@
 // acquireAndRelease acquires a slot at a member, releases it, and returns the target's
 // ID.
 func (m *member) acquireAndRelease() string {
-	place, refusal := m.places.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
+	slot, refusal := m.places.Acquire(context.Background(), places.Request{Group: "g", MaxWait: time.Second})
 	if refusal != nil {
 		return ""
 	}
-	m.places.Release(place, routing.Neutral, 0)
-	return place.ID
+	m.places.Release(slot, routing.Neutral, 0)
+	return slot.ID
 }
 
 var _ = Describe("A fleet of large zones", func() {
@@ -398,14 +398,14 @@
 	// on granting slots at removed targets, and pass no change on.
 	It("goes on when the log rejects the leader of a zone", func() {
 		Eventually(func() *member { return f.leader("z1") }).WithTimeout(zoneLimit).ShouldNot(BeNil())
-		turned := f.leader("z1")
-		turned.log.rejecting.Store(true)
+		rejected := f.leader("z1")
+		rejected.log.rejecting.Store(true)
 		f.put(configurations, "config", "2")
 		for i := range fleetTargets / 2 {
 			f.put(entries, fmt.Sprint("t", i), drains+fmt.Sprint("z", i%largeZones+1))
 		}
 		f.awaitSupplied(2)
-		Eventually(func() bool { return f.leader("z1") != turned }).WithTimeout(zoneLimit).Should(BeTrue())
+		Eventually(func() bool { return f.leader("z1") != rejected }).WithTimeout(zoneLimit).Should(BeTrue())
 		drained := func(id string) bool {
 			n, err := strconv.Atoi(strings.TrimPrefix(id, "t"))
 			return err != nil || n < fleetTargets/2
