--- a/daemon/jobs/bodies.go
+++ b/daemon/jobs/bodies.go
@@ -193,13 +193,13 @@
 	r.position = end
 }
 
-// Take implements partlog.Reader.
+// Apply implements partlog.Reader.
 func (r *bodyReader) Apply(page partlog.Page) {
 	r.cacheChunks(page.Records)
 	r.position = page.Next
 }
 
-// Heard implements partlog.Reader. The cursor of the partition's results reports outages.
+// CallEnded implements partlog.Reader. The cursor of the partition's results reports outages.
 func (r *bodyReader) CallEnded(time.Time, error) {}
 
 // cacheChunks caches the chunks of items that have not ended.
--- a/daemon/jobs/calls.go
+++ b/daemon/jobs/calls.go
@@ -133,9 +133,9 @@
 	return refusal.WithRun(outcome.MayHaveRun)
 }
 
-// checkSubmissionFresh is checkSubmission on results that are up to date before it
-// refuses: without them, items whose results were not read here would count as waiting
-// and exceed the quota.
+// checkSubmissionFresh is checkSubmission, but before it refuses a job for the quota it makes
+// sure that all results were read recently: items whose results were not read here would
+// count as waiting.
 func (j *Jobs) checkSubmissionFresh(ctx context.Context, record *batch.JobRecord, r *route.Route) (bool, *outcome.Refusal) {
 	known, refusal := j.checkSubmission(record, r)
 	if refusal == nil || refusal.Code != outcome.CallerLimit {
--- a/daemon/jobs/detour.go
+++ b/daemon/jobs/detour.go
@@ -168,12 +168,12 @@
 
 // submitToPeer submits the job through another daemon.
 func (p *pendingSubmit) submitToPeer(to places.Peer) (refusal *outcome.Refusal, reached bool) {
-	left := defaultSubmitTimeout
+	timeLeft := defaultSubmitTimeout
 	if deadline, ok := p.ctx.Deadline(); ok {
-		left = time.Until(deadline)
+		timeLeft = time.Until(deadline)
 	}
 	var reply SubmitReply
-	err := p.jobs.Peers.Call(p.ctx, to.Address, submitMethod, SubmitArgs{*p.job, left.Milliseconds()}, &reply)
+	err := p.jobs.Peers.Call(p.ctx, to.Address, submitMethod, SubmitArgs{*p.job, timeLeft.Milliseconds()}, &reply)
 	if err == nil {
 		return reply.Refusal, true
 	}
--- a/daemon/jobs/follow.go
+++ b/daemon/jobs/follow.go
@@ -134,13 +134,13 @@
 // meanwhile. Their tokens would count as waiting for ever, and jobs that fit the quota
 // would be refused.
 func (j *Jobs) retainAccepted(records []partlog.StoredRecord) {
-	kept := map[string]bool{}
+	present := map[string]bool{}
 	for _, k := range records {
 		if id, ok := batch.ParseAcceptedKey(k.Key); ok {
-			kept[id] = true
+			present[id] = true
 		}
 	}
-	for _, change := range j.store.Retain(kept) {
+	for _, change := range j.store.Retain(present) {
 		j.runner.onChange(change)
 	}
 }
--- a/daemon/jobs/jobs.go
+++ b/daemon/jobs/jobs.go
@@ -68,7 +68,7 @@
 	Topics  Topics
 	// Parts is the number of partitions of each topic.
 	Parts int
-	// Routes returns the routes in force, nil before the first.
+	// Routes returns the active routes, nil before the first configuration.
 	Routes func() *route.Table
 	Places *places.Places
 	Pool   *h1.Pool
@@ -209,7 +209,7 @@
 	c.jobs.changes.Notify()
 }
 
-// Take implements partlog.Reader.
+// Apply implements partlog.Reader.
 func (c *cursor) Apply(page partlog.Page) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
@@ -250,7 +250,7 @@
 	}
 }
 
-// Heard implements partlog.Reader.
+// CallEnded implements partlog.Reader.
 func (c *cursor) CallEnded(_ time.Time, err error) {
 	c.jobs.mu.Lock()
 	defer c.jobs.mu.Unlock()
@@ -322,11 +322,11 @@
 func (j *Jobs) applyAppended(c *cursor, offset int64, records []partlog.Record) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	kept := make([]partlog.StoredRecord, len(records))
+	stored := make([]partlog.StoredRecord, len(records))
 	for i, r := range records {
-		kept[i] = partlog.StoredRecord{Record: r, Offset: offset + int64(i)}
+		stored[i] = partlog.StoredRecord{Record: r, Offset: offset + int64(i)}
 	}
-	c.applyRecords(kept)
+	c.applyRecords(stored)
 }
 
 // Loaded reports whether the acceptances were read, if this daemon needs them.
--- a/daemon/jobs/jobs_test.go
+++ b/daemon/jobs/jobs_test.go
@@ -302,43 +302,43 @@
 	// A host loses power with an item half done. Started over on another host, the item
 	// would end late; the text received before must be neither lost nor duplicated.
 	It("goes on with an item from what its lost holder had of it", func() {
-		const before, whole = 20, 24
-		asked := make(chan string, 10)
+		const before, total = 20, 24
+		afterHeaders := make(chan string, 10)
 		script = func(r *rawtarget.Request, c net.Conn) {
-			asked <- r.Header.Get("After")
+			afterHeaders <- r.Header.Get("After")
 			id := r.Header.Get("Id")
 			first, most := 0, before
 			if after, err := strconv.Atoi(r.Header.Get("After")); err == nil {
-				first, most = after+1, whole
+				first, most = after+1, total
 			}
 			rawtarget.Write(c, head(id))
 			for i := first; i < most; i++ {
 				rawtarget.Write(c, rawtarget.Chunk(rawtarget.Event(i, fmt.Sprintf("%s.%d", id, i))))
 			}
-			if most == whole {
+			if most == total {
 				rawtarget.Write(c, rawtarget.LastChunk)
 			}
 		}
 		a, stop := daemon("a", allPartitions{log})
 		Expect(submit(a, submission("j", 1))).To(BeNil())
-		kept := func() int {
+		savedRecords := func() int {
 			page, err := log.Newest(ctx(), partlog.Partition{Topic: topics.Progress, Part: jobs.Part("j", 4)}, "")
 			Expect(err).NotTo(HaveOccurred())
 			return len(page.Records)
 		}
-		Eventually(kept).WithTimeout(limit).Should(Equal(1))
+		Eventually(savedRecords).WithTimeout(limit).Should(Equal(1))
 		stop()
 		b, _ := daemon("b", allPartitions{log})
 		result := all(b, "j")[0]
 		Expect(result.State).To(Equal(batch.Succeeded))
 		var events []string
-		for i := range whole {
+		for i := range total {
 			events = append(events, fmt.Sprintf("j-0.%d", i))
 		}
 		Expect(result.Output).To(Equal(strings.Join(events, "\n")))
-		Expect(asked).To(Receive(BeEmpty()))
-		Expect(asked).To(Receive(Equal(strconv.Itoa(before - 1))))
-		Eventually(kept).WithTimeout(limit).Should(BeZero())
+		Expect(afterHeaders).To(Receive(BeEmpty()))
+		Expect(afterHeaders).To(Receive(Equal(strconv.Itoa(before - 1))))
+		Eventually(savedRecords).WithTimeout(limit).Should(BeZero())
 	})
 
 	// The item list of a long job is stored apart from its acceptance and is read only by
@@ -554,19 +554,19 @@
 		Expect(submit(a, submission("before", 1))).To(BeNil())
 		all(a, "before")
 		groups.unreachable.Store(true)
-		var hearer reportReceiver
-		Expect(views["a"].Register(reportRegistrar{&hearer})).To(Succeed())
+		var receiver reportReceiver
+		Expect(views["a"].Register(reportRegistrar{&receiver})).To(Succeed())
 		number := uint64(0)
-		tellParts := func() {
+		reportParts := func() {
 			number++
-			Expect(hearer.Hear(board.LoadReport{From: "b", Number: number, Zone: "z", Held: []uint64{1}, Parts: []int{0, 1, 2, 3}}, nil)).To(Succeed())
+			Expect(receiver.Hear(board.LoadReport{From: "b", Number: number, Zone: "z", Held: []uint64{1}, Parts: []int{0, 1, 2, 3}}, nil)).To(Succeed())
 		}
-		turn := 0
+		round := 0
 		// A membership that was just renewed takes precedence over another daemon's report.
 		Eventually(func() bool {
-			tellParts()
-			turn++
-			id := fmt.Sprint("j", turn)
+			reportParts()
+			round++
+			id := fmt.Sprint("j", round)
 			Expect(submit(b, withoutBodies(id))).To(BeNil())
 			time.Sleep(700 * time.Millisecond)
 			view, refusal := b.Read(ctx(), "", id, 0, 0)
@@ -575,7 +575,7 @@
 		}).WithTimeout(limit).Should(BeTrue())
 		before := len(target.Requests())
 		Consistently(func() int {
-			tellParts()
+			reportParts()
 			return len(target.Requests())
 		}, "1s").Should(Equal(before))
 	})
@@ -588,7 +588,7 @@
 		a := alone()
 		Expect(submit(a, submission("j", 3))).To(BeNil())
 		log.SetDown(true)
-		handed := func(item int) jobs.WriteArgs {
+		writeArgs := func(item int) jobs.WriteArgs {
 			result := batch.Result{Item: item, ID: fmt.Sprint("j-", item), State: batch.Succeeded, Output: "x"}
 			return jobs.WriteArgs{Part: jobs.Part("j", 4), Results: []jobs.KeptResult{{Job: "j", Result: result}}}
 		}
@@ -600,14 +600,14 @@
 				defer GinkgoRecover()
 				defer wg.Done()
 				var reply jobs.WriteReply
-				Expect(service.Write(handed(item), &reply)).To(Succeed())
+				Expect(service.Write(writeArgs(item), &reply)).To(Succeed())
 			}()
 		}
 		wg.Wait()
 		log.SetDown(false)
 		var reply jobs.WriteReply
 		Eventually(func() bool {
-			Expect(service.Write(handed(2), &reply)).To(Succeed())
+			Expect(service.Write(writeArgs(2), &reply)).To(Succeed())
 			return reply.Written
 		}).WithTimeout(limit).Should(BeTrue())
 		page, err := log.Read(ctx(), partlog.Partition{Topic: topics.Results, Part: jobs.Part("j", 4)}, 0, 0)
@@ -691,10 +691,10 @@
 		a := alone()
 		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 1))).To(BeNil())
-		shown := all(a, "j")
+		returned := all(a, "j")
 		v, refusal := b.Read(ctx(), "", "j", 0, 10*time.Millisecond)
 		Expect(refusal).To(BeNil())
-		Expect(v.Results).To(Equal(shown))
+		Expect(v.Results).To(Equal(returned))
 	})
 
 	// The daemon that holds a job's partition is cut off from the others, or has crashed.
@@ -704,9 +704,9 @@
 		a := alone()
 		b, _ := daemon("b", noPartitions{log})
 		Expect(submit(a, submission("j", 5))).To(BeNil())
-		shown := all(a, "j")
+		returned := all(a, "j")
 		peers.setCut(true)
-		Expect(all(b, "j")).To(Equal(shown))
+		Expect(all(b, "j")).To(Equal(returned))
 	})
 
 	It("reads the results of finished items from the log before it refuses a job for the quota", func() {
@@ -750,14 +750,14 @@
 
 	It("resumes an item after its last event when its run breaks", func() {
 		var mu sync.Mutex
-		asked := map[string]int{}
+		attempts := map[string]int{}
 		script = func(r *rawtarget.Request, c net.Conn) {
 			id := r.Header.Get("Id")
 			mu.Lock()
-			asked[id]++
-			turn := asked[id]
+			attempts[id]++
+			attempt := attempts[id]
 			mu.Unlock()
-			if turn > 1 {
+			if attempt > 1 {
 				answer(r, c)
 				return
 			}
@@ -794,14 +794,14 @@
 	})
 
 	DescribeTable("gives up items that can't succeed, after the allowed attempts",
-		func(status, tries int) {
+		func(status, attempts int) {
 			script = func(r *rawtarget.Request, c net.Conn) {
 				rawtarget.Write(c, rawtarget.Whole(status, "no", "Id: "+r.Header.Get("Id")))
 			}
 			a := alone()
 			Expect(submit(a, submission("j", 1))).To(BeNil())
 			Expect(all(a, "j")[0].State).To(Equal(batch.Errored))
-			Expect(target.Requests()).To(HaveLen(tries))
+			Expect(target.Requests()).To(HaveLen(attempts))
 		},
 		Entry("the target reports that it can never succeed", 422, 1),
 		Entry("the target fails each time", 500, 2),
--- a/daemon/jobs/progress.go
+++ b/daemon/jobs/progress.go
@@ -113,9 +113,9 @@
 	return true
 }
 
-// savePolicy is a function that reports whether an item's progress should be saved again; see
+// savePolicy reports whether an item's progress should be saved again; see
 // batch.ShouldSave.
-type savePolicy func(events, kept int64, bytes int) bool
+type savePolicy func(events, saved int64, bytes int) bool
 
 // saveAnyGrowth saves all new progress; it is used when the daemon stops, since no later
 // save follows.
@@ -218,10 +218,10 @@
 // Position implements partlog.Reader; the partition is only loaded.
 func (pr *progressReader) Position() int64 { return noEvent }
 
-// Heard implements partlog.Reader.
+// CallEnded implements partlog.Reader.
 func (pr *progressReader) CallEnded(time.Time, error) {}
 
-// Take implements partlog.Reader.
+// Apply implements partlog.Reader.
 func (pr *progressReader) Apply(partlog.Page) {}
 
 // Load implements partlog.Reader.
--- a/daemon/jobs/tenure.go
+++ b/daemon/jobs/tenure.go
@@ -12,7 +12,7 @@
 // certainly held here.
 //
 // Failure guarded against: the log rejects this daemon, its partitions are assigned to
-// another one, and that runs again the items that run or have ended here.
+// another one, and the items that run or have ended here run there again.
 func (r *runner) publishHeld() {
 	unwritten := r.jobs.unwritten()
 	elsewhere := r.jobs.Places.PartsElsewhere()
--- a/daemon/jobs/writer.go
+++ b/daemon/jobs/writer.go
@@ -64,12 +64,12 @@
 }
 
 // waiting returns a copy of the results that were queued at or before the given time.
-func (w *writer) waiting(since time.Time) []queuedResult {
+func (w *writer) waiting(queuedBy time.Time) []queuedResult {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var list []queuedResult
 	for _, e := range w.queue {
-		if !e.queuedAt.After(since) {
+		if !e.queuedAt.After(queuedBy) {
 			list = append(list, e)
 		}
 	}
