--- a/daemon/duty/ring.go
+++ b/daemon/duty/ring.go
@@ -13,21 +13,21 @@
 func NewQueue[T any](capacity int) *Queue[T] { return &Queue[T]{ch: make(chan T, capacity)} }
 
 // Offer adds v and reports whether the queue had room for it.
-func (r *Queue[T]) Offer(v T) bool {
+func (q *Queue[T]) Offer(v T) bool {
 	select {
-	case r.ch <- v:
+	case q.ch <- v:
 		return true
 	default:
-		r.dropped.Add(1)
+		q.dropped.Add(1)
 		return false
 	}
 }
 
 // C returns the receiving side.
-func (r *Queue[T]) C() <-chan T { return r.ch }
+func (q *Queue[T]) C() <-chan T { return q.ch }
 
 // Len returns the number of queued values.
-func (r *Queue[T]) Len() int { return len(r.ch) }
+func (q *Queue[T]) Len() int { return len(q.ch) }
 
 // Dropped returns the number of values rejected so far.
-func (r *Queue[T]) Dropped() uint64 { return r.dropped.Load() }
+func (q *Queue[T]) Dropped() uint64 { return q.dropped.Load() }
--- a/daemon/signal/sender.go
+++ b/daemon/signal/sender.go
@@ -190,9 +190,10 @@
 	}
 }
 
-// send delivers the changed counts, or at a refresh all that count, in one signal for
-// each steward. One delivery per steward is in flight at a time: meanwhile its targets
-// stay dirty, and their newest counts are sent after it.
+// send delivers the counts that are due, in one signal for each steward: the changed ones,
+// and at a refresh also those that are not zero, that repeat a zero or whose target is
+// watched. One delivery per steward is in flight at a time: meanwhile its targets stay
+// dirty, and their newest counts are sent after it.
 func (s *Sender) send(ctx context.Context, refresh bool) {
 	self := s.opt.View.Self().ID()
 	for steward, signal := range s.collect(self, refresh) {
--- a/daemon/signal/sender_test.go
+++ b/daemon/signal/sender_test.go
@@ -54,12 +54,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.signals++
-	var words []signal.TargetReport
+	var reports []signal.TargetReport
 	for _, t := range sig.Targets {
 		s.online[t.Address] = t.Online
-		words = append(words, signal.TargetReport{Address: t.Address, OnlineTotal: t.Online + 5})
+		reports = append(reports, signal.TargetReport{Address: t.Address, OnlineTotal: t.Online + 5})
 	}
-	return words
+	return reports
 }
 
 func (s *steward) Call(_ context.Context, address, method string, args, reply any) error {
@@ -156,12 +156,12 @@
 		sender := startSender(remote)
 		sender.SetLocal(local)
 		var mu sync.Mutex
-		heard := map[string]int{}
-		sender.OnTargetReports(func(words []signal.TargetReport) {
+		received := map[string]int{}
+		sender.OnTargetReports(func(reports []signal.TargetReport) {
 			mu.Lock()
 			defer mu.Unlock()
-			for _, w := range words {
-				heard[w.Address] = w.OnlineTotal
+			for _, r := range reports {
+				received[r.Address] = r.OnlineTotal
 			}
 		})
 		run(sender)
@@ -171,7 +171,7 @@
 		Eventually(func() map[string]int {
 			mu.Lock()
 			defer mu.Unlock()
-			return map[string]int{"own:1": heard["own:1"], "t:1": heard["t:1"], "idle:1": heard["idle:1"]}
+			return map[string]int{"own:1": received["own:1"], "t:1": received["t:1"], "idle:1": received["idle:1"]}
 		}).Should(Equal(map[string]int{"own:1": 6, "t:1": 6, "idle:1": 5}))
 		Expect(remote.count("own:1")).To(BeZero())
 		Expect(local.count("own:1")).To(Equal(1))
--- a/daemon/signal/types.go
+++ b/daemon/signal/types.go
@@ -13,7 +13,8 @@
 )
 
 // Signal is one daemon's absolute counts for targets of one steward. Absolute counts make
-// a lost or repeated signal harmless: the next one carries everything that counts.
+// a lost or repeated signal harmless: the next one
+// replaces its counts.
 type Signal struct {
 	// Entry is the sending daemon's incarnation ID.
 	Entry string
--- a/daemon/suspects/fakesuspects/fakesuspects.go
+++ b/daemon/suspects/fakesuspects/fakesuspects.go
@@ -17,7 +17,7 @@
 // New returns a tracker that quarantines a request after limit crashes.
 func New(limit int) *Tracker { return &Tracker{core: retry.NewSuspects(limit)} }
 
-// Verdict returns what is known of a request.
+// Verdict returns whether and how the request may run.
 func (t *Tracker) Verdict(fingerprint string) retry.Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/daemon/suspects/suspects.go
+++ b/daemon/suspects/suspects.go
@@ -22,9 +22,9 @@
 
 const (
 	// ServiceName is the net/rpc name of this package's service.
-	ServiceName = "Suspects"
-	tellMethod  = ServiceName + ".Tell"
-	allMethod   = ServiceName + ".All"
+	ServiceName     = "Suspects"
+	broadcastMethod = ServiceName + ".Tell"
+	allMethod       = ServiceName + ".All"
 
 	// broadcastBurst rounds are sent without delay, so that a crash is known everywhere
 	// before its caller can send the request to another daemon; a flood of crashes is
@@ -140,7 +140,8 @@
 }
 
 // Crashed records a crash seen here, and returns once the other daemons have received it,
-// after BroadcastWait at the latest. AtMs may be 0 for now.
+// after BroadcastWait at the latest. AtMs may be 0,
+// which stands for the present time.
 //
 // Failure guarded against: the caller gets its refusal, sends the request to another
 // daemon at once, and that daemon, not knowing of the crash, lets it crash a further
@@ -295,7 +296,7 @@
 		round.Add(1)
 		calls.Go(func() {
 			defer round.Done()
-			t.call(ctx, m.PeerAddress, tellMethod, message, &Message{})
+			t.call(ctx, m.PeerAddress, broadcastMethod, message, &Message{})
 		})
 	}
 	done := make(chan struct{})
--- a/daemon/trail/trail.go
+++ b/daemon/trail/trail.go
@@ -65,29 +65,29 @@
 func New() *History { return &History{} }
 
 // add adds the event; if the history is full, it replaces the oldest one.
-func (t *History) add(e Event) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.events) < MaxEvents {
-		t.events = append(t.events, e)
+func (h *History) add(e Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.events) < MaxEvents {
+		h.events = append(h.events, e)
 		return
 	}
-	t.events[t.next] = e
-	t.next = (t.next + 1) % MaxEvents
+	h.events[h.next] = e
+	h.next = (h.next + 1) % MaxEvents
 }
 
 // Events returns the kept events, oldest first.
-func (t *History) Events() []Event {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append(slices.Clone(t.events[t.next:]), t.events[:t.next]...)
+func (h *History) Events() []Event {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append(slices.Clone(h.events[h.next:]), h.events[:h.next]...)
 }
 
-// Wrap returns a logger that writes like l and also records decisions in t, regardless of
+// Wrap returns a logger that writes like l and also records decisions in h, regardless of
 // l's level.
-func (t *History) Wrap(l *zap.Logger) *zap.Logger {
+func (h *History) Wrap(l *zap.Logger) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewTee(c, &core{history: t})
+		return zapcore.NewTee(c, &core{history: h})
 	}))
 }
 
