--- a/daemon/front/front.go
+++ b/daemon/front/front.go
@@ -115,7 +115,7 @@
 	}
 	n.quotas = quotas.New(quotas.Options{
 		Self: s.PeerAddress, Leaders: n.Places, FleetSize: n.hosts.knownFleetSize, Accounts: n.accounts, Peers: n.peers, Logger: logger, Metrics: set,
-		Terms: quota.Tolerance{Window: s.QuotaWindow, Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
+		Tolerance: quota.Tolerance{Window: s.QuotaWindow, Overshoot: s.QuotaOvershoot, Slack: s.QuotaSlack},
 	})
 	crashes := relay.NewCrashDetector(n.suspects, n.pool)
 	n.Relay = relay.New(relay.Options{
--- a/daemon/quotas/quotas.go
+++ b/daemon/quotas/quotas.go
@@ -66,11 +66,11 @@
 	// FleetSize returns the number of daemons in the fleet, 0 while it is unknown.
 	FleetSize func() int
 	// Accounts returns the client accounts in force, nil for none.
-	Accounts func() *accounts.Set
-	Peers    peer.Caller
-	Terms    quota.Tolerance
-	Logger   *zap.Logger
-	Metrics  *metrics.Set
+	Accounts  func() *accounts.Set
+	Peers     peer.Caller
+	Tolerance quota.Tolerance
+	Logger    *zap.Logger
+	Metrics   *metrics.Set
 }
 
 // Quotas is safe for concurrent use.
@@ -93,7 +93,7 @@
 // New returns the Quotas of a daemon that starts now.
 func New(o Options) *Quotas {
 	now := time.Now()
-	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, buckets: quota.NewLimiter(now, o.Self, o.Terms),
+	q := &Quotas{Options: o, meter: newMeter(o.Metrics), started: now, buckets: quota.NewLimiter(now, o.Self, o.Tolerance),
 		votes: quota.Votes{}, weightSetAt: now, leaderSeenAt: now}
 	o.Metrics.GetOrCreateGauge("tarragonhollow_quota_weight", func() float64 {
 		q.mu.Lock()
--- a/daemon/quotas/quotas_test.go
+++ b/daemon/quotas/quotas_test.go
@@ -147,7 +147,7 @@
 			v := &fakeLeaders{}
 			v.set(fmt.Sprint("d", i/3*3), fmt.Sprint("d", 3-i/3*3))
 			q := New(Options{Self: self, Leaders: v, FleetSize: func() int { return int(count.Load()) }, Accounts: set.Load,
-				Peers: endpoint{network, self}, Terms: quota.Tolerance{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
+				Peers: endpoint{network, self}, Tolerance: quota.Tolerance{Window: time.Second, Slack: 12}, Logger: zap.NewNop(), Metrics: sets[i]})
 			Expect(q.Register(endpoint{network, self})).To(Succeed())
 			views, fleet = append(views, v), append(fleet, q)
 		}
--- a/test/condemn_test.go
+++ b/test/condemn_test.go
@@ -40,7 +40,7 @@
 		for i := range 9 {
 			_, err := f.Chat(f.Daemons[i%3], "", "read "+marker)
 			Expect(err).To(HaveOccurred())
-			run, _ := fleet.Run(err)
+			run, _ := fleet.RunState(err)
 			Expect(run).NotTo(BeEmpty(), "%v", err)
 		}
 		Eventually(done, timeout, pollInterval).Should(BeClosed())
--- a/test/fleet/call.go
+++ b/test/fleet/call.go
@@ -96,7 +96,7 @@
 }
 
 // Kept returns the stored state of a key.
-func (f *Fleet) Kept(d *Daemon, key string) (caller.KeyedRequest, error) {
+func (f *Fleet) KeyedRequest(d *Daemon, key string) (caller.KeyedRequest, error) {
 	ctx, cancel := callContext()
 	defer cancel()
 	return d.Client.KeyedRequest(ctx, caller.Options{}, key)
@@ -104,7 +104,7 @@
 
 // RunState returns the run state and code of a refusal, and empty strings for any
 // other error.
-func Run(err error) (outcome.RunState, outcome.Code) {
+func RunState(err error) (outcome.RunState, outcome.Code) {
 	refused := caller.AsRefusal(err)
 	if refused == nil {
 		return "", ""
@@ -171,7 +171,7 @@
 	Eventually(func() error {
 		_, err := f.Put(d, j)
 		return err
-	}, Bound, Poll).Should(Succeed())
+	}, WaitTimeout, PollInterval).Should(Succeed())
 }
 
 // JobState returns a job's status.
@@ -188,7 +188,7 @@
 	Eventually(func() (string, error) {
 		job, err := f.JobState(d, j.Name)
 		return job.State, err
-	}, 2*Bound, Poll).Should(Equal("ended"), func() string {
+	}, 2*WaitTimeout, PollInterval).Should(Equal("ended"), func() string {
 		first := f.progress(j)
 		time.Sleep(progressRecheckDelay)
 		return fmt.Sprintf("job %s at %s\n%sand %s later\n%s", j.Name, d.Name, first, progressRecheckDelay, f.progress(j))
@@ -249,7 +249,7 @@
 		Eventually(func() (err error) {
 			results, err = f.Results(d, j.Name)
 			return err
-		}, Bound, Poll).Should(Succeed())
+		}, WaitTimeout, PollInterval).Should(Succeed())
 		Expect(f.problems(j, results)).To(BeEmpty(), "results of job %s from %s", j.Name, d.Name)
 	}
 }
--- a/test/fleet/daemon.go
+++ b/test/fleet/daemon.go
@@ -118,7 +118,7 @@
 		text, _ := os.ReadFile(d.logPath)
 		found = startedLine.FindSubmatch(text)
 		return found != nil || !d.alive()
-	}, Bound, Poll).Should(BeTrue())
+	}, WaitTimeout, PollInterval).Should(BeTrue())
 	Expect(found).NotTo(BeNil(), "%s starts: %s", d.Name, d.tail())
 	return string(found[1]), string(found[2])
 }
@@ -149,7 +149,7 @@
 // WaitExit waits until the process has exited, which must be with exit code 0.
 func (d *Daemon) WaitExit() {
 	GinkgoHelper()
-	Eventually(d.exited, Bound, Poll).Should(BeClosed(), "%s stops", d.Name)
+	Eventually(d.exited, WaitTimeout, PollInterval).Should(BeClosed(), "%s stops", d.Name)
 	Expect(d.cmd.ProcessState.ExitCode()).To(BeZero(), "%s: %s", d.Name, d.tail())
 	d.fleet.unlist(d)
 }
@@ -218,7 +218,7 @@
 
 // BatchDispatchers returns the running daemons that dispatch batch work to a target
 // group.
-func (f *Fleet) Stewards(group string) []*Daemon {
+func (f *Fleet) BatchDispatchers(group string) []*Daemon {
 	var out []*Daemon
 	for _, d := range f.Running() {
 		for _, t := range d.Status().Batch.Targets {
@@ -295,7 +295,7 @@
 			}
 		}
 		return owner
-	}, Bound, Poll).ShouldNot(BeNil(), "shard %d of %s has an owner", id, name)
+	}, WaitTimeout, PollInterval).ShouldNot(BeNil(), "shard %d of %s has an owner", id, name)
 	return owner
 }
 
@@ -312,7 +312,7 @@
 	Eventually(func() []int {
 		held = d.Shards()
 		return held
-	}, Bound, Poll).ShouldNot(BeEmpty(), "%s holds shards", d.Name)
+	}, WaitTimeout, PollInterval).ShouldNot(BeEmpty(), "%s holds shards", d.Name)
 	for i := 0; ; i++ {
 		if key := fmt.Sprintf("%s-%d", prefix, i); slices.Contains(held, shard.Of("/"+key, shards)) {
 			return key
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -29,8 +29,8 @@
 	Token = "test-operator-token"
 	// WaitTimeout is how long a condition may take to become true; PollInterval
 	// is the interval between checks.
-	Bound = 30 * time.Second
-	Poll  = 20 * time.Millisecond
+	WaitTimeout  = 30 * time.Second
+	PollInterval = 20 * time.Millisecond
 
 	// shards and appendPace keep a fleet below the log's rate limit: 8 shards with
 	// an append every 25 ms each make 320 appends a second.
@@ -117,7 +117,7 @@
 			return nil
 		}
 		return err
-	}, Bound, Poll).Should(Succeed())
+	}, WaitTimeout, PollInterval).Should(Succeed())
 }
 
 // WaitReady waits until the daemons report that they are ready.
@@ -128,7 +128,7 @@
 			ctx, cancel := callContext()
 			defer cancel()
 			return d.Client.Ready(ctx)
-		}, Bound, Poll).Should(Succeed(), "%s gets ready", d.Name)
+		}, WaitTimeout, PollInterval).Should(Succeed(), "%s gets ready", d.Name)
 	}
 }
 
@@ -146,7 +146,7 @@
 			}
 		}
 		return len(held)
-	}, Bound, Poll).Should(Equal(shards), "shards with an owner")
+	}, WaitTimeout, PollInterval).Should(Equal(shards), "shards with an owner")
 }
 
 // Running returns the daemons whose processes run and are not paused.
--- a/test/fleet/partition.go
+++ b/test/fleet/partition.go
@@ -41,7 +41,7 @@
 }
 
 // StartWithNetwork is Start with a Network between the daemons.
-func StartApart(o Options) (*Fleet, *Network) {
+func StartWithNetwork(o Options) (*Fleet, *Network) {
 	GinkgoHelper()
 	n := &Network{links: map[string]*link{}}
 	DeferCleanup(n.close)
@@ -85,7 +85,7 @@
 			return err
 		}
 		return listener.Close()
-	}, Bound, Poll).Should(Succeed())
+	}, WaitTimeout, PollInterval).Should(Succeed())
 	return address
 }
 
@@ -99,7 +99,7 @@
 			Address: n.links[d.Name].proxy.Addr(), Zone: d.Zone, State: extern.HostLive})).To(Succeed())
 	}
 	for _, d := range f.Daemons {
-		Eventually(func() int64 { return d.hostListVersion() }, Bound, Poll).Should(Equal(currentListVersion(f)), d.Name)
+		Eventually(func() int64 { return d.hostListVersion() }, WaitTimeout, PollInterval).Should(Equal(currentListVersion(f)), d.Name)
 	}
 }
 
@@ -168,7 +168,7 @@
 
 // LiveHosts returns the names of the hosts that this daemon considers live, its own
 // included.
-func (d *Daemon) Sees() []string {
+func (d *Daemon) LiveHosts() []string {
 	ctx, cancel := callContext()
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, d.Client.Base+"/admin/status", nil)
--- a/test/fleet/testimony.go
+++ b/test/fleet/testimony.go
@@ -38,7 +38,7 @@
 }
 
 func (t *responseLog) ended(request *sentRequest, err error) {
-	run, code := Run(err)
+	run, code := RunState(err)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if run == outcome.NotRun {
--- a/test/helpers_test.go
+++ b/test/helpers_test.go
@@ -36,5 +36,5 @@
 
 // callContext returns the context of one call, with a timeout.
 func callContext() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), fleet.Bound)
+	return context.WithTimeout(context.Background(), fleet.WaitTimeout)
 }
--- a/test/input/suite_test.go
+++ b/test/input/suite_test.go
@@ -28,8 +28,8 @@
 
 // timeout and pollInterval apply to every wait.
 const (
-	timeout      = fleet.Bound
-	pollInterval = fleet.Poll
+	timeout      = fleet.WaitTimeout
+	pollInterval = fleet.PollInterval
 )
 
 // refusal is the error object of the API's error format.
--- a/test/kill_test.go
+++ b/test/kill_test.go
@@ -95,7 +95,7 @@
 		entry.Kill()
 		left := f.Running()[0]
 		Eventually(func() (int64, error) { return f.Order(left, key) }, timeout, pollInterval).Should(Equal(execution))
-		kept, err := f.Kept(left, key)
+		kept, err := f.KeyedRequest(left, key)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(kept.State).To(Equal("completed"))
 		Expect(f.Executions(key)).To(Equal(1))
--- a/test/log_test.go
+++ b/test/log_test.go
@@ -83,7 +83,7 @@
 		// After a cut connection the result of the publication may be unknown; a
 		// definite answer must be correct.
 		Eventually(published, timeout, pollInterval).Should(Receive(&err))
-		if run, _ := fleet.Run(err); run != outcome.MayHaveRun {
+		if run, _ := fleet.RunState(err); run != outcome.MayHaveRun {
 			Expect(strings.Contains(activeConfig(f.Daemons[1]).Text, change)).To(Equal(err == nil), "%v", err)
 		}
 	},
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -21,7 +21,7 @@
 		for _, d := range f.Daemons {
 			_, err := f.Order(d, "tray")
 			expectRun(err, outcome.MayHaveRun)
-			kept, err := f.Kept(d, "tray")
+			kept, err := f.KeyedRequest(d, "tray")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(kept.State).To(Equal("may_have_run"))
 		}
@@ -46,7 +46,7 @@
 		Eventually(dead, timeout, pollInterval).Should(Receive(HaveOccurred()))
 		resend := func() outcome.RunState {
 			_, err := f.Order(third, key)
-			run, _ := fleet.Run(err)
+			run, _ := fleet.RunState(err)
 			return run
 		}
 		Eventually(resend, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
@@ -70,7 +70,7 @@
 		entry.Kill()
 		Eventually(func() outcome.RunState {
 			_, err := f.Order(third, key)
-			run, _ := fleet.Run(err)
+			run, _ := fleet.RunState(err)
 			return run
 		}, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
 		f.ControlServices(`{"frozen":false}`)
@@ -97,7 +97,7 @@
 		Eventually(answered, timeout, pollInterval).Should(Receive(BeNil()))
 		for _, d := range f.Running() {
 			Eventually(func() (string, error) {
-				kept, err := f.Kept(d, key)
+				kept, err := f.KeyedRequest(d, key)
 				return kept.State, err
 			}, timeout, pollInterval).Should(Equal("completed"))
 		}
@@ -122,7 +122,7 @@
 		f.WaitOwned()
 		Eventually(func() outcome.RunState {
 			_, err := f.Order(other, key)
-			run, _ := fleet.Run(err)
+			run, _ := fleet.RunState(err)
 			return run
 		}, timeout, pollInterval).Should(Equal(outcome.MayHaveRun))
 		f.ControlServices(`{"frozen":false}`)
@@ -131,7 +131,7 @@
 		Eventually(answered, timeout, pollInterval).Should(Receive())
 		for _, d := range f.Daemons {
 			Eventually(func() (string, error) {
-				kept, err := f.Kept(d, key)
+				kept, err := f.KeyedRequest(d, key)
 				return kept.State, err
 			}, timeout, pollInterval).Should(Equal("completed"))
 		}
@@ -150,7 +150,7 @@
 		}()
 		concurrently(3*orders, func(i int) {
 			_, err := f.Order(f.Daemons[i%3], fmt.Sprintf("tray-%d", i/3))
-			if run, _ := fleet.Run(err); run == outcome.NotRun {
+			if run, _ := fleet.RunState(err); run == outcome.NotRun {
 				_, _ = f.Order(f.Daemons[2], fmt.Sprintf("tray-%d", i/3))
 			}
 		})
@@ -159,7 +159,7 @@
 			Expect(f.Executions(key)).To(BeNumerically("<=", 1), key)
 			Eventually(func() error {
 				_, err := f.Order(f.Daemons[0], key)
-				if run, _ := fleet.Run(err); run == outcome.MayHaveRun {
+				if run, _ := fleet.RunState(err); run == outcome.MayHaveRun {
 					return nil
 				}
 				return err
--- a/test/partition_test.go
+++ b/test/partition_test.go
@@ -34,7 +34,7 @@
 	// both must be served, a configuration published on one side must apply on both,
 	// and the job must end with each item once.
 	DescribeTable("in two groups serve callers of both and converge after healing", func(left int, faults faultproxy.Faults) {
-		f, network := fleet.StartApart(fleet.Options{Daemons: 4, Shape: slowEngines})
+		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4, Shape: slowEngines})
 		a, b := f.Daemons[:left], f.Daemons[left:]
 		job := fleet.NewJob("prep", 150, 11)
 		f.MustPut(a[0], job)
@@ -66,7 +66,7 @@
 	// relies on its own claim of the shard, or if one side answers not_run while the
 	// other has run it and the caller places a new order.
 	DescribeTable("in two groups run the same order once and refuse it truly", func(left int, faults faultproxy.Faults) {
-		f, network := fleet.StartApart(fleet.Options{Daemons: 4})
+		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4})
 		a, b := f.Daemons[:left], f.Daemons[left:]
 		network.Split(a, b, faults)
 		expectView(a, a)
@@ -83,7 +83,7 @@
 	// once by a claim of the other side, no holder has the time to store anything, and
 	// the claims use up the appends that orders and jobs need.
 	DescribeTable("in two groups limit the rate of competing shard claims", func(left int, faults faultproxy.Faults) {
-		f, network := fleet.StartApart(fleet.Options{Daemons: 4})
+		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4})
 		a, b := f.Daemons[:left], f.Daemons[left:]
 		network.Split(a, b, faults)
 		expectView(a, a)
@@ -102,7 +102,7 @@
 	// rule. C reaches both, so no daemon may be considered dead. A's callers with a key
 	// of B's shards must get a correct run state, and the job on B's shard must end.
 	DescribeTable("one way consider no daemon dead and answer callers correctly", func(faults faultproxy.Faults) {
-		f, network := fleet.StartApart(fleet.Options{Shape: slowEngines})
+		f, network := fleet.StartWithNetwork(fleet.Options{Shape: slowEngines})
 		a, b, c := f.Daemons[0], f.Daemons[1], f.Daemons[2]
 		job := fleet.NewJob(f.KeyOwnedBy(b, "prep"), 120, 11)
 		f.MustPut(a, job)
@@ -136,13 +136,13 @@
 	// Guards against a job that makes no progress because the only daemon that dispatches
 	// batch work to its targets cannot reach the job's owner.
 	DescribeTable("one way end a job whose targets are another's", func(faults faultproxy.Faults) {
-		f, network := fleet.StartApart(fleet.Options{Shape: func(s *deployment.Shape) {
+		f, network := fleet.StartWithNetwork(fleet.Options{Shape: func(s *deployment.Shape) {
 			slowEngines(s)
 			s.Engines = 1
 		}})
 		var dispatchers []*fleet.Daemon
 		Eventually(func() []*fleet.Daemon {
-			dispatchers = f.Stewards(f.Shape.Model)
+			dispatchers = f.BatchDispatchers(f.Shape.Model)
 			return dispatchers
 		}, timeout, pollInterval).Should(HaveLen(1))
 		dispatcher := dispatchers[0]
@@ -167,7 +167,7 @@
 		names = append(names, d.Name)
 	}
 	for _, d := range daemons {
-		Eventually(d.Sees, timeout, pollInterval).Should(Equal(names), d.Name)
+		Eventually(d.LiveHosts, timeout, pollInterval).Should(Equal(names), d.Name)
 	}
 }
 
--- a/test/suite_test.go
+++ b/test/suite_test.go
@@ -23,8 +23,8 @@
 
 // timeout and pollInterval apply to every wait.
 const (
-	timeout      = fleet.Bound
-	pollInterval = fleet.Poll
+	timeout      = fleet.WaitTimeout
+	pollInterval = fleet.PollInterval
 )
 
 // concurrently runs work(0) to work(n-1) concurrently and returns when all have ended.
@@ -44,6 +44,6 @@
 // expectRun expects that the error is a refusal with the given run state.
 func expectRun(err error, want outcome.RunState) {
 	GinkgoHelper()
-	run, code := fleet.Run(err)
+	run, code := fleet.RunState(err)
 	Expect(run).To(Equal(want), "code %s, error %v", code, err)
 }
--- a/test/whole_path_test.go
+++ b/test/whole_path_test.go
@@ -27,7 +27,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			for _, again := range f.Daemons {
 				Expect(f.Order(again, key)).To(Equal(first))
-				kept, err := f.Kept(again, key)
+				kept, err := f.KeyedRequest(again, key)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(kept.State).To(Equal("completed"))
 			}
