--- a/api/api_test.go
+++ b/api/api_test.go
@@ -21,7 +21,7 @@
 )
 
 var _ = Describe("callers", func() {
-	It("answers a chat in the OpenAI shape, whole and as a stream", func() {
+	It("answers a chat in the OpenAI format, as one object and as a stream", func() {
 		d := start(nil)
 		var got api.ChatCall
 		d.chat = func(_ context.Context, c api.ChatCall, sink func(target.Token) error) (api.ChatResult, error) {
@@ -216,9 +216,9 @@
 
 	It("streams results page by page and cuts the connection when a page fails", func() {
 		d := start(nil)
-		lose := false
+		failPage := false
 		d.results = func(r ledger.ResultsRequest) (ledger.ResultsReply, error) {
-			if r.From == 2 && lose {
+			if r.From == 2 && failPage {
 				return ledger.ResultsReply{}, outcome.Refuse(outcome.NoOwner, "moving")
 			}
 			id := fmt.Sprint("sheet-", r.From)
@@ -230,7 +230,7 @@
 		lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 		Expect(lines).To(HaveLen(3))
 		Expect(lines[2]).To(MatchJSON(`{"custom_id":"sheet-2","state":"failed","attempts":2,"error":{"code":"unprocessable","message":"no","run":"not_run","retry_after_ms":0}}`))
-		lose = true
+		failPage = true
 		text, err = io.ReadAll(d.send("GET", "/v1/jobs/j/results", "").Body)
 		Expect(err).To(MatchError(io.ErrUnexpectedEOF))
 		Expect(string(text)).To(ContainSubstring(`"code":"no_owner"`))
--- a/api/drain_test.go
+++ b/api/drain_test.go
@@ -34,8 +34,8 @@
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	whole := resp.StatusCode == http.StatusOK && (!stream || strings.HasSuffix(string(text), "data: [DONE]\n\n"))
-	if err == nil && !whole {
+	complete := resp.StatusCode == http.StatusOK && (!stream || strings.HasSuffix(string(text), "data: [DONE]\n\n"))
+	if err == nil && !complete {
 		err = fmt.Errorf("status %d: %s", resp.StatusCode, text)
 	}
 	return resp.Close, err
--- a/bodymemory/bodymemory_test.go
+++ b/bodymemory/bodymemory_test.go
@@ -12,17 +12,17 @@
 // Without limits, four callers with slow, large bodies would leave no memory for a fifth.
 // A quarter is reserved for small bodies, and no caller gets more than half.
 func TestBodyMemoryKeepsRoomForOthers(t *testing.T) {
-	const most = 32 * SmallClaimBytes
-	memory := New(most)
+	const limit = 32 * SmallClaimBytes
+	memory := New(limit)
 	for _, caller := range []string{"a", "b", "c", "d"} {
 		for memory.Claim(caller).Grow(2*SmallClaimBytes) == nil {
 		}
-		if memory.callers[caller] > most/CallerShare {
-			t.Fatalf("caller %s holds %d bytes of %d", caller, memory.callers[caller], most)
+		if memory.callers[caller] > limit/CallerShare {
+			t.Fatalf("caller %s holds %d bytes of %d", caller, memory.callers[caller], limit)
 		}
 	}
-	if memory.used != most-most/smallReserve {
-		t.Fatalf("large claims hold %d bytes of %d", memory.used, most)
+	if memory.used != limit-limit/smallReserve {
+		t.Fatalf("large claims hold %d bytes of %d", memory.used, limit)
 	}
 	if refusal := memory.Claim("a").Grow(1); refusal == nil || refusal.Code != outcome.CallerLimit {
 		t.Fatalf("a caller at its share got %v", refusal)
--- a/chat/request.go
+++ b/chat/request.go
@@ -93,9 +93,9 @@
 	}
 	var f requestFields
 	for _, field := range f.known() {
-		raw, given := extra[field.name]
+		raw, present := extra[field.name]
 		delete(extra, field.name)
-		if !given {
+		if !present {
 			continue
 		}
 		if err := json.Unmarshal(raw, field.value); err != nil {
--- a/extern/fakelog/fakelog.go
+++ b/extern/fakelog/fakelog.go
@@ -288,9 +288,9 @@
 	case ctx.Err() != nil:
 		return extern.LogUnavailable.New("not sent: %v", ctx.Err())
 	case c.log.outage:
-		return extern.LogUnavailable.New("the log is out")
+		return extern.LogUnavailable.New("the log is unavailable")
 	case c.cut:
-		return extern.LogUnavailable.New("cut off from the log")
+		return extern.LogUnavailable.New("this client is disconnected from the log")
 	}
 	return nil
 }
--- a/extern/fakelog/fakelog_test.go
+++ b/extern/fakelog/fakelog_test.go
@@ -57,14 +57,14 @@
 		log := fakelog.New(fakelog.Options{})
 		release := log.HoldAppends()
 		short, cancel := context.WithCancel(ctx)
-		given := make(chan error)
+		result := make(chan error)
 		go func() {
 			_, err := log.Append(short, "s", []byte("late"))
-			given <- err
+			result <- err
 		}()
 		Eventually(log.Held).Should(Equal(1))
 		cancel()
-		Expect(extern.IsUnknown(<-given)).To(BeTrue())
+		Expect(extern.IsUnknown(<-result)).To(BeTrue())
 		Expect(log.Records("s")).To(BeEmpty())
 		release()
 		Eventually(func() []extern.Record { return log.Records("s") }).Should(HaveLen(1))
--- a/extern/partlog/fakepartlog/fakepartlog.go
+++ b/extern/partlog/fakepartlog/fakepartlog.go
@@ -97,9 +97,9 @@
 // Expire deletes the history of a partition except the newest record of each key.
 func (l *Log) Expire(p partlog.Partition) {
 	l.set(func() {
-		at := l.part(p)
-		at.first += int64(len(at.records))
-		at.records = nil
+		part := l.part(p)
+		part.first += int64(len(part.records))
+		part.records = nil
 	})
 }
 
@@ -117,12 +117,12 @@
 }
 
 func (l *Log) part(p partlog.Partition) *partition {
-	at := l.parts[p]
-	if at == nil {
-		at = &partition{newest: map[string]partlog.StoredRecord{}}
-		l.parts[p] = at
+	part := l.parts[p]
+	if part == nil {
+		part = &partition{newest: map[string]partlog.StoredRecord{}}
+		l.parts[p] = part
 	}
-	return at
+	return part
 }
 
 func (p *partition) end() int64 { return p.first + int64(len(p.records)) }
@@ -153,18 +153,18 @@
 			return 0, partlog.Invalid.New("a record of %d bytes", len(r.Value))
 		}
 	}
-	to := l.part(p)
-	offset := to.end()
+	part := l.part(p)
+	offset := part.end()
 	if at != partlog.AnyOffset && at != offset {
 		return 0, partlog.Conflict.New("ends at %d, not at %d", offset, at)
 	}
 	for _, r := range records {
-		kept := partlog.StoredRecord{Record: r, Offset: to.end()}
-		to.records = append(to.records, kept)
+		stored := partlog.StoredRecord{Record: r, Offset: part.end()}
+		part.records = append(part.records, stored)
 		if len(r.Value) == 0 {
-			delete(to.newest, r.Key)
+			delete(part.newest, r.Key)
 		} else {
-			to.newest[r.Key] = kept
+			part.newest[r.Key] = stored
 		}
 	}
 	l.appends++
@@ -178,12 +178,12 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		page, news, err := l.read(p, from)
+		page, appended, err := l.read(p, from)
 		if err != nil || len(page.Records) > 0 || wait == 0 {
 			return page, err
 		}
 		select {
-		case <-news:
+		case <-appended:
 		case <-timer.C:
 			return page, nil
 		case <-ctx.Done():
@@ -198,16 +198,16 @@
 	if l.down || l.readsDown {
 		return partlog.Page{}, nil, partlog.Unavailable.New("down")
 	}
-	at := l.part(p)
-	if from < at.first {
-		return partlog.Page{}, nil, partlog.Expired.New("first is %d", at.first)
+	part := l.part(p)
+	if from < part.first {
+		return partlog.Page{}, nil, partlog.Expired.New("first is %d", part.first)
 	}
-	records := slices.Clone(at.records[min(from-at.first, int64(len(at.records))):])
-	news := l.appended
+	records := slices.Clone(part.records[min(from-part.first, int64(len(part.records))):])
+	appended := l.appended
 	if l.notificationsLost {
-		news = nil
+		appended = nil
 	}
-	return partlog.Page{Next: from + int64(len(records)), End: at.end(), Records: records, At: time.Now()}, news, nil
+	return partlog.Page{Next: from + int64(len(records)), End: part.end(), Records: records, At: time.Now()}, appended, nil
 }
 
 // smallPage is the default page size. It is small so that tests read several pages.
@@ -227,15 +227,15 @@
 	if l.serveEvery > 0 && l.newestCalls%l.serveEvery != 0 {
 		return partlog.NewestPage{}, partlog.Limited.New("too many calls")
 	}
-	at := l.part(p)
+	part := l.part(p)
 	var all []partlog.StoredRecord
-	for key, k := range at.newest {
+	for key, record := range part.newest {
 		if key > after {
-			all = append(all, k)
+			all = append(all, record)
 		}
 	}
 	slices.SortFunc(all, func(a, b partlog.StoredRecord) int { return cmp.Compare(a.Key, b.Key) })
-	page := partlog.NewestPage{End: at.end(), More: len(all) > l.pageSize, At: time.Now()}
+	page := partlog.NewestPage{End: part.end(), More: len(all) > l.pageSize, At: time.Now()}
 	page.Records = all[:min(l.pageSize, len(all))]
 	return page, nil
 }
@@ -257,16 +257,16 @@
 		g.generation++
 	}
 	g.topics = topics
-	claim := partlog.Assignment{Generation: g.generation}
+	assignment := partlog.Assignment{Generation: g.generation}
 	memberIndex := slices.Index(g.members, member)
 	for _, topic := range topics {
 		for part := range l.partsPerTopic {
 			if part%len(g.members) == memberIndex {
-				claim.Parts = append(claim.Parts, partlog.Partition{Topic: topic, Part: part})
+				assignment.Parts = append(assignment.Parts, partlog.Partition{Topic: topic, Part: part})
 			}
 		}
 	}
-	return claim, nil
+	return assignment, nil
 }
 
 // Owners implements partlog.Groups.
--- a/extern/partlog/follow.go
+++ b/extern/partlog/follow.go
@@ -190,11 +190,11 @@
 	if l.end < 0 {
 		l.end, l.at = page.End, page.At
 	}
-	for _, k := range page.Records {
-		if k.Offset < l.end {
-			l.records = append(l.records, k)
+	for _, record := range page.Records {
+		if record.Offset < l.end {
+			l.records = append(l.records, record)
 		}
-		l.after = max(l.after, k.Key)
+		l.after = max(l.after, record.Key)
 	}
 }
 
--- a/extern/partlog/follow_test.go
+++ b/extern/partlog/follow_test.go
@@ -53,9 +53,9 @@
 }
 
 func (r *recorder) apply(records []partlog.StoredRecord) {
-	for _, k := range records {
-		r.values[k.Key] = string(k.Value)
-		r.order = append(r.order, k.Key)
+	for _, record := range records {
+		r.values[record.Key] = string(record.Value)
+		r.order = append(r.order, record.Key)
 	}
 }
 
@@ -108,12 +108,12 @@
 		_, err := log.Append(context.Background(), p, []partlog.Record{{Key: key, Value: []byte(value)}}, partlog.AnyOffset)
 		Expect(err).NotTo(HaveOccurred())
 	}
-	pace := partlog.ReadOptions{Wait: 50 * time.Millisecond}
+	opts := partlog.ReadOptions{Wait: 50 * time.Millisecond}
 	follow := func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
-			partlog.Follow(ctx, log, p, pace, r)
+			partlog.Follow(ctx, log, p, opts, r)
 			close(done)
 		}()
 		DeferCleanup(func() {
@@ -124,16 +124,16 @@
 	BeforeEach(func() {
 		log = fakepartlog.New(1)
 		r = &recorder{position: -1}
-		pace.Linger = 0
+		opts.Linger = 0
 	})
 
 	// Guards against a reader that takes a partial read for the whole partition while more
 	// records follow.
 	It("is not up to date while more is known to follow", func() {
 		put("k", "0")
-		reading, stop := context.WithCancel(context.Background())
+		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
-		go partlog.Follow(reading, shortPages{log}, p, pace, r)
+		go partlog.Follow(ctx, shortPages{log}, p, opts, r)
 		Eventually(r.caughtUpAt).WithTimeout(limit).Should(Equal([]int64{1}))
 		var records []partlog.Record
 		for i := range 3 {
@@ -148,14 +148,14 @@
 	// That target gets requests until the reader has read the records appended since.
 	It("reads on at once after the first load", func() {
 		put("k", "1")
-		pace.Linger = time.Hour
+		opts.Linger = time.Hour
 		follow()
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("1"))
 		put("k", "2")
 		Eventually(func() string { return r.value("k") }).WithTimeout(limit).Should(Equal("2"))
 	})
 
-	It("loads the newest records over several pages in log order, then takes what follows", func() {
+	It("loads the newest records over several pages in log order, then reads the records that follow", func() {
 		for i := range 8 {
 			put(fmt.Sprint("k", 7-i), "old")
 		}
@@ -208,7 +208,7 @@
 	// The log was unavailable and is available again, without new records. The reader must
 	// learn of that at once and not at the end of a read that waits for records.
 	It("learns at once that the log is available again", func() {
-		pace.Wait = time.Hour
+		opts.Wait = time.Hour
 		put("k", "1")
 		log.SetReadsDown(true)
 		follow()
--- a/inifile/inifile_test.go
+++ b/inifile/inifile_test.go
@@ -46,7 +46,7 @@
 		Expect(v).To(Equal(sample{"x-1", 90 * time.Second, 64 << 10, []string{"127.0.0.1:1", "[::1]:2"}}))
 	})
 
-	DescribeTable("tells each fault with its place", func(text, want string) {
+	DescribeTable("reports each problem with its location", func(text, want string) {
 		_, problems := decode(text)
 		Expect(problems.Error()).To(Equal(want))
 	},
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -54,23 +54,23 @@
 // NewAsync returns a logger like New whose lines are written by a separate goroutine.
 // Close writes the lines that are still queued.
 func NewAsync(out io.Writer, level string) (*zap.Logger, zap.AtomicLevel, *AsyncWriter) {
-	b := &AsyncWriter{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
-	b.ordinary = newRing(ordinaryRing, ordinaryPerSecond, b.wake)
-	b.urgent = newRing(urgentRing, urgentPerSecond, b.wake)
+	w := &AsyncWriter{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	w.ordinary = newRing(ordinaryRing, ordinaryPerSecond, w.wake)
+	w.urgent = newRing(urgentRing, urgentPerSecond, w.wake)
 	atomicLevel := zap.NewAtomicLevelAt(zapcore.InfoLevel)
 	encoder := zaplogfmt.NewEncoder(encoderConfig())
 	below := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l < zapcore.WarnLevel && atomicLevel.Enabled(l) })
 	from := zap.LevelEnablerFunc(func(l zapcore.Level) bool { return l >= zapcore.WarnLevel && atomicLevel.Enabled(l) })
 	core := zapcore.NewTee(
-		&plainCore{zapcore.NewCore(encoder, b.ordinary, below)},
-		&plainCore{zapcore.NewCore(encoder, b.urgent, from)},
+		&plainCore{zapcore.NewCore(encoder, w.ordinary, below)},
+		&plainCore{zapcore.NewCore(encoder, w.urgent, from)},
 	)
 	logger := zap.New(core, zap.AddCaller())
 	if err := SetLevel(atomicLevel, level); err != nil {
 		logger.Warn("log_level_unknown", zap.String("value", level))
 	}
-	go b.run()
-	return logger, atomicLevel, b
+	go w.run()
+	return logger, atomicLevel, w
 }
 
 func newRing(size int, perSecond int64, wake chan struct{}) *ring {
@@ -107,57 +107,57 @@
 func (r *ring) Sync() error { return nil }
 
 // Dropped returns the number of dropped lines.
-func (b *AsyncWriter) Dropped() uint64 { return b.ordinary.dropped.Load() + b.urgent.dropped.Load() }
+func (w *AsyncWriter) Dropped() uint64 { return w.ordinary.dropped.Load() + w.urgent.dropped.Load() }
 
 // Close writes the queued lines and ends the goroutine. It stops waiting after the given
 // time if the output blocks.
-func (b *AsyncWriter) Close(within time.Duration) {
-	b.stopOnce.Do(func() { close(b.stop) })
+func (w *AsyncWriter) Close(within time.Duration) {
+	w.stopOnce.Do(func() { close(w.stop) })
 	select {
-	case <-b.done:
+	case <-w.done:
 	case <-time.After(within):
 	}
 }
 
 // run writes the queued lines in batches, urgent ones first.
-func (b *AsyncWriter) run() {
-	defer close(b.done)
+func (w *AsyncWriter) run() {
+	defer close(w.done)
 	for {
 		select {
-		case <-b.wake:
-			b.drain()
-		case <-b.stop:
-			b.drain()
+		case <-w.wake:
+			w.drain()
+		case <-w.stop:
+			w.drain()
 			return
 		}
 	}
 }
 
-func (b *AsyncWriter) drain() {
+func (w *AsyncWriter) drain() {
 	var buffer bytes.Buffer
 	for {
-		line := b.next()
+		line := w.next()
 		if line == nil {
-			b.reportDropped(&buffer)
-			b.flush(&buffer)
+			w.reportDropped(&buffer)
+			w.flush(&buffer)
 			return
 		}
 		buffer.Write(line)
 		if buffer.Len() >= writeBytes {
-			b.flush(&buffer)
+			w.flush(&buffer)
 		}
 	}
 }
 
 // next returns a queued line, nil if there is none.
-func (b *AsyncWriter) next() []byte {
+func (w *AsyncWriter) next() []byte {
 	select {
-	case line := <-b.urgent.lines:
+	case line := <-w.urgent.lines:
 		return line
 	default:
 	}
 	select {
-	case line := <-b.ordinary.lines:
+	case line := <-w.ordinary.lines:
 		return line
 	default:
 		return nil
@@ -166,24 +166,24 @@
 
 // reportDropped appends a line to the buffer if more lines were dropped since the last
 // report.
-func (b *AsyncWriter) reportDropped(buffer *bytes.Buffer) {
-	dropped := b.Dropped()
-	if dropped == b.reportedDrops {
+func (w *AsyncWriter) reportDropped(buffer *bytes.Buffer) {
+	dropped := w.Dropped()
+	if dropped == w.reportedDrops {
 		return
 	}
 	buffer.WriteString("ts=" + time.Now().UTC().Format(timeLayout) + " level=warn event=log_lines_dropped total=" +
-		strconv.FormatUint(dropped, 10) + " urgent=" + strconv.FormatUint(b.urgent.dropped.Load(), 10) + "\n")
-	b.reportedDrops = dropped
+		strconv.FormatUint(dropped, 10) + " urgent=" + strconv.FormatUint(w.urgent.dropped.Load(), 10) + "\n")
+	w.reportedDrops = dropped
 }
 
 // flush writes the buffer. If the write fails, the lines are counted as dropped, and
 // nothing else happens.
-func (b *AsyncWriter) flush(buffer *bytes.Buffer) {
+func (w *AsyncWriter) flush(buffer *bytes.Buffer) {
 	if buffer.Len() == 0 {
 		return
 	}
-	if _, err := b.out.Write(buffer.Bytes()); err != nil {
-		b.ordinary.dropped.Add(uint64(bytes.Count(buffer.Bytes(), []byte("\n"))))
+	if _, err := w.out.Write(buffer.Bytes()); err != nil {
+		w.ordinary.dropped.Add(uint64(bytes.Count(buffer.Bytes(), []byte("\n"))))
 	}
 	buffer.Reset()
 }
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -33,23 +33,23 @@
 	return p.got.String()
 }
 
-var _ = Describe("The bounded log", func() {
+var _ = Describe("The asynchronous log writer", func() {
 	const limit = 10 * time.Second
 
 	// The process that reads the daemon's output has stopped, so the pipe is full. With
 	// synchronous writes every request that logs would hang.
-	It("blocks nobody while its output takes nothing, and keeps the ends of failed requests", func() {
+	It("does not block callers while its output is blocked, and keeps the ends of failed requests", func() {
 		out := &pipe{open: make(chan struct{})}
-		logger, _, bounded := logging.NewAsync(out, "info")
+		logger, _, writer := logging.NewAsync(out, "info")
 		for i := range 20_000 {
 			logger.Info("served", zap.Int("i", i))
 		}
 		for i := range 300 {
 			logger.Warn("failed", zap.Int("i", i))
 		}
-		Expect(bounded.Dropped()).To(BeNumerically(">", 0))
+		Expect(writer.Dropped()).To(BeNumerically(">", 0))
 		close(out.open)
-		bounded.Close(limit)
+		writer.Close(limit)
 		text := out.text()
 		Expect(strings.Count(text, "event=failed")).To(Equal(300))
 		Expect(text).To(ContainSubstring("event=log_lines_dropped total="))
@@ -58,12 +58,12 @@
 	It("writes everything that fits, in order, before it closes", func() {
 		out := &pipe{open: make(chan struct{})}
 		close(out.open)
-		logger, _, bounded := logging.NewAsync(out, "info")
+		logger, _, writer := logging.NewAsync(out, "info")
 		for i := range 100 {
 			logger.Info("line", zap.Int("i", i))
 		}
 		logger.Debug("unseen")
-		bounded.Close(limit)
+		writer.Close(limit)
 		lines := strings.Split(strings.TrimSpace(out.text()), "\n")
 		Expect(lines).To(HaveLen(100))
 		Expect(lines[99]).To(ContainSubstring("i=99"))
--- a/settings/load.go
+++ b/settings/load.go
@@ -61,10 +61,10 @@
 
 // apply applies one override.
 func apply(file *inifile.File, override string) error {
-	place, value, found := strings.Cut(override, "=")
-	section, key, dotted := strings.Cut(place, ".")
+	name, value, found := strings.Cut(override, "=")
+	section, key, dotted := strings.Cut(name, ".")
 	if !found || !dotted || section == "" || key == "" {
-		return ErrOverride.New("--set %q; allowed: section.key=value", place)
+		return ErrOverride.New("--set %q; allowed: section.key=value", name)
 	}
 	file.Set("--set", section, key, value)
 	return nil
--- a/target/client.go
+++ b/target/client.go
@@ -15,7 +15,7 @@
 
 // ClientOptions configures the HTTP clients. DefaultClientOptions sets all fields.
 type ClientOptions struct {
-	// OnlineConnections and BatchConnections are the maximum connections to one
+	// OnlineConnections and BatchConnections are the maximum numbers of connections to one
 	// target. The limits are separate, so that batch can never make an online
 	// request wait for a connection.
 	OnlineConnections int
@@ -44,7 +44,7 @@
 }
 
 const (
-	// controlConnections is the maximum connections to one target for control calls.
+	// controlConnections is the maximum number of connections to one target for control calls.
 	// They are separate so that a cancel gets through while all others are busy.
 	controlConnections = 4
 	// drainTimeout is the maximum wait for the end of the body after the content is
--- a/target/engineclient_test.go
+++ b/target/engineclient_test.go
@@ -19,7 +19,7 @@
 
 var _ = Describe("EngineClient", func() {
 	ctx := context.Background()
-	asking := func(id, text string) target.GenerateRequest {
+	request := func(id, text string) target.GenerateRequest {
 		return target.GenerateRequest{StreamID: id, Model: "ordering", Messages: prompt(text)}
 	}
 
@@ -31,7 +31,7 @@
 		_, secondAddress := startEngine(fastEngine())
 		control(firstAddress, slow)
 		c := engineClient()
-		req := asking("s1", "prep sheet for floor 3")
+		req := request("s1", "prep sheet for floor 3")
 		seen := 0
 		part := generate(ctx, c, firstAddress, req, func() {
 			if seen++; seen == 5 {
@@ -57,13 +57,13 @@
 		control(address, slow)
 		c := engineClient()
 		running := make(chan struct{}, 1000)
-		victim := make(chan result, 1)
+		bystander := make(chan result, 1)
 		go func() {
-			victim <- generate(ctx, c, address, asking("v", "two coffees"), func() { running <- struct{}{} })
+			bystander <- generate(ctx, c, address, request("v", "two coffees"), func() { running <- struct{}{} })
 		}()
 		Eventually(running, bound).Should(Receive())
-		killer := generate(ctx, c, address, asking("k", "CRASH-TARGET"), nil)
-		for _, err := range []error{killer.err, (<-victim).err} {
+		crashing := generate(ctx, c, address, request("k", "CRASH-TARGET"), nil)
+		for _, err := range []error{crashing.err, (<-bystander).err} {
 			f := target.FailureOf(err)
 			Expect(f).NotTo(BeNil())
 			Expect([]bool{f.Reached, f.Crashed, f.Busy, f.Rejected}).To(Equal([]bool{true, true, false, false}))
@@ -73,7 +73,7 @@
 		Eventually(func() error { return c.Health(ctx, address) }, bound).Should(Succeed())
 		control(address, `{"slow_ms":0}`)
 		Expect(s.Stats().Crashes).To(Equal(1))
-		Expect(generate(ctx, c, address, asking("v2", "two coffees"), nil).tokens).
+		Expect(generate(ctx, c, address, request("v2", "two coffees"), nil).tokens).
 			To(Equal(engine.ExpectedTokens("ordering", prompt("two coffees"), 0)))
 	})
 
@@ -82,7 +82,7 @@
 		o.Model = "ordering"
 		s, address := startEngine(o)
 		c := engineClient()
-		f := target.FailureOf(generate(ctx, c, address, asking("i", "IMPOSSIBLE-ITEM"), nil).err)
+		f := target.FailureOf(generate(ctx, c, address, request("i", "IMPOSSIBLE-ITEM"), nil).err)
 		Expect([]any{f.Rejected, f.Reached, f.Busy, f.Status}).To(Equal([]any{true, true, false, 422}))
 
 		other := target.GenerateRequest{Model: "drawing", Messages: prompt("x")}
@@ -90,7 +90,7 @@
 		Expect([]any{f.Rejected, f.Reached, f.Busy, f.Status}).To(Equal([]any{false, false, true, 409}))
 
 		control(address, `{"leaving":true}`)
-		f = target.FailureOf(generate(ctx, c, address, asking("l", "hello"), nil).err)
+		f = target.FailureOf(generate(ctx, c, address, request("l", "hello"), nil).err)
 		Expect([]any{f.Rejected, f.Reached, f.Busy, f.Status}).To(Equal([]any{false, false, true, 503}))
 		Expect(s.Stats().ReceivedLeaving).To(Equal(1))
 	})
@@ -100,12 +100,12 @@
 	It("reports a frozen engine as reached, neither crashed nor refusing", func() {
 		s, address := startEngine(fastEngine())
 		control(address, `{"frozen":true}`)
-		waiting, giveUp := context.WithCancel(ctx)
+		streamCtx, cancel := context.WithCancel(ctx)
 		ended := make(chan result, 1)
 		c := engineClient()
-		go func() { ended <- generate(waiting, c, address, asking("f", "hello"), nil) }()
+		go func() { ended <- generate(streamCtx, c, address, request("f", "hello"), nil) }()
 		Eventually(func() int { return s.Stats().Held }, bound).Should(Equal(1))
-		giveUp()
+		cancel()
 		err := (<-ended).err
 		Expect(err).To(MatchError(context.Canceled))
 		Expect([]bool{target.FailureOf(err).Reached, target.FailureOf(err).Crashed}).To(Equal([]bool{true, false}))
@@ -120,10 +120,10 @@
 		batch, stop := context.WithCancel(target.WithUrgency(ctx, target.UrgencyBatch))
 		control(address, slow)
 		started, ended := make(chan struct{}, 1000), make(chan result, 2)
-		go func() { ended <- generate(batch, c, address, asking("b1", "long"), func() { started <- struct{}{} }) }()
+		go func() { ended <- generate(batch, c, address, request("b1", "long"), func() { started <- struct{}{} }) }()
 		Eventually(started, bound).Should(Receive())
-		go func() { ended <- generate(batch, c, address, asking("b2", "long"), nil) }()
-		online := asking("o", "hello")
+		go func() { ended <- generate(batch, c, address, request("b2", "long"), nil) }()
+		online := request("o", "hello")
 		online.MaxTokens = 1
 		Expect(generate(ctx, c, address, online, nil).err).NotTo(HaveOccurred())
 		stop()
@@ -138,7 +138,7 @@
 		s, address := startEngine(fastEngine())
 		control(address, slow)
 		full := errors.New("sink is full")
-		_, err := engineClient().Generate(ctx, address, asking("s", "hello"), func(target.Token) error { return full })
+		_, err := engineClient().Generate(ctx, address, request("s", "hello"), func(target.Token) error { return full })
 		Expect(err).To(BeIdenticalTo(full))
 		Eventually(func() string { return s.Records()[0].Ended }, bound).Should(Equal(engine.EndedCancelled))
 	})
@@ -170,7 +170,7 @@
 		address := startHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = fmt.Fprint(w, lines)
 		}), func() {})
-		f := target.FailureOf(generate(ctx, engineClient(), address, asking("s", "hello"), nil).err)
+		f := target.FailureOf(generate(ctx, engineClient(), address, request("s", "hello"), nil).err)
 		Expect(f).NotTo(BeNil())
 		Expect([]bool{f.Reached, f.Crashed, f.Rejected}).To(Equal([]bool{true, crashed, false}))
 	},
--- a/target/h1/h1_test.go
+++ b/target/h1/h1_test.go
@@ -243,30 +243,30 @@
 	})
 
 	It("distinguishes an unreachable target from one that does not answer", func() {
-		gone := start(echo)
-		gone.Close()
-		_, err := exchange(gone, "1")
+		closed := start(echo)
+		closed.Close()
+		_, err := exchange(closed, "1")
 		Expect(errorx.IsOfType(err, h1.NotSent)).To(BeTrue(), "%v", err)
 
-		mute := start(func(*rawtarget.Request, net.Conn) {})
+		silent := start(func(*rawtarget.Request, net.Conn) {})
 		o := options("1")
 		o.MaxWait = 50 * time.Millisecond
-		_, err = pool.Do(context.Background(), mute.Address, request("1"), o)
+		_, err = pool.Do(context.Background(), silent.Address, request("1"), o)
 		Expect(errorx.IsOfType(err, h1.Silent)).To(BeTrue(), "%v", err)
-		Eventually(mute.Open).WithTimeout(limit).Should(BeZero())
+		Eventually(silent.Open).WithTimeout(limit).Should(BeZero())
 	})
 
 	It("closes the connection when its context ends, so that the target stops", func() {
-		mute := start(func(*rawtarget.Request, net.Conn) {})
+		silent := start(func(*rawtarget.Request, net.Conn) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() {
-			_, err := pool.Do(ctx, mute.Address, request("1"), options("1"))
+			_, err := pool.Do(ctx, silent.Address, request("1"), options("1"))
 			done <- err
 		}()
-		Eventually(mute.Requests).WithTimeout(limit).Should(HaveLen(1))
+		Eventually(silent.Requests).WithTimeout(limit).Should(HaveLen(1))
 		cancel()
 		Eventually(done).WithTimeout(limit).Should(Receive(HaveOccurred()))
-		Eventually(mute.Open).WithTimeout(limit).Should(BeZero())
+		Eventually(silent.Open).WithTimeout(limit).Should(BeZero())
 	})
 })
--- a/target/h1/pool.go
+++ b/target/h1/pool.go
@@ -159,18 +159,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
-		fresh := slices.DeleteFunc(list, func(c *conn) bool {
-			old := time.Since(c.idleSince) > c.keepAlive
-			if old {
+		kept := slices.DeleteFunc(list, func(c *conn) bool {
+			expired := time.Since(c.idleSince) > c.keepAlive
+			if expired {
 				_ = c.Close()
 			}
-			return old
+			return expired
 		})
-		if len(fresh) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = fresh
+		p.idle[address] = kept
 	}
 }
 
--- a/target/rawtarget/rawtarget.go
+++ b/target/rawtarget/rawtarget.go
@@ -56,15 +56,15 @@
 			return
 		}
 		t.mu.Lock()
-		number := t.conns
+		connIndex := t.conns
 		t.conns++
 		t.open[c] = true
 		t.mu.Unlock()
-		go t.serve(c, number)
+		go t.serve(c, connIndex)
 	}
 }
 
-func (t *Target) serve(c net.Conn, number int) {
+func (t *Target) serve(c net.Conn, connIndex int) {
 	defer func() {
 		_ = c.Close()
 		t.mu.Lock()
@@ -72,16 +72,16 @@
 		t.mu.Unlock()
 	}()
 	reader := bufio.NewReader(c)
-	for turn := 0; ; turn++ {
-		got, err := http.ReadRequest(reader)
+	for index := 0; ; index++ {
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(got.Body)
+		body, err := io.ReadAll(req.Body)
 		if err != nil {
 			return
 		}
-		r := Request{Method: got.Method, URI: got.RequestURI, Host: got.Host, Header: got.Header, Body: body, Conn: number, Index: turn}
+		r := Request{Method: req.Method, URI: req.RequestURI, Host: req.Host, Header: req.Header, Body: body, Conn: connIndex, Index: index}
 		t.mu.Lock()
 		t.requests = append(t.requests, r)
 		hook := t.hook
--- a/target/serviceclient_test.go
+++ b/target/serviceclient_test.go
@@ -20,7 +20,7 @@
 		DeferCleanup(c.Close)
 		return c
 	}
-	warm := target.ServiceRequest{Method: http.MethodGet, Path: "/menu?day=1"}
+	warmUp := target.ServiceRequest{Method: http.MethodGet, Path: "/menu?day=1"}
 
 	// Guards against double execution: the service executes an order and the connection
 	// breaks before the answer. Since the connection was reused, Go's transport would
@@ -28,7 +28,7 @@
 	DescribeTable("a call that is executed and then cut on a reused connection", func(method string, body []byte) {
 		s, address := startService()
 		c := client()
-		_, err := c.Call(context.Background(), address, warm)
+		_, err := c.Call(context.Background(), address, warmUp)
 		Expect(err).NotTo(HaveOccurred())
 		control(address, `{"answer_lost":1}`)
 		_, err = c.Call(ctx, address, target.ServiceRequest{Method: method, Path: "/orders", Body: body})
@@ -81,7 +81,7 @@
 		address := startHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}), func() {})
-		_, err := client().Call(ctx, address, warm)
+		_, err := client().Call(ctx, address, warmUp)
 		Expect([]bool{target.FailureOf(err).Reached, target.FailureOf(err).Busy}).To(Equal([]bool{true, false}))
 	})
 
@@ -101,7 +101,7 @@
 			w.Header().Set("Content-Length", "100")
 			_, _ = w.Write([]byte("half"))
 		}), func() {})
-		resp, err := client().Call(ctx, address, warm)
+		resp, err := client().Call(ctx, address, warmUp)
 		Expect([]bool{target.FailureOf(err).Reached, target.FailureOf(err).Crashed}).To(Equal([]bool{true, true}))
 		Expect(resp.Body).To(BeEmpty())
 	})
--- a/target/target.go
+++ b/target/target.go
@@ -144,8 +144,9 @@
 	Crashed bool
 	// Rejected is true if the target refused the content (4xx): retrying is useless.
 	Rejected bool
-	// Busy is true if the target did not run the request because it is overloaded
-	// or shutting down (429, 503).
+	// Busy is true if the target refused the request without running it, because it
+	// is overloaded or shutting down (429, 503) or for another reason that it stated
+	// with HeaderRun.
 	Busy bool
 	// Status is the HTTP status, 0 if no response was received.
 	Status int
