--- a/caller/caller.go
+++ b/caller/caller.go
@@ -37,7 +37,7 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}}
 }
 
-// RefusalError is the error for a response whose status is not 2xx.
+// Refused is the error for a response whose status is not 2xx.
 type Refused struct {
 	// Status is the HTTP status.
 	Status int
@@ -132,7 +132,7 @@
 }
 
 // do sends a request and returns the status and the whole body. For a status that is not
-// 2xx the error is a *RefusalError.
+// 2xx the error is a *Refused.
 func (c *Client) do(ctx context.Context, method, path string, body io.Reader, o Options, header http.Header) (int, []byte, error) {
 	resp, err := c.send(ctx, method, path, body, o, header)
 	if err != nil {
@@ -176,15 +176,15 @@
 // KeyedRequest returns the state of the request with the given idempotency key and the
 // caller in o.
 func (c *Client) KeyedRequest(ctx context.Context, o Options, key string) (KeyedRequest, error) {
-	var kept KeyedRequest
+	var request KeyedRequest
 	_, text, err := c.do(ctx, http.MethodGet, "/v1/requests/"+key, nil, o, nil)
 	if err != nil {
-		return kept, err
+		return request, err
 	}
-	return kept, json.Unmarshal(text, &kept)
+	return request, json.Unmarshal(text, &request)
 }
 
-// AsRefusal returns the *RefusalError in err's chain, or nil if there is none.
+// AsRefusal returns the *Refused in err's chain, or nil if there is none.
 func AsRefusal(err error) *Refused {
 	var refused *Refused
 	if errors.As(err, &refused) {
--- a/caller/chat.go
+++ b/caller/chat.go
@@ -41,14 +41,14 @@
 
 // Content returns the text in the body of a chat completion that was not streamed.
 func Content(body []byte) (string, error) {
-	var whole completion
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var response completion
+	if err := json.Unmarshal(body, &response); err != nil {
 		return "", err
 	}
-	if len(whole.Choices) == 0 {
+	if len(response.Choices) == 0 {
 		return "", fmt.Errorf("no choice in %q", body)
 	}
-	return whole.Choices[0].Message.Content, nil
+	return response.Choices[0].Message.Content, nil
 }
 
 // Chat sends a chat completion without streaming and returns the text of the answer.
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -101,7 +101,7 @@
 
 // writeBurnPage writes the report as one HTML file.
 func (a *app) writeBurnPage(path string, r fleetBurn) error {
-	picture, err := burnPlot(r.Report)
+	svg, err := burnPlot(r.Report)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 		Title:  "Service-level burn",
 		At:     formatTime(r.AtMs),
 		Notes:  r.notes(),
-		Plot:   picture,
+		Plot:   svg,
 		Blocks: burnBlocks(r.Report),
 	})
 	if err != nil {
@@ -169,12 +169,13 @@
 	return append(row, percent(o.BudgetLeft), alert)
 }
 
-// percent formats a share as a percentage with four significant digits. It never uses
-// an exponent, which would be hard to read for a budget that is overspent many times.
+// percent formats a share as a percentage with four significant digits, or without
+// decimals from 1000% on. It never uses an exponent, which would be hard to read for a
+// budget that is overspent many times.
 func percent(share float64) string {
-	const hundred, wide = 100, 1000
-	value := share * hundred
-	if math.Abs(value) >= wide {
+	const percentPerUnit, noDecimalsFrom = 100, 1000
+	value := share * percentPerUnit
+	if math.Abs(value) >= noDecimalsFrom {
 		return strconv.FormatFloat(value, 'f', 0, 64) + "%"
 	}
 	return strconv.FormatFloat(value, 'g', 4, 64) + "%"
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -185,7 +185,7 @@
 		Expect(run(cli.Programs{}, "status", "--json", "--daemon", url).out).To(Equal(body))
 	})
 
-	DescribeTable("reports burn as a table, as a page, or unchanged as JSON", func(left float64, told string) {
+	DescribeTable("reports burn as a table, as a page, or unchanged as JSON", func(left float64, leftCell string) {
 		report := burn.Report{AtMs: 1, Profiles: []burn.ProfileReport{{Profile: "p", Objectives: []burn.ObjectiveReport{{
 			Objective: "availability", Share: 0.995, BudgetLeft: left, Alerting: true, Alert: burn.FastAlert,
 			Windows:    []burn.WindowBurn{{Window: "5m", Burn: 20, Total: 100, Bad: 10}},
@@ -197,7 +197,7 @@
 		path := filepath.Join(GinkgoT().TempDir(), "burn.html")
 		Expect(run(cli.Programs{}, "report", "burn", "--html", path, "--daemon", url).out).To(ContainSubstring(
 			"burn:\nPROFILE  OBJECTIVE     SHARE  5M              BUDGET LEFT  ALERT\n" +
-				"p        availability  99.5%  20.00 (10/100)  " + told + "FAST\n\n" +
+				"p        availability  99.5%  20.00 (10/100)  " + leftCell + "FAST\n\n" +
 				"reasons in the last 6h:\nPROFILE  OBJECTIVE     TARGET GROUP  REASON     COUNT\n" +
 				"p        availability  <g>           no_target  10\n"))
 		page, err := os.ReadFile(path)
--- a/load/experiment.go
+++ b/load/experiment.go
@@ -27,7 +27,7 @@
 // Plan describes an experiment. Every arm runs once in every round. The arms of a round
 // use the same seed for arrivals, so that all of them get requests at the same times.
 type Plan struct {
-	// Arms run in this order in each round.
+	// Arms run in this order in each round, each round starting with the next arm.
 	Arms []Arm
 	// Rounds is how often the sequence of arms is run.
 	Rounds int
@@ -72,9 +72,9 @@
 // Run runs the plan and returns one result per arm. It calls progress with a line of
 // text after each arm of each round.
 func Run(ctx context.Context, client *Client, plan Plan, apply SettingsPublisher, progress func(string)) ([]Result, error) {
-	tallies := make([]armTotals, len(plan.Arms))
-	for i := range tallies {
-		tallies[i].all = NewRecorder()
+	totals := make([]armTotals, len(plan.Arms))
+	for i := range totals {
+		totals[i].all = NewRecorder()
 	}
 	if err := warmUp(ctx, client, plan, apply); err != nil {
 		return nil, fmt.Errorf("warming up: %w", err)
@@ -88,16 +88,16 @@
 			if err := apply(ctx, arm.Settings); err != nil {
 				return nil, fmt.Errorf("publishing the settings of arm %s: %w", arm.Name, err)
 			}
-			if err := tallies[i].run(ctx, client, plan, arm, round, plan.tailSeed(round, i)); err != nil {
+			if err := totals[i].run(ctx, client, plan, arm, round, plan.tailSeed(round, i)); err != nil {
 				return nil, fmt.Errorf("arm %s, round %d: %w", arm.Name, round, err)
 			}
-			f := tallies[i].rounds[round]
+			f := totals[i].rounds[round]
 			progress(fmt.Sprintf("round=%d arm=%s ttft_p99_ms=%.1f gap_p99_ms=%.1f failed=%d batch_per_second=%.1f",
 				round, arm.Name, f.FirstTokenP99, f.InterTokenP99, f.Failed, f.BatchPerSecond))
 		}
 	}
 	results := make([]Result, len(plan.Arms))
-	for i, t := range tallies {
+	for i, t := range totals {
 		results[i] = Result{Arm: plan.Arms[i], Summary: t.summary(t.all, t.batch, t.seconds), Rounds: t.rounds}
 	}
 	return results, nil
--- a/load/prompts.go
+++ b/load/prompts.go
@@ -27,10 +27,10 @@
 // prefixes depend on prefixSeed only. tailSeed must differ between arms; otherwise the
 // caches would already have the whole prompts of an earlier arm.
 func NewPrompts(prefixes, prefixWords, tailWords int, prefixSeed, tailSeed uint64) *Prompts {
-	fixed := rand.New(rand.NewPCG(prefixSeed, prefixStream))
+	prefixRNG := rand.New(rand.NewPCG(prefixSeed, prefixStream))
 	p := &Prompts{rng: rand.New(rand.NewPCG(tailSeed, tailStream)), tail: tailWords}
 	for i := range prefixes {
-		p.prefixes = append(p.prefixes, words(fixed, fmt.Sprintf("menu%d", i), prefixWords))
+		p.prefixes = append(p.prefixes, words(prefixRNG, fmt.Sprintf("menu%d", i), prefixWords))
 	}
 	return p
 }
--- a/standin/control/control.go
+++ b/standin/control/control.go
@@ -78,8 +78,8 @@
 	if c.Request().URL.RawPath == "" {
 		return value
 	}
-	if plain, err := url.PathUnescape(value); err == nil {
-		return plain
+	if unescaped, err := url.PathUnescape(value); err == nil {
+		return unescaped
 	}
 	return value
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -44,12 +44,12 @@
 		o.Slots = 1
 		o.BaseStepMs = 2000
 		s, address, c := startEngine(o)
-		leaving, leave := context.WithCancel(ctx)
-		gone := startGenerate(leaving, s, c, address, newRequest("gone", "a", 0))
+		clientCtx, disconnect := context.WithCancel(ctx)
+		disconnected := startGenerate(clientCtx, s, c, address, newRequest("gone", "a", 0))
 		cancelled := startGenerate(ctx, s, c, address, newRequest("cancelled", "b", 0))
 		last := startGenerate(ctx, s, c, address, newRequest("last", "c", 1))
-		leave()
-		Eventually(gone, bound).Should(Receive(HaveOccurred()))
+		disconnect()
+		Eventually(disconnected, bound).Should(Receive(HaveOccurred()))
 		Expect(c.Cancel(ctx, address, "cancelled")).To(Succeed())
 		Eventually(cancelled, bound).Should(Receive(MatchError(target.ErrStreamCancelled)))
 		Eventually(last, bound).Should(Receive(BeNil()))
@@ -83,18 +83,18 @@
 
 	It("delays cache events", func() {
 		_, address, c := startEngine(fastOptions())
-		late := fastOptions()
-		late.EventDelayMs = 3_600_000
-		_, lateAddress, _ := startEngine(late)
+		delayed := fastOptions()
+		delayed.EventDelayMs = 3_600_000
+		_, delayedAddress, _ := startEngine(delayed)
 		req := newRequest("s", strings.Repeat("x", 200), 1)
-		for _, a := range []string{address, lateAddress} {
+		for _, a := range []string{address, delayedAddress} {
 			_, err := c.Generate(ctx, a, req, discard)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		hashes := target.PrefixHashes(req.Messages)
 		Eventually(func() ([]target.CacheEvent, error) { return c.CacheEvents(ctx, address, 0) }, bound).
 			Should(ContainElement(target.CacheEvent{Seq: 1, Prefix: hashes[len(hashes)-1], Stored: true}))
-		Expect(c.CacheEvents(ctx, lateAddress, 0)).To(BeEmpty())
+		Expect(c.CacheEvents(ctx, delayedAddress, 0)).To(BeEmpty())
 	})
 
 	It("reports its load with a lag", func() {
@@ -139,9 +139,9 @@
 		ended := startGenerate(ctx, s, c, address, newRequest("s", "x", 0))
 		frozen := true
 		s.change(controlChange{Frozen: &frozen})
-		silent, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer cancel()
-		Expect(c.Health(silent, address)).To(MatchError(context.DeadlineExceeded))
+		Expect(c.Health(shortCtx, address)).To(MatchError(context.DeadlineExceeded))
 		frozen = false
 		s.change(controlChange{Frozen: &frozen})
 		Eventually(ended, bound).Should(Receive(BeNil()))
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -21,9 +21,9 @@
 // add appends a sample and drops those too old to be reported with the given lag.
 func (h *loadHistory) add(s loadSample, lag time.Duration) {
 	h.samples = append(h.samples, s)
-	shown := h.indexAt(s.at.Add(-lag))
-	if shown > len(h.samples)/2 {
-		h.samples = append(h.samples[:0], h.samples[shown:]...)
+	reported := h.indexAt(s.at.Add(-lag))
+	if reported > len(h.samples)/2 {
+		h.samples = append(h.samples[:0], h.samples[reported:]...)
 	}
 }
 
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -44,7 +44,8 @@
 	return q
 }
 
-// hashes returns the block hashes of the prompt and the tokens generated so far.
+// hashes returns the block hashes of the prompt and the answer so far, including resumed
+// tokens.
 func (q *sequence) hashes() []string {
 	return target.BlockHashes(target.PromptBytes(q.req.Messages, q.answer[:q.next]))
 }
--- a/standin/hostlist/hostlist_test.go
+++ b/standin/hostlist/hostlist_test.go
@@ -43,7 +43,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		return answer.Code, strings.TrimSpace(string(text))
 	}
-	shown := func() string {
+	visibleList := func() string {
 		_, text := call("GET", "/v1/hosts", "")
 		return text
 	}
@@ -51,26 +51,26 @@
 	// A host begins to leave and is removed a second later. Readers see each change
 	// only after the lag, and until then the previous state.
 	It("shows each change after the lag, in order", func() {
-		Expect(shown()).To(Equal(`{"version":1,"hosts":[]}`))
+		Expect(visibleList()).To(Equal(`{"version":1,"hosts":[]}`))
 		call("PUT", "/control/hosts/d1", hostLine)
-		Expect(shown()).To(Equal(`{"version":1,"hosts":[]}`))
+		Expect(visibleList()).To(Equal(`{"version":1,"hosts":[]}`))
 		now = now.Add(2 * time.Second)
-		Expect(shown()).To(Equal(`{"version":2,"hosts":[` + hostLine + `]}`))
+		Expect(visibleList()).To(Equal(`{"version":2,"hosts":[` + hostLine + `]}`))
 
 		call("PUT", "/control/hosts/d1", leaving)
 		now = now.Add(time.Second)
 		call("DELETE", "/control/hosts/d1", "")
 		now = now.Add(time.Second)
-		Expect(shown()).To(Equal(`{"version":3,"hosts":[` + leaving + `]}`))
+		Expect(visibleList()).To(Equal(`{"version":3,"hosts":[` + leaving + `]}`))
 		now = now.Add(time.Second)
-		Expect(shown()).To(Equal(`{"version":4,"hosts":[]}`))
+		Expect(visibleList()).To(Equal(`{"version":4,"hosts":[]}`))
 	})
 
 	It("keeps its version when nothing changes and applies a new lag", func() {
 		call("PUT", "/control/hosts/d1", hostLine)
 		call("PUT", "/control/hosts/d1", hostLine)
 		call("PUT", "/control/faults", `{"outage":false,"lag_ms":0}`)
-		Expect(shown()).To(Equal(`{"version":2,"hosts":[` + hostLine + `]}`))
+		Expect(visibleList()).To(Equal(`{"version":2,"hosts":[` + hostLine + `]}`))
 	})
 
 	It("rejects invalid hosts", func() {
--- a/standin/logsvc/logsvc_test.go
+++ b/standin/logsvc/logsvc_test.go
@@ -33,7 +33,7 @@
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
@@ -43,9 +43,9 @@
 // with the server, so they would not notice if both deviated from the contract.
 var _ = Describe("The log service", func() {
 	var (
-		now    *clock
-		server *logsvc.Server
-		web    *httptest.Server
+		now        *clock
+		server     *logsvc.Server
+		httpServer *httptest.Server
 	)
 
 	start := func(opts logsvc.Options) {
@@ -54,14 +54,14 @@
 		var err error
 		server, err = logsvc.New(opts)
 		Expect(err).NotTo(HaveOccurred())
-		web = httptest.NewServer(server.Handler())
+		httpServer = httptest.NewServer(server.Handler())
 		DeferCleanup(func() {
 			server.Close()
-			web.Close()
+			httpServer.Close()
 		})
 	}
 	call := func(method, path, body string) (int, string, http.Header) {
-		req, err := http.NewRequest(method, web.URL+path, strings.NewReader(body))
+		req, err := http.NewRequest(method, httpServer.URL+path, strings.NewReader(body))
 		Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("X-Client", "daemon-1")
 		resp, err := http.DefaultClient.Do(req)
@@ -98,12 +98,12 @@
 	It("drops records older than the retention and never reuses an offset", func() {
 		start(logsvc.Options{Retention: 10 * time.Second})
 		Expect(post("s", "old")).To(Equal(200))
-		now.pass(6 * time.Second)
+		now.advance(6 * time.Second)
 		Expect(post("s", "new")).To(Equal(200))
-		now.pass(5 * time.Second)
+		now.advance(5 * time.Second)
 		Expect(get("/v1/streams/s/records?from=0")).To(Equal(
 			`{"first":1,"next":2,"records":[{"offset":1,"at_ms":1006000,"data":"bmV3"}]}`))
-		now.pass(time.Hour)
+		now.advance(time.Hour)
 		Expect(get("/v1/streams/s")).To(Equal(`{"first":2,"next":2}`))
 		_, text, _ := call("POST", "/v1/streams/s/records", "next")
 		Expect(text).To(Equal(`{"offset":2}`))
@@ -118,9 +118,9 @@
 		Expect(status).To(Equal(429))
 		Expect(text).To(Equal(`{"error":"rate limit exceeded","retry_after_ms":500}`))
 		Expect(header.Get("Retry-After")).To(Equal("1"))
-		now.pass(500 * time.Millisecond)
+		now.advance(500 * time.Millisecond)
 		Expect(post("s0", "x")).To(Equal(200))
-		now.pass(700 * time.Millisecond)
+		now.advance(700 * time.Millisecond)
 		Expect(get("/control/stats")).To(Equal(`{"appends":4,"bytes":4,"rejected":1,"limited":1,"lost_answers":0,` +
 			`"reads":0,"read_bytes":0,"waiting_reads":0,"appends_last_second":1,"peak_appends_per_second":4}`))
 	})
