--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -127,11 +127,11 @@
 // request is interrupted, and shards and batch items are handed off. It returns nil after a
 // complete stop.
 func (d *Daemon) Run(ctx context.Context) error {
-	dutyCtx, stop := context.WithCancel(context.Background())
+	loopCtx, stop := context.WithCancel(context.Background())
 	d.stop = stop
 	defer stop()
-	group := duty.NewGroup(dutyCtx)
-	d.startDuties(group)
+	group := duty.NewGroup(loopCtx)
+	d.startLoops(group)
 	serving := d.serve(group)
 	d.logger.Info("started",
 		zap.String("zone", d.settings.Host.Zone),
@@ -150,8 +150,8 @@
 	return d.finish(group)
 }
 
-// startDuties starts the background loops of all components.
-func (d *Daemon) startDuties(group *duty.Group) {
+// startLoops starts the background loops of all components.
+func (d *Daemon) startLoops(group *duty.Group) {
 	d.members.Run(group)
 	d.config.Run(group)
 	d.shards.Run(group)
--- a/daemon/online/chat.go
+++ b/daemon/online/chat.go
@@ -92,12 +92,12 @@
 }
 
 func decodeChat(a *ledger.Answer) (api.ChatResult, *outcome.Refusal) {
-	kept, err := chat.DecodeAnswer(a.Body)
+	decoded, err := chat.DecodeAnswer(a.Body)
 	if err != nil {
 		return api.ChatResult{}, outcome.Refuse(outcome.Conflict, "the key's kept answer is not a chat's").
 			WithRun(outcome.Ran)
 	}
-	return api.ChatResult{Text: kept.Text, Finish: kept.Finish}, nil
+	return api.ChatResult{Text: decoded.Text, Finish: decoded.Finish}, nil
 }
 
 // stream collects one chat's tokens over all attempts.
--- a/daemon/online/online.go
+++ b/daemon/online/online.go
@@ -122,7 +122,7 @@
 		return
 	}
 	o.config = c
-	kept := make(map[string]*group, len(c.Groups))
+	groups := make(map[string]*group, len(c.Groups))
 	for name, groupConfig := range c.Groups {
 		g := o.groups[name]
 		if g == nil {
@@ -130,9 +130,9 @@
 		}
 		g.update(groupConfig, c.Limits.RetryShare)
 		g.markLeaving(o.opt.View.TargetLeaving)
-		kept[name] = g
+		groups[name] = g
 	}
-	o.groups = kept
+	o.groups = groups
 	o.opt.Signals.Watch(addressesOf(c))
 }
 
--- a/daemon/online/online_test.go
+++ b/daemon/online/online_test.go
@@ -24,15 +24,15 @@
 	// caller must get one complete text: no token twice, none missing.
 	It("resumes at another target without a duplicate or missing token", func() {
 		b := newBench("a:1", "b:1", "c:1")
-		whole := []string{"one ", "two ", "three ", "four ", "five ", "six "}
-		dieAt := []int{3, 5}
+		tokens := []string{"one ", "two ", "three ", "four ", "five ", "six "}
+		failAt := []int{3, 5}
 		var attempt atomic.Int32
 		b.engine.OnGenerate = func(string, target.GenerateRequest) faketarget.Generation {
 			i := int(attempt.Add(1)) - 1
-			if i < len(dieAt) {
-				return faketarget.Generation{Tokens: whole[:dieAt[i]], Err: &target.Failure{Reached: true, Crashed: i == 0, Detail: "broke"}}
+			if i < len(failAt) {
+				return faketarget.Generation{Tokens: tokens[:failAt[i]], Err: &target.Failure{Reached: true, Crashed: i == 0, Detail: "broke"}}
 			}
-			return faketarget.Generation{Tokens: whole}
+			return faketarget.Generation{Tokens: tokens}
 		}
 		b.start()
 		var seen []string
@@ -42,12 +42,12 @@
 			return nil
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(seen).To(Equal(whole))
+		Expect(seen).To(Equal(tokens))
 		Expect(result.Text).To(Equal("one two three four five six "))
 		calls := b.engine.Calls()
 		Expect(calls).To(HaveLen(3))
-		Expect(calls[1].Request.ResumeTokens).To(Equal(whole[:3]))
-		Expect(calls[2].Request.ResumeTokens).To(Equal(whole[:5]))
+		Expect(calls[1].Request.ResumeTokens).To(Equal(tokens[:3]))
+		Expect(calls[2].Request.ResumeTokens).To(Equal(tokens[:5]))
 		Expect(calls[1].Address).NotTo(Equal(calls[0].Address))
 		Expect(b.signals.open).To(BeZero())
 	})
@@ -75,8 +75,8 @@
 		Expect(result.Text).To(Equal(text))
 	})
 
-	// The caller's connection closes in the middle of an answer. The request must end and
-	// not be retried at another target.
+	// The caller's connection closes in the middle of an answer. The target must not generate
+	// the rest of an answer that is no longer wanted, and the request must not be retried.
 	It("is cancelled at the target when the caller stops reading", func() {
 		b := newBench("a:1", "b:1")
 		b.start()
@@ -167,11 +167,11 @@
 	// continues, and its outcome is stored for the resend.
 	It("completes when the caller disconnects", func() {
 		b := newBench("a:1")
-		begun, goOn := make(chan struct{}), make(chan struct{})
+		begun, proceed := make(chan struct{}), make(chan struct{})
 		b.service.OnCall = func(ctx context.Context, _ string, r target.ServiceRequest) (target.ServiceResponse, error) {
 			close(begun)
 			select {
-			case <-goOn:
+			case <-proceed:
 				return target.ServiceResponse{Status: 200, Body: r.Body}, nil
 			case <-ctx.Done():
 				return target.ServiceResponse{}, &target.Failure{Reached: true, Err: ctx.Err(), Detail: "cut"}
@@ -186,7 +186,7 @@
 		}()
 		<-begun
 		leave()
-		close(goOn)
+		close(proceed)
 		Expect(<-done).NotTo(HaveOccurred())
 		answer, err := b.online.Service(context.Background(), serviceOf(order, "k1", "breakfast"))
 		Expect(err).NotTo(HaveOccurred())
@@ -284,7 +284,7 @@
 		first, err := b.online.Chat(context.Background(), chatOf(menu, "k1", "hello"), nil)
 		Expect(err).NotTo(HaveOccurred())
 		b.ledger.setDown(false)
-		Eventually(func() bool { _, kept := b.ledger.end("hotel/k1"); return kept }, "10s").Should(BeTrue())
+		Eventually(func() bool { _, stored := b.ledger.end("hotel/k1"); return stored }, "10s").Should(BeTrue())
 		again, err := b.online.Chat(context.Background(), chatOf(menu, "k1", "hello"), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again.Replayed).To(BeTrue())
--- a/daemon/online/service.go
+++ b/daemon/online/service.go
@@ -83,7 +83,7 @@
 		if refusal := o.attemptAll(ctx, r, try); refusal != nil {
 			return nil, refusal
 		}
-		return keptAnswer(*response), nil
+		return ledgerAnswer(*response), nil
 	})
 	if refusal != nil {
 		return target.ServiceResponse{}, refusal
@@ -98,6 +98,6 @@
 	return target.ServiceResponse{Status: answer.Status, Header: header, Body: answer.Body}, nil
 }
 
-func keptAnswer(r target.ServiceResponse) *ledger.Answer {
+func ledgerAnswer(r target.ServiceResponse) *ledger.Answer {
 	return &ledger.Answer{Status: r.Status, ContentType: r.Header.Get(headerContentType), Body: r.Body}
 }
--- a/daemon/online/stall.go
+++ b/daemon/online/stall.go
@@ -91,9 +91,9 @@
 
 // stallError returns a target failure if the attempt ended by a stall, and err otherwise.
 // After a stall the request may have run, since the target received it.
-func stallError(attempt, whole context.Context, err error) error {
+func stallError(attempt, request context.Context, err error) error {
 	cause := context.Cause(attempt)
-	if whole.Err() != nil || !errors.Is(cause, errStalled) && !errors.Is(cause, errSlow) {
+	if request.Err() != nil || !errors.Is(cause, errStalled) && !errors.Is(cause, errSlow) {
 		return err
 	}
 	return &target.Failure{Reached: true, Detail: cause.Error(), Err: cause}
--- a/daemon/online/suite_test.go
+++ b/daemon/online/suite_test.go
@@ -67,9 +67,9 @@
 	mu   sync.Mutex
 	down bool
 	// broken makes every Begin fail without a refusal, as a broken connection does.
-	broken bool
-	kept   map[string]ledger.FinishRequest
-	begun  map[string]string
+	broken   bool
+	finished map[string]ledger.FinishRequest
+	begun    map[string]string
 }
 
 func (l *fakeLedger) Begin(_ context.Context, r ledger.BeginRequest) (ledger.BeginReply, error) {
@@ -81,7 +81,7 @@
 	if l.down {
 		return ledger.BeginReply{}, outcome.Refuse(outcome.LogUnavailable, "the log is out").After(700)
 	}
-	if end, ok := l.kept[r.Key]; ok {
+	if end, ok := l.finished[r.Key]; ok {
 		return ledger.BeginReply{Verdict: ledger.Settled, Answer: end.Answer, Refusal: end.Refusal}, nil
 	}
 	if nonce, ok := l.begun[r.Key]; ok && nonce != r.Nonce {
@@ -99,7 +99,7 @@
 	}
 	delete(l.begun, r.Key)
 	if r.Refusal == nil || r.Refusal.Run != outcome.NotRun {
-		l.kept[r.Key] = r
+		l.finished[r.Key] = r
 	}
 	return ledger.FinishReply{Durable: true, Answer: r.Answer, Refusal: r.Refusal}, nil
 }
@@ -113,7 +113,7 @@
 func (l *fakeLedger) end(key string) (ledger.FinishRequest, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	end, ok := l.kept[key]
+	end, ok := l.finished[key]
 	return end, ok
 }
 
@@ -136,7 +136,7 @@
 	// restarts makes the engine send every answer from its first token, whatever the
 	// request resumes after.
 	restarts bool
-	// orderPatience is how long a non-repeatable request waits for its owner; 0 is 100 ms.
+	// nonRepeatableBeginWait is how long a non-repeatable request waits for its owner; 0 is 100 ms.
 	nonRepeatableBeginWait time.Duration
 	service                faketarget.Service
 	ledger                 *fakeLedger
@@ -145,12 +145,12 @@
 	config                 *config.Config
 	online                 *online.Online
 	stop                   context.CancelFunc
-	duties                 *duty.Group
+	loops                  *duty.Group
 }
 
 func newBench(targets ...string) *bench {
 	b := &bench{
-		ledger:  &fakeLedger{kept: map[string]ledger.FinishRequest{}, begun: map[string]string{}},
+		ledger:  &fakeLedger{finished: map[string]ledger.FinishRequest{}, begun: map[string]string{}},
 		signals: &signals{},
 	}
 	var list []config.Target
@@ -184,9 +184,9 @@
 	Expect(err).NotTo(HaveOccurred())
 	var ctx context.Context
 	ctx, b.stop = context.WithCancel(context.Background())
-	b.duties = duty.NewGroup(ctx)
-	b.online.Run(b.duties)
-	DeferCleanup(func() { b.stop(); b.duties.Wait() })
+	b.loops = duty.NewGroup(ctx)
+	b.online.Run(b.loops)
+	DeferCleanup(func() { b.stop(); b.loops.Wait() })
 }
 
 var (
--- a/daemon/steward/assign.go
+++ b/daemon/steward/assign.go
@@ -151,9 +151,9 @@
 func (s *Steward) stopOverdue(now time.Time, targets map[string]*targetState) {
 	for _, t := range targets {
 		t.mu.Lock()
-		lost := !t.lostAt.IsZero() && now.Sub(t.lostAt) >= lostGrace
-		left := !t.leavingAt.IsZero() && now.Sub(t.leavingAt) >= leavingGrace
-		if lost || left {
+		lostOverdue := !t.lostAt.IsZero() && now.Sub(t.lostAt) >= lostGrace
+		leavingOverdue := !t.leavingAt.IsZero() && now.Sub(t.leavingAt) >= leavingGrace
+		if lostOverdue || leavingOverdue {
 			for _, r := range t.runs {
 				if !r.item.pinned {
 					r.stop(errTargetUnavailable)
--- a/daemon/steward/decide.go
+++ b/daemon/steward/decide.go
@@ -190,7 +190,7 @@
 }
 
 // handBackOverdue hands back items that waited for maxQueueTime or whose lease no longer
-// allows a start.
+// allows a start. It also forgets revoked jobs whose retention has ended.
 func (s *Steward) handBackOverdue() {
 	now := s.opts.Now()
 	s.mu.Lock()
--- a/daemon/steward/fakes_test.go
+++ b/daemon/steward/fakes_test.go
@@ -83,24 +83,25 @@
 	lines   int
 	// forecast is returned for every job; zero is unknown.
 	forecast time.Time
-	// away makes pulls fail and leaves all ends undelivered; disown makes every reply list
-	// the named items as cancelled.
-	away   bool
-	disown bool
-	named  []ledger.ItemRef
+	// unreachable makes pulls fail and leaves all ends undelivered. cancelListed makes every
+	// reply report the items listed in its pull as cancelled; listed holds those of the last
+	// pull that listed any.
+	unreachable  bool
+	cancelListed bool
+	listed       []ledger.ItemRef
 	// only, if set, is the only group whose pulls get items.
 	only string
 	// gate, if set, delays pull replies with items until it is closed.
 	gate chan struct{}
 }
 
-var errAway = errors.New("the owner is away")
+var errUnreachable = errors.New("the owner is unreachable")
 
 func (l *fakeLedger) Pull(_ context.Context, _ string, req ledger.PullRequest) (ledger.PullReply, error) {
 	l.mu.Lock()
-	if l.away {
+	if l.unreachable {
 		l.mu.Unlock()
-		return ledger.PullReply{}, errAway
+		return ledger.PullReply{}, errUnreachable
 	}
 	n := min(req.Max, len(l.waiting))
 	if l.only != "" && req.Group != l.only {
@@ -109,9 +110,9 @@
 	reply := ledger.PullReply{Items: l.waiting[:n:n], LeaseMs: l.leaseMs, Backlog: len(l.waiting) - n}
 	l.waiting = l.waiting[n:]
 	if len(req.Running) > 0 {
-		l.named = req.Running
+		l.listed = req.Running
 	}
-	if l.disown {
+	if l.cancelListed {
 		reply.Cancelled = req.Running
 	}
 	if len(l.waiting) > 0 {
@@ -142,7 +143,7 @@
 func (l *fakeLedger) FinishItems(_ context.Context, req ledger.FinishItemsRequest) ([]ledger.ItemEnd, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
+	if l.unreachable {
 		return req.Ends, nil
 	}
 	for _, end := range req.Ends {
@@ -219,7 +220,7 @@
 	skew   atomic.Int64
 	seq    uint64
 	cancel context.CancelFunc
-	duties *duty.Group
+	loops  *duty.Group
 }
 
 func newBench(slots int, addresses ...string) *bench {
@@ -250,20 +251,20 @@
 }
 
 // start runs the steward's loops after a signal from the entry host that it is idle.
-func (b *bench) start() { b.startBeside(0) }
+func (b *bench) start() { b.startWithOnline(0) }
 
-// startBeside runs the steward's loops with the given number of online requests already
+// startWithOnline runs the steward's loops with the given number of online requests already
 // running at each target.
-func (b *bench) startBeside(online int) {
+func (b *bench) startWithOnline(online int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b.cancel = cancel
-	b.duties = duty.NewGroup(ctx)
+	b.loops = duty.NewGroup(ctx)
 	b.assign()
 	b.online(online)
-	b.Run(b.duties)
+	b.Run(b.loops)
 	DeferCleanup(func() {
 		cancel()
-		b.duties.Wait()
+		b.loops.Wait()
 	})
 }
 
@@ -279,7 +280,7 @@
 
 // refresh repeats the signal, as an entry host does, until the loops end.
 func (b *bench) refresh(online int) {
-	b.duties.Go(func(ctx context.Context) {
+	b.loops.Go(func(ctx context.Context) {
 		every(ctx, 100*time.Millisecond, func(context.Context) { b.online(online) })
 	})
 }
--- a/daemon/steward/headofline_test.go
+++ b/daemon/steward/headofline_test.go
@@ -58,7 +58,7 @@
 	// queue, and online requests must not share connections with batch either.
 	It("is never behind a batch item, in the engine's queue or for a connection", func() {
 		var addresses []string
-		var clicks atomic.Int64
+		var onlineCalls atomic.Int64
 		for range 2 {
 			options := engine.DefaultOptions()
 			options.Slots, options.TimeScale = observedSlots, 10
@@ -67,7 +67,7 @@
 			DeferCleanup(server.Close)
 			front := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 				if r.Header.Get(target.HeaderUrgency) == target.UrgencyOnline {
-					clicks.Add(1)
+					onlineCalls.Add(1)
 				}
 				server.Handler().ServeHTTP(rw, r)
 			}))
@@ -101,19 +101,19 @@
 			b.online(1)
 			var group sync.WaitGroup
 			for _, address := range addresses {
-				group.Go(func() { click(w, address, burst) })
+				group.Go(func() { sendOnline(w, address, burst) })
 			}
 			group.Wait()
 			b.online(0)
 		}
 		By("an online request whose signal is lost, while batch holds all its connections indefinitely")
 		Eventually(saturated, eventuallyTimeout).Should(BeTrue())
-		before := clicks.Load()
+		before := onlineCalls.Load()
 		freeze(addresses[0], true)
 		DeferCleanup(freeze, addresses[0], false)
 		var group sync.WaitGroup
-		group.Go(func() { click(w, addresses[0], 99) })
-		Eventually(clicks.Load, eventuallyTimeout).Should(Equal(before+1), "the online request reached the engine")
+		group.Go(func() { sendOnline(w, addresses[0], 99) })
+		Eventually(onlineCalls.Load, eventuallyTimeout).Should(Equal(before+1), "the online request reached the engine")
 		freeze(addresses[0], false)
 		group.Wait()
 		Expect(w.batch).To(BeNumerically(">", 2*observedSlots), "batch did run")
@@ -121,8 +121,8 @@
 	})
 })
 
-// click sends one online request and waits for its complete answer.
-func click(engine target.Engine, address string, n int) {
+// sendOnline sends one online request and waits for its complete answer.
+func sendOnline(engine target.Engine, address string, n int) {
 	defer GinkgoRecover()
 	ctx := target.WithUrgency(context.Background(), target.UrgencyOnline)
 	_, err := engine.Generate(ctx, address, target.GenerateRequest{
--- a/daemon/steward/item.go
+++ b/daemon/steward/item.go
@@ -115,7 +115,7 @@
 // segments.
 func (it *heldItem) chatAnswer(model string, now time.Time, f target.Finish) *ledger.Answer {
 	f.Usage.CompletionTokens = len(it.progress)
-	whole := chat.Answer{Text: strings.Join(it.progress, ""), Finish: f}
-	body := chat.EncodeAnswer("chatcmpl-"+it.name(), model, now, whole)
+	answer := chat.Answer{Text: strings.Join(it.progress, ""), Finish: f}
+	body := chat.EncodeAnswer("chatcmpl-"+it.name(), model, now, answer)
 	return &ledger.Answer{Status: http.StatusOK, ContentType: "application/json", Body: body}
 }
--- a/daemon/steward/policy_bench_test.go
+++ b/daemon/steward/policy_bench_test.go
@@ -147,12 +147,12 @@
 		s.ledger.add("c/j", "night", strconv.Itoa(i)+strings.Repeat(" sheet", benchBatchBytes/6))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s.duties = duty.NewGroup(ctx)
+	s.loops = duty.NewGroup(ctx)
 	s.assign()
-	s.Run(s.duties)
+	s.Run(s.loops)
 	l := &latencies{}
-	s.duties.Go(func(ctx context.Context) { l.signalLoop(ctx, s.Steward, address) })
-	defer func() { cancel(); s.duties.Wait() }()
+	s.loops.Go(func(ctx context.Context) { l.signalLoop(ctx, s.Steward, address) })
+	defer func() { cancel(); s.loops.Wait() }()
 
 	begun := time.Now()
 	var bursts []int64
@@ -174,12 +174,12 @@
 	worst, mean := lastBatchToken(server.Records(), bursts)
 	b.ReportMetric(worst, "last_batch_token_worst_ms")
 	b.ReportMetric(mean, "last_batch_token_mean_ms")
-	b.ReportMetric(giveWayMeanMs(s.opts.Metrics), "give_way_mean_ms")
+	b.ReportMetric(preemptMeanMs(s.opts.Metrics), "give_way_mean_ms")
 }
 
-// giveWayMeanMs returns the mean of the steward's own metric, in milliseconds: the time from
+// preemptMeanMs returns the mean of the steward's own metric, in milliseconds: the time from
 // a signal's arrival to the reply to the last cancel.
-func giveWayMeanMs(set *metrics.Set) float64 {
+func preemptMeanMs(set *metrics.Set) float64 {
 	var text bytes.Buffer
 	set.WritePrometheus(&text)
 	var sum, count float64
@@ -203,14 +203,14 @@
 	}
 	s := newBench(8, addresses...)
 	ctx, cancel := context.WithCancel(context.Background())
-	s.duties = duty.NewGroup(ctx)
+	s.loops = duty.NewGroup(ctx)
 	s.assign()
-	s.Run(s.duties)
+	s.Run(s.loops)
 	for i := 0; b.Loop(); i++ {
 		s.online(i % 2)
 	}
 	cancel()
-	s.duties.Wait()
+	s.loops.Wait()
 }
 
 // lastBatchToken returns the maximum and mean time, in milliseconds, from a burst's start to
--- a/daemon/steward/report.go
+++ b/daemon/steward/report.go
@@ -80,15 +80,15 @@
 // delivered releases the items whose ends were accepted and returns the other ends, which
 // must be reported again.
 func (s *Steward) delivered(batch []endedItem, undelivered []ledger.ItemEnd, err error) []endedItem {
-	left := make(map[ledger.ItemRef]bool, len(undelivered))
+	unaccepted := make(map[ledger.ItemRef]bool, len(undelivered))
 	for _, end := range undelivered {
-		left[end.Ref] = true
+		unaccepted[end.Ref] = true
 	}
 	var again []endedItem
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range batch {
-		if left[e.end.Ref] || (err != nil && len(undelivered) == 0) {
+		if unaccepted[e.end.Ref] || (err != nil && len(undelivered) == 0) {
 			e.retried = true
 			again = append(again, e)
 			continue
--- a/daemon/steward/steward.go
+++ b/daemon/steward/steward.go
@@ -181,14 +181,14 @@
 	defer ticker.Stop()
 	for {
 		s.mu.Lock()
-		left := len(s.held)
+		remaining := len(s.held)
 		s.mu.Unlock()
-		if left == 0 {
+		if remaining == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return StopError.Wrap(ctx.Err(), "%d batch items not handed back", left)
+			return StopError.Wrap(ctx.Err(), "%d batch items not handed back", remaining)
 		case <-ticker.C:
 		}
 	}
--- a/daemon/steward/steward_test.go
+++ b/daemon/steward/steward_test.go
@@ -96,7 +96,7 @@
 	It("opens a part of a target that always has online work", func() {
 		b := newBench(8, engineA)
 		b.ledger.add("c/j", "night", "x", "y")
-		b.startBeside(2)
+		b.startWithOnline(2)
 		b.refresh(2)
 		Eventually(func() int { return b.Status().Groups[0].Backlog }, eventuallyTimeout).Should(Equal(2), "known though nothing is pulled")
 		b.decideAll()
@@ -167,14 +167,14 @@
 		b.start()
 		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		Eventually(func() int { return b.Status().Held }, eventuallyTimeout).Should(Equal(2))
-		b.ledger.set(func() { b.ledger.away = true })
+		b.ledger.set(func() { b.ledger.unreachable = true })
 		b.skew.Add(int64(60 * time.Second))
 		close(gate)
 		Eventually(func() int { return b.endedAs("finished") }, eventuallyTimeout).Should(Equal(1))
 		b.decideAll()
 		Expect(b.engine.Calls()).To(HaveLen(1))
 
-		b.ledger.set(func() { b.ledger.away = false })
+		b.ledger.set(func() { b.ledger.unreachable = false })
 		Eventually(b.ledger.answered, eventuallyTimeout).Should(HaveLen(2))
 		Expect(b.engine.Calls()).To(HaveLen(2))
 		Expect(b.engine.Calls()[1].Request.StreamID).To(HavePrefix("c/j/y/2."), "only the second lease started it")
@@ -191,13 +191,13 @@
 		b.ledger.leaseMs = 1500
 		b.ledger.add("c/j", "night", "x")
 		b.start()
-		named := func() (refs []ledger.ItemRef) {
-			b.ledger.set(func() { refs = b.ledger.named })
+		listed := func() (refs []ledger.ItemRef) {
+			b.ledger.set(func() { refs = b.ledger.listed })
 			return refs
 		}
-		Eventually(named, eventuallyTimeout).Should(ConsistOf(ledger.ItemRef{Job: "c/j", Index: 0, Attempt: 1}))
+		Eventually(listed, eventuallyTimeout).Should(ConsistOf(ledger.ItemRef{Job: "c/j", Index: 0, Attempt: 1}))
 		Expect(b.endedAs("cancelled")).To(BeZero())
-		b.ledger.set(func() { b.ledger.disown = true })
+		b.ledger.set(func() { b.ledger.cancelListed = true })
 		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
 		Eventually(func() int { return b.Status().Held }, eventuallyTimeout).Should(BeZero())
 	})
@@ -211,17 +211,17 @@
 		defer b.mu.Unlock()
 		p := &pullCall{owner: self.PeerAddress, group: "g"}
 		b.pulls[p] = true
-		_, whole := b.heldListLocked(self.PeerAddress)
-		Expect(whole).To(BeFalse())
+		_, complete := b.heldListLocked(self.PeerAddress)
+		Expect(complete).To(BeFalse())
 		b.ledger.add("c/j", "once", "x")
 		b.applyReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, ledger.PullReply{Items: b.ledger.waiting, LeaseMs: 1000}, promptsOf(b.ledger.waiting))
 		delete(b.pulls, p)
-		refs, whole := b.heldListLocked(self.PeerAddress)
-		Expect(whole).To(BeTrue())
+		refs, complete := b.heldListLocked(self.PeerAddress)
+		Expect(complete).To(BeTrue())
 		Expect(refs).To(ConsistOf(b.ledger.waiting[0].Ref))
 		b.endsLost = true
-		_, whole = b.heldListLocked(self.PeerAddress)
-		Expect(whole).To(BeFalse())
+		_, complete = b.heldListLocked(self.PeerAddress)
+		Expect(complete).To(BeFalse())
 	})
 })
 
@@ -233,19 +233,19 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		p := &pullCall{owner: self.PeerAddress, group: "g"}
-		take := func(reply ledger.PullReply) {
+		apply := func(reply ledger.PullReply) {
 			b.applyReplyLocked(b.opts.Now(), p, ledger.PullRequest{}, reply, promptsOf(reply.Items))
 		}
 		b.ledger.add("c/j", "once", "x")
 		late := b.ledger.waiting
 		late[0].Shard, late[0].Term = 3, 6
-		take(ledger.PullReply{LeaseMs: 1000, Terms: map[int]uint64{3: 7, 4: 2}})
-		take(ledger.PullReply{LeaseMs: 1000, Terms: map[int]uint64{3: 6}})
-		take(ledger.PullReply{LeaseMs: 1000, Items: late})
+		apply(ledger.PullReply{LeaseMs: 1000, Terms: map[int]uint64{3: 7, 4: 2}})
+		apply(ledger.PullReply{LeaseMs: 1000, Terms: map[int]uint64{3: 6}})
+		apply(ledger.PullReply{LeaseMs: 1000, Items: late})
 		Expect(b.held).To(BeEmpty())
 		Expect(b.terms).To(Equal(map[int]uint64{3: 7, 4: 2}))
 		late[0].Term = 7
-		take(ledger.PullReply{LeaseMs: 1000, Items: late})
+		apply(ledger.PullReply{LeaseMs: 1000, Items: late})
 		Expect(b.held).To(HaveLen(1))
 	})
 })
@@ -288,10 +288,10 @@
 			Name: "kitchen", Kind: config.KindService, Slots: 4, Targets: []config.Target{{Address: engineB}},
 		}
 		b.ledger.only = "g"
-		let := make(chan struct{})
+		proceed := make(chan struct{})
 		service := &faketarget.Service{OnCall: func(ctx context.Context, _ string, req target.ServiceRequest) (target.ServiceResponse, error) {
 			select {
-			case <-let:
+			case <-proceed:
 				return target.ServiceResponse{Status: 201, Body: req.Body}, nil
 			case <-ctx.Done():
 				return target.ServiceResponse{}, &target.Failure{Reached: true, Err: ctx.Err()}
@@ -304,7 +304,7 @@
 		Eventually(service.Calls, eventuallyTimeout).Should(HaveLen(1))
 		b.online(1)
 		b.decideAll()
-		close(let)
+		close(proceed)
 		Eventually(b.ledger.ended, eventuallyTimeout).Should(HaveLen(1))
 		Expect(b.ledger.ended()[0].Answer).To(Equal(&ledger.Answer{Status: 201, Body: []byte(`{"n":1}`)}))
 		call := service.Calls()[0]
@@ -423,14 +423,14 @@
 		Eventually(func() int { return len(b.engine.Calls()) }, eventuallyTimeout).Should(Equal(1))
 		gate <- struct{}{}
 		gate <- struct{}{}
-		b.ledger.set(func() { b.ledger.away = true })
+		b.ledger.set(func() { b.ledger.unreachable = true })
 		ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 		defer cancel()
 		drained := make(chan error, 1)
 		go func() { drained <- b.Drain(ctx) }()
 		Eventually(func() int { return b.endedAs("cancelled") }, eventuallyTimeout).Should(Equal(1))
 		Expect(drained).NotTo(Receive())
-		b.ledger.set(func() { b.ledger.away = false })
+		b.ledger.set(func() { b.ledger.unreachable = false })
 		Eventually(drained, eventuallyTimeout).Should(Receive(Not(HaveOccurred())))
 		Expect(b.ledger.ended()).To(HaveLen(2))
 		Expect(b.ledger.ended()).To(ContainElement(HaveField("Progress", Not(BeEmpty()))))
