--- a/peer/errors.go
+++ b/peer/errors.go
@@ -2,7 +2,7 @@
 
 import "github.com/joomcode/errorx"
 
-// Namespace holds the errors of this layer.
+// Namespace contains the types of this package's errors.
 var Namespace = errorx.NewNamespace("peer")
 
 var (
