--- a/test/batch_orders_test.go
+++ b/test/batch_orders_test.go
@@ -37,7 +37,7 @@
 )
 
 // startTicketJob makes the services slow and lose some answers, submits the job, and
-// waits until more than 20 of its items have run.
+// waits until more than 20 calls have run.
 func startTicketJob(f *fleet.Fleet) {
 	f.ControlServices(`{"slow_ms":2000,"answer_lost":2}`)
 	lines := make([]caller.Line, ticketItems)
@@ -63,7 +63,8 @@
 	}
 }
 
-// executedCalls counts the calls that the services have executed.
+// executedCalls counts the calls that the services have recorded; they execute each of
+// them, since no error status is set.
 func executedCalls(f *fleet.Fleet) int {
 	n := 0
 	for _, s := range f.Services {
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -55,10 +55,10 @@
 		execution, err := f.Order(f.Daemons[2], "tray")
 		Expect(err).NotTo(HaveOccurred())
 		var replaced atomic.Bool
-		load := make(chan struct{})
+		loadDone := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
-			defer close(load)
+			defer close(loadDone)
 			concurrently(6, func(i int) { orderUntil(f, fmt.Sprintf("guest-%d", i), &replaced) })
 		}()
 		for i := range 3 {
@@ -70,7 +70,7 @@
 			Expect(f.Chat(fresh, "", "room "+fresh.Name)).To(Equal(f.Expected("room " + fresh.Name)))
 		}
 		replaced.Store(true)
-		Eventually(load, timeout, pollInterval).Should(BeClosed())
+		Eventually(loadDone, timeout, pollInterval).Should(BeClosed())
 		f.WaitJob(f.Running()[0], job)
 		f.CheckJob(job)
 		for _, d := range f.Running() {
@@ -92,9 +92,9 @@
 
 // orderUntil places one order after the other until end is set, each at the first
 // daemon that accepts it, and expects each to run once.
-func orderUntil(f *fleet.Fleet, guest string, end *atomic.Bool) {
+func orderUntil(f *fleet.Fleet, keyPrefix string, end *atomic.Bool) {
 	for n := 0; !end.Load(); n++ {
-		key := fmt.Sprintf("%s-%d", guest, n)
+		key := fmt.Sprintf("%s-%d", keyPrefix, n)
 		Eventually(func() (err error) {
 			for _, d := range f.Running() {
 				if _, err = f.Order(d, key); err == nil {
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -10,7 +10,8 @@
 )
 
 // maxCrashes is how many engines one request may crash: the limit at which it is
-// quarantined, and one more until every daemon has received the report.
+// quarantined, and one more, which may start before every daemon has received the crash
+// reports.
 var maxCrashes = config.DefaultLimits().CrashLimit + 1
 
 var _ = Describe("A request that crashes its engine", func() {
--- a/test/fleet/call.go
+++ b/test/fleet/call.go
@@ -95,7 +95,7 @@
 	return n
 }
 
-// Kept returns the stored state of a key.
+// KeyedRequest returns the stored state of the request with a key.
 func (f *Fleet) KeyedRequest(d *Daemon, key string) (caller.KeyedRequest, error) {
 	ctx, cancel := callContext()
 	defer cancel()
@@ -159,8 +159,8 @@
 	ctx, cancel := callContext()
 	defer cancel()
 	created, err = d.Client.PutJob(ctx, caller.Options{Profile: profile}, j.Name, body)
-	for _, a := range requests {
-		f.responses.ended(a, err)
+	for _, request := range requests {
+		f.responses.ended(request, err)
 	}
 	return created, err
 }
--- a/test/fleet/fleet.go
+++ b/test/fleet/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet runs real daemon processes for the integration tests. The
 // platform and the targets are stand-ins in the test process, so that a test
-// reads their records directly; each daemon reaches the log through a fault
-// proxy of its own.
+// reads their records directly; each daemon reaches the log through its own
+// fault proxy.
 package fleet
 
 import (
--- a/test/fleet/testimony.go
+++ b/test/fleet/testimony.go
@@ -29,18 +29,18 @@
 
 func newResponseLog() *responseLog { return &responseLog{} }
 
-func (t *responseLog) begin(identity requestIdentity) *sentRequest {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *responseLog) begin(identity requestIdentity) *sentRequest {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	request := &sentRequest{identity: identity}
-	t.sent = append(t.sent, request)
+	l.sent = append(l.sent, request)
 	return request
 }
 
-func (t *responseLog) ended(request *sentRequest, err error) {
+func (l *responseLog) ended(request *sentRequest, err error) {
 	run, code := RunState(err)
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if run == outcome.NotRun {
 		request.refusedMs = nowMs()
 		request.code = code
@@ -50,18 +50,18 @@
 // falseRefusals lists the not_run refusals that were wrong: those of a request that a
 // target had already received, and those of a request that was refused as not_run each
 // time it was sent and that a target received all the same.
-func (t *responseLog) falseRefusals(f *Fleet) []string {
+func (l *responseLog) falseRefusals(f *Fleet) []string {
 	receivedMs := f.received()
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	notRefused := map[requestIdentity]bool{}
-	for _, request := range t.sent {
+	for _, request := range l.sent {
 		if request.refusedMs == 0 {
 			notRefused[request.identity] = true
 		}
 	}
 	var out []string
-	for _, request := range t.sent {
+	for _, request := range l.sent {
 		for _, atMs := range receivedMs[request.identity] {
 			if request.refusedMs != 0 && (atMs < request.refusedMs || !notRefused[request.identity]) {
 				out = append(out, fmt.Sprintf("%+v was refused as not_run (%s) at %d and reached a target at %d",
--- a/test/input/crowd_test.go
+++ b/test/input/crowd_test.go
@@ -170,12 +170,12 @@
 		maxResident := before
 		Eventually(func() int32 { return sent.Load() }, timeout, pollInterval).Should(Equal(int32(slowBodies)))
 		// Ordinary callers continue until every non-reading caller is disconnected.
-		guests := 0
+		rounds := 0
 		Eventually(func() int {
-			guests++
-			text := fmt.Sprintf("guest %d", guests)
+			rounds++
+			text := fmt.Sprintf("guest %d", rounds)
 			Expect(f.Stream(d, "", text)).To(Equal(f.Expected(text)))
-			key := fmt.Sprintf("tray-%d", guests)
+			key := fmt.Sprintf("tray-%d", rounds)
 			_, err := f.Order(d, key)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(f.Executions(key)).To(Equal(1))
@@ -189,7 +189,7 @@
 		for _, conn := range idle {
 			expectHealthy(conn)
 		}
-		fmt.Fprintf(GinkgoWriter, "resident MiB: %d before, %d at most; %d guests answered\n", before>>20, maxResident>>20, guests)
+		fmt.Fprintf(GinkgoWriter, "resident MiB: %d before, %d at most; %d rounds of ordinary requests\n", before>>20, maxResident>>20, rounds)
 		Expect(maxResident).To(BeNumerically("<", maxRSS))
 	})
 })
--- a/test/kill_test.go
+++ b/test/kill_test.go
@@ -45,17 +45,17 @@
 		f.MustPut(f.Daemons[1], job)
 		lost := f.Owner(job.Name)
 		waitForItemCalls(f, job, 10)
-		var reading atomic.Int32
+		var started atomic.Int32
 		killed := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
 			defer close(killed)
 			Eventually(func() int { return runningCalls(f) }, timeout, pollInterval).Should(BeNumerically(">", 6))
-			Eventually(reading.Load, timeout, pollInterval).Should(Equal(int32(12)))
+			Eventually(started.Load, timeout, pollInterval).Should(Equal(int32(12)))
 			lost.Kill()
 		}()
 		concurrently(12, func(i int) {
-			reading.Add(1)
+			started.Add(1)
 			text := fmt.Sprintf("room %d", i)
 			answer, err := streamFromAny(f, i, "chat-"+text, text)
 			Expect(err).NotTo(HaveOccurred())
@@ -77,8 +77,8 @@
 		Expect(f.Put(entry, job)).To(BeTrue())
 		owner.Kill()
 		entry.Kill()
-		left := f.Running()[0]
-		f.WaitJob(left, job)
+		survivor := f.Running()[0]
+		f.WaitJob(survivor, job)
 		f.CheckJob(job)
 	})
 
@@ -93,11 +93,11 @@
 		Expect(err).NotTo(HaveOccurred())
 		owner.Kill()
 		entry.Kill()
-		left := f.Running()[0]
-		Eventually(func() (int64, error) { return f.Order(left, key) }, timeout, pollInterval).Should(Equal(execution))
-		kept, err := f.KeyedRequest(left, key)
+		survivor := f.Running()[0]
+		Eventually(func() (int64, error) { return f.Order(survivor, key) }, timeout, pollInterval).Should(Equal(execution))
+		stored, err := f.KeyedRequest(survivor, key)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(kept.State).To(Equal("completed"))
+		Expect(stored.State).To(Equal("completed"))
 		Expect(f.Executions(key)).To(Equal(1))
 	})
 
--- a/test/log_test.go
+++ b/test/log_test.go
@@ -33,7 +33,7 @@
 	// with a retry delay, and succeed once the log is back.
 	DescribeTable("that is out stops orders and jobs with correct refusals, and nothing else", func(outage logsvc.Failure) {
 		f := fleet.Start(fleet.Options{Shape: slowEngines})
-		kept, err := f.Order(f.Daemons[0], "kept")
+		execution, err := f.Order(f.Daemons[0], "kept")
 		Expect(err).NotTo(HaveOccurred())
 		job := fleet.NewJob("prep", 100, 3)
 		f.MustPut(f.Daemons[0], job)
@@ -60,7 +60,7 @@
 			// A confirmed order must not be answered with not_run.
 			again, err := f.Order(d, "kept")
 			if err == nil {
-				Expect(again).To(Equal(kept))
+				Expect(again).To(Equal(execution))
 			} else {
 				expectRun(err, outcome.MayHaveRun)
 			}
@@ -74,7 +74,7 @@
 				return err
 			}, timeout, pollInterval).Should(Succeed())
 			Expect(f.Executions(key)).To(Equal(1))
-			Expect(f.Order(d, "kept")).To(Equal(kept))
+			Expect(f.Order(d, "kept")).To(Equal(execution))
 		}
 		f.WaitJob(f.Daemons[2], job)
 		f.CheckJob(job)
--- a/test/orders_test.go
+++ b/test/orders_test.go
@@ -21,9 +21,9 @@
 		for _, d := range f.Daemons {
 			_, err := f.Order(d, "tray")
 			expectRun(err, outcome.MayHaveRun)
-			kept, err := f.KeyedRequest(d, "tray")
+			stored, err := f.KeyedRequest(d, "tray")
 			Expect(err).NotTo(HaveOccurred())
-			Expect(kept.State).To(Equal("may_have_run"))
+			Expect(stored.State).To(Equal("may_have_run"))
 		}
 		Expect(f.Executions("tray")).To(Equal(1))
 	})
@@ -36,14 +36,14 @@
 		const key = "tray"
 		owner := f.Owner(key)
 		entry, third := f.Others(owner)[0], f.Others(owner)[1]
-		dead := make(chan error, 1)
+		entryErr := make(chan error, 1)
 		go func() {
 			_, err := f.Order(entry, key)
-			dead <- err
+			entryErr <- err
 		}()
 		Eventually(f.Held, timeout, pollInterval).Should(Equal(1))
 		entry.Kill()
-		Eventually(dead, timeout, pollInterval).Should(Receive(HaveOccurred()))
+		Eventually(entryErr, timeout, pollInterval).Should(Receive(HaveOccurred()))
 		resend := func() outcome.RunState {
 			_, err := f.Order(third, key)
 			run, _ := fleet.RunState(err)
@@ -97,8 +97,8 @@
 		Eventually(answered, timeout, pollInterval).Should(Receive(BeNil()))
 		for _, d := range f.Running() {
 			Eventually(func() (string, error) {
-				kept, err := f.KeyedRequest(d, key)
-				return kept.State, err
+				stored, err := f.KeyedRequest(d, key)
+				return stored.State, err
 			}, timeout, pollInterval).Should(Equal("completed"))
 		}
 		Expect(f.Executions(key)).To(Equal(1))
@@ -131,8 +131,8 @@
 		Eventually(answered, timeout, pollInterval).Should(Receive())
 		for _, d := range f.Daemons {
 			Eventually(func() (string, error) {
-				kept, err := f.KeyedRequest(d, key)
-				return kept.State, err
+				stored, err := f.KeyedRequest(d, key)
+				return stored.State, err
 			}, timeout, pollInterval).Should(Equal("completed"))
 		}
 		Expect(f.Executions(key)).To(Equal(1))
--- a/test/partition_test.go
+++ b/test/partition_test.go
@@ -33,9 +33,9 @@
 	// and its callers. Each considers the other dead and claims its shards. Callers of
 	// both must be served, a configuration published on one side must apply on both,
 	// and the job must end with each item once.
-	DescribeTable("in two groups serve callers of both and converge after healing", func(left int, faults faultproxy.Faults) {
+	DescribeTable("in two groups serve callers of both and converge after healing", func(sizeA int, faults faultproxy.Faults) {
 		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4, Shape: slowEngines})
-		a, b := f.Daemons[:left], f.Daemons[left:]
+		a, b := f.Daemons[:sizeA], f.Daemons[sizeA:]
 		job := fleet.NewJob("prep", 150, 11)
 		f.MustPut(a[0], job)
 		waitForItemCalls(f, job, 10)
@@ -65,9 +65,9 @@
 	// The same order is sent to both sides of a partition. It runs twice if each side
 	// relies on its own claim of the shard, or if one side answers not_run while the
 	// other has run it and the caller places a new order.
-	DescribeTable("in two groups run the same order once and refuse it truly", func(left int, faults faultproxy.Faults) {
+	DescribeTable("in two groups run the same order once and refuse it truly", func(sizeA int, faults faultproxy.Faults) {
 		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4})
-		a, b := f.Daemons[:left], f.Daemons[left:]
+		a, b := f.Daemons[:sizeA], f.Daemons[sizeA:]
 		network.Split(a, b, faults)
 		expectView(a, a)
 		expectView(b, b)
@@ -82,9 +82,9 @@
 	// During a partition both sides claim the same shards. If a claim is followed at
 	// once by a claim of the other side, no holder has the time to store anything, and
 	// the claims use up the appends that orders and jobs need.
-	DescribeTable("in two groups limit the rate of competing shard claims", func(left int, faults faultproxy.Faults) {
+	DescribeTable("in two groups limit the rate of competing shard claims", func(sizeA int, faults faultproxy.Faults) {
 		f, network := fleet.StartWithNetwork(fleet.Options{Daemons: 4})
-		a, b := f.Daemons[:left], f.Daemons[left:]
+		a, b := f.Daemons[:sizeA], f.Daemons[sizeA:]
 		network.Split(a, b, faults)
 		expectView(a, a)
 		expectView(b, b)
--- a/test/retention/retention_test.go
+++ b/test/retention/retention_test.go
@@ -1,5 +1,5 @@
-// Package retention checks that work outlives the log's records. It is a package of its
-// own because it waits for the shortest allowed retention, and go test runs packages in
+// Package retention checks that work outlives the log's records. It is a separate
+// package because it waits until the retention has passed, and go test runs packages in
 // parallel.
 package retention
 
@@ -22,7 +22,7 @@
 
 var _ = AfterSuite(fleet.RemoveBinary)
 
-// retention is the shortest retention that the settings allow.
+// retention is short, so that the log drops the job's records within the spec.
 const retention = time.Minute
 
 var _ = Describe("The log's retention", func() {
--- a/test/whole_path_test.go
+++ b/test/whole_path_test.go
@@ -27,9 +27,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			for _, again := range f.Daemons {
 				Expect(f.Order(again, key)).To(Equal(first))
-				kept, err := f.KeyedRequest(again, key)
+				stored, err := f.KeyedRequest(again, key)
 				Expect(err).NotTo(HaveOccurred())
-				Expect(kept.State).To(Equal("completed"))
+				Expect(stored.State).To(Equal("completed"))
 			}
 			Expect(f.Executions(key)).To(Equal(1))
 		}
