--- a/core/admission/policy.go
+++ b/core/admission/policy.go
@@ -181,9 +181,9 @@
 	return a
 }
 
-// quota halves the limit while signals from entry hosts are missing: their online load is
-// unknown, which must mean less batch. One stream remains allowed on an otherwise free
-// target, or a host that is live but partitioned would stop all batch permanently.
+// halveIfSilent halves the limit while signals from entry hosts are missing: their online
+// load is unknown, which must mean less batch. One stream remains allowed on an otherwise
+// free target, or a host that is live but partitioned would stop all batch permanently.
 func (p Preemptive) halveIfSilent(limit int, silent bool, why *Reason) int {
 	if !silent || limit <= 1 {
 		return limit
--- a/core/feed/feed.go
+++ b/core/feed/feed.go
@@ -9,7 +9,7 @@
 // Files: readers.go is the leader's choice of readers, standby.go its choice of the
 // daemon to lead after it, source.go the subscriber's choice of a reader, fallback.go
 // what a daemon does when no reader serves it, sample.go the choice of the targets that a
-// subscriber holds. passedover.go records which daemons did not fill a role.
+// subscriber holds. exclusions.go records which daemons did not fill a role.
 package feed
 
 import "time"
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -39,8 +39,8 @@
 	Zone string
 	// LoadReportAge is the maximum age of the load reports that PickLeastLoaded uses.
 	LoadReportAge time.Duration
-	// RemoteStale tells PickLeastLoaded that the loads of other zones arrive late or not
-	// at all.
+	// RemoteStale reports that the loads of other zones, which PickLeastLoaded uses, arrive
+	// late or not at all.
 	RemoteStale bool
 	// Exclude holds the targets already tried; they are used again only when no other
 	// target is left.
--- a/daemon/places/acquire.go
+++ b/daemon/places/acquire.go
@@ -73,7 +73,7 @@
 	return slot, nil, known
 }
 
-// newAsk returns a request for a slot of the group.
+// newSlotRequest returns a request for a slot of the group.
 func (p *Places) newSlotRequest(groupName string, tried map[string]bool) slots.Request {
 	id := slots.ID{Holder: p.self, Number: p.scheduler.leases.next()}
 	return slots.Request{ID: id, Group: groupName, Exclude: p.excluded(groupName, tried)}
