--- a/bench/binds.sh
+++ b/bench/binds.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tells where the worth of a played day is lost, as parts that add up to what is
-# missing from 1: the whole day by kind of request and how each ended, the worst
+# Prints where the worth of a played day is lost, as parts that add up to its
+# difference from 1: the whole day by kind and outcome of requests, the worst
 # seconds, the worst kind, and the prices.
 # Usage: fleetbench run SITE DAY ... > day.out; bench/binds.sh day.out KIND=WORTH:LATE ...
 # The pairs are the two columns "worth, late" of the site's sheet.
--- a/bench/capacity/drive/config.go
+++ b/bench/capacity/drive/config.go
@@ -23,11 +23,11 @@
 	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
 		var last, answered []time.Duration
 		for n := range changes {
-			whole, put, err := f.change(ctx, n)
+			untilApplied, untilAnswered, err := f.change(ctx, n)
 			if err != nil {
 				return err
 			}
-			last, answered = append(last, whole), append(answered, put)
+			last, answered = append(last, untilApplied), append(answered, untilAnswered)
 		}
 		slices.Sort(last)
 		slices.Sort(answered)
@@ -43,23 +43,23 @@
 // applied it and the time until the operator received the response.
 func (f *fleet) change(ctx context.Context, n int) (last, answered time.Duration, err error) {
 	operator := f.daemons[n%len(f.daemons)].client
-	now, err := operator.Config(ctx)
+	current, err := operator.Config(ctx)
 	if err != nil {
 		return 0, 0, err
 	}
-	text := fmt.Sprintf("%s\n# change %d\n", now.Text, n)
+	text := fmt.Sprintf("%s\n# change %d\n", current.Text, n)
 	began := time.Now()
 	var waits sync.WaitGroup
 	var mu sync.Mutex
 	for i := range f.daemons {
 		waits.Go(func() {
-			f.awaitVersion(ctx, i, now.Version+1)
+			f.awaitVersion(ctx, i, current.Version+1)
 			mu.Lock()
 			defer mu.Unlock()
 			last = max(last, time.Since(began))
 		})
 	}
-	_, err = operator.PublishConfig(ctx, text, now.Version)
+	_, err = operator.PublishConfig(ctx, text, current.Version)
 	answered = time.Since(began)
 	if err != nil {
 		return 0, 0, err
--- a/bench/capacity/drive/load.go
+++ b/bench/capacity/drive/load.go
@@ -33,7 +33,7 @@
 	var rate float64
 	var seconds, tokens int
 	var keyed bool
-	cmd := &cobra.Command{Use: "online", Short: "Processor time of online requests"}
+	cmd := &cobra.Command{Use: "online", Short: "CPU time of online requests"}
 	cmd.Flags().Float64Var(&rate, "rate", 50, "requests a second")
 	cmd.Flags().IntVar(&seconds, "seconds", 10, "how long to send")
 	cmd.Flags().IntVar(&tokens, "tokens", 16, "tokens of an answer")
@@ -98,7 +98,7 @@
 // together.
 func batchCommand(dir *string) *cobra.Command {
 	var items, tokens int
-	cmd := &cobra.Command{Use: "batch", Short: "Processor time and appends of batch items"}
+	cmd := &cobra.Command{Use: "batch", Short: "CPU time and appends of batch items"}
 	cmd.Flags().IntVar(&items, "items", 2000, "items of the job")
 	cmd.Flags().IntVar(&tokens, "tokens", 4, "tokens of an answer")
 	cmd.RunE = withFleet(dir, func(ctx context.Context, f *fleet) error {
--- a/bench/capacity/idle.sh
+++ b/bench/capacity/idle.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Measures the daemons of a running bench/fleet.sh over some seconds and prints
-# their mean (and the largest) for each: processor time in percent of a core,
-# resident and proportional memory in MiB, all bytes read and written by the
-# process in KB/s, the bytes between daemons in KB/s, and calls a second by method.
+# the mean (and the maximum) per daemon of: CPU time in percent of a core, resident
+# and proportional memory in MiB, all bytes read and written by the process in KB/s,
+# the bytes between daemons in KB/s, and calls a second by method.
 #
 #   bench/capacity/idle.sh DIR [SECONDS]
 set -euo pipefail
--- a/bench/capacity/ledger_test.go
+++ b/bench/capacity/ledger_test.go
@@ -90,8 +90,8 @@
 	r.flush()
 }
 
-// finish pulls and finishes n items, up to perPull at a time. It stands for a batch
-// dispatcher of a busy target, which reports that many ends at once.
+// finish pulls and finishes n items, up to perPull at a time: as many as one report of a
+// busy target's batch dispatcher contains.
 func (r *shardRun) finish(n, perPull int) {
 	answer := []byte(strings.Repeat("a", answerBytes))
 	for n > 0 {
--- a/bench/capacity/membership_test.go
+++ b/bench/capacity/membership_test.go
@@ -214,10 +214,10 @@
 	}
 }
 
-// BenchmarkMembershipLoss stops some daemons at once. It reports the time until the
-// survivors consider the lost daemons dead, for 99 in 100 and for all pairs of a survivor
-// and a lost daemon, the messages a second that a survivor sent until then, and the pairs
-// of survivors where one wrongly considered the other dead.
+// BenchmarkMembershipLoss stops some daemons at once and looks at all pairs of a survivor
+// and a lost daemon. It reports the time until the survivor considers the lost daemon dead
+// in 99% and in 100% of the pairs, the messages a second that a survivor sent until then,
+// and the number of pairs of survivors where one wrongly considered the other dead.
 func BenchmarkMembershipLoss(b *testing.B) {
 	losses := []struct {
 		name string
--- a/bench/days/play.sh
+++ b/bench/days/play.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Plays the days of deploy/days and every day that ever broke a rule on a site.
 # Usage: bench/days/play.sh FLEETBENCH SITE WHY
-# FLEETBENCH is the users' bench; days that broke a rule stand in regressions.txt
+# FLEETBENCH is the users' bench; days that broke a rule are listed in regressions.txt
 # as "site day", the day as the bench names it or as "standard-day --seed N".
 set -uo pipefail
 bench=$1 site=$2 why=$3
--- a/bench/fleet.sh
+++ b/bench/fleet.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
 # Runs a whole deployment as separate processes on free loopback ports: the
 # platform's stand-ins, engines, services and daemons. It prints the daemons'
-# URLs, one a line, into DIR/daemons once the configuration is in force, and
-# ends everything it started when it gets SIGTERM or SIGINT.
+# URLs, one per line, to DIR/daemons once the configuration is in force, and stops
+# all processes that it started when it receives SIGTERM or SIGINT.
 #
 #   bench/fleet.sh DIR [da-nang|isarwerk] [DAEMONS]
 #
 # Environment: ENGINES, SERVICES, ZONES, MODEL and SERVICE override the
-# deployment's own; ENGINE_SET and DAEMON_SET hold more lines for the [engine]
-# section and more "--set section.key=value" flags. SLOW_ZONE puts a fault proxy
-# before the engines of that zone, which delays each way by SLOW_MS.
+# deployment's defaults; ENGINE_SET holds additional lines for the [engine] section,
+# DAEMON_SET additional "--set section.key=value" flags. SLOW_ZONE puts a fault proxy
+# in front of the engines of that zone that delays each direction by SLOW_MS.
 set -euo pipefail
 
 dir=$1
@@ -53,14 +53,14 @@
   return 1
 }
 
-# standin KIND NAME starts a stand-in by DIR/NAME.ini; its address goes to $address.
+# standin KIND NAME starts a stand-in with DIR/NAME.ini and sets $address to its address.
 standin() {
   "$dir/bin/tarragonhollow-standin" "$1" --settings "$dir/$2.ini" >"$dir/logs/$2.out" 2>"$dir/logs/$2.err" &
   pids+=($!)
   address=$(await "$dir/logs/$2.out" 'address=[0-9.:]+' | cut -d= -f2)
 }
 
-list() { # list NAME ROLE ADDRESS ZONE puts a host on the host list.
+list() { # list NAME ROLE ADDRESS ZONE adds a host to the host list.
   curl -sf -X PUT "http://$hosts/control/hosts/$1" \
     -d "{\"name\":\"$1\",\"role\":\"$2\",\"address\":\"$3\",\"zone\":\"$4\",\"state\":\"live\"}" >/dev/null
 }
@@ -125,7 +125,7 @@
   urls+=("http://$(await "$dir/logs/daemon-$i.err" 'http_address=[0-9.:]+' | cut -d= -f2)")
 done
 
-# A daemon that has just started refuses a change until it has read the stream.
+# A daemon that has just started refuses changes until it has read the stream.
 for _ in $(seq 20); do
   "$dir/bin/tarragonhollow" config publish "$dir/config.ini" --base 0 --daemon "${urls[0]}" --timeout 20s && break
   sleep 0.5
--- a/try/fleet.go
+++ b/try/fleet.go
@@ -35,11 +35,11 @@
 
 // startFleet starts the stand-ins and one daemon in each availability zone.
 func startFleet(shape deployment.Shape, logs io.Writer) (*fleet, error) {
-	stand, err := deployment.Start(shape, deployment.Options{})
+	standins, err := deployment.Start(shape, deployment.Options{})
 	if err != nil {
 		return nil, err
 	}
-	f := &fleet{shape: shape, standins: stand}
+	f := &fleet{shape: shape, standins: standins}
 	for i, zone := range shape.Zones {
 		if err := f.startDaemon(fmt.Sprintf("entry-%d", i+1), zone, logs); err != nil {
 			f.stop()
--- a/try/load.go
+++ b/try/load.go
@@ -68,7 +68,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("the batch job did not end in time: %w", ctx.Err())
 		case <-killed:
-			p.step("killed daemon entry-2 abruptly; its callers ask another one")
+			p.step("killed daemon entry-2 abruptly; its callers retry at another daemon")
 			killed = nil
 		case <-time.After(200 * time.Millisecond):
 		}
@@ -148,9 +148,9 @@
 	for n := 0; time.Now().Before(until); n++ {
 		key := fmt.Sprintf("order-%d", n)
 		count.orderSent(key)
-		for copies := range 2 {
+		for offset := range 2 {
 			wg.Add(1)
-			go func() { defer wg.Done(); sendOrder(ctx, f, count, key, n+copies) }()
+			go func() { defer wg.Done(); sendOrder(ctx, f, count, key, n+offset) }()
 		}
 		time.Sleep(orderInterval)
 	}
--- a/try/tally.go
+++ b/try/tally.go
@@ -94,7 +94,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil || echo.Key != key {
-		t.note("order %s got another answer: %s", key, body)
+		t.note("order %s got a wrong answer: %s", key, body)
 		t.lost++
 		return
 	}
@@ -112,7 +112,7 @@
 func (t *tally) orderGivenUp(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.note("order %s: no daemon took it", key)
+	t.note("order %s: no daemon accepted it", key)
 }
 
 func (t *tally) progress() string {
@@ -157,7 +157,7 @@
 			t.failed++
 		default:
 			t.lost++
-			t.note("order %s ran and no caller was told", key)
+			t.note("order %s ran, but no caller was informed", key)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		seen[r.CustomID]++
 		if seen[r.CustomID] > 1 {
 			t.doubled++
-			t.note("item %s stands twice in the results", r.CustomID)
+			t.note("item %s appears twice in the results", r.CustomID)
 		}
 	}
 	byID := map[string]caller.Result{}
